--- a/packages/mimosastile-core/src/mimosastile_core/gateway/admission.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/admission.py
@@ -51,7 +51,7 @@
 to get."""
 
 
-class Ask(msgspec.Struct, frozen=True):
+class PermitRequest(msgspec.Struct, frozen=True):
     """A request that wants a place at a target.
 
     Attributes:
@@ -95,7 +95,7 @@
         seconds: Time until it can be expected to be admitted.
     """
 
-    ask: Ask
+    ask: PermitRequest
     verdict: Verdict
     seconds: float = 0.0
 
@@ -110,7 +110,7 @@
     seconds: float
 
 
-class _Place:
+class _Permit:
     """A request that was admitted."""
 
     __slots__ = ("at", "busy", "until", "work")
@@ -127,13 +127,13 @@
 
     __slots__ = ("arrived", "ask", "number")
 
-    def __init__(self, ask: Ask, number: int, now: float) -> None:
+    def __init__(self, ask: PermitRequest, number: int, now: float) -> None:
         self.ask = ask
         self.number = number
         self.arrived = now
 
 
-class Queue:
+class AdmissionQueue:
     """Places of one target, and who waits for one.
 
     Attributes:
@@ -168,13 +168,13 @@
         self._beyond = beyond
         self._work = 0.0
         self._factor = 1.0
-        self._places: dict[tuple[str, int], _Place] = {}
+        self._places: dict[tuple[str, int], _Permit] = {}
         self._held: dict[str, tuple[int, float]] = {}
         self._waiting: list[_Waiting] = []
         self._numbers = 0
         self._punctual = 0.0
         self._punctual_at = 0.0
-        self.pace: limits.Pace | None = None
+        self.pace: limits.RateLimiter | None = None
 
     @property
     def idle(self) -> bool:
@@ -191,7 +191,7 @@
         held = sum(count for count, until in self._held.values() if now < until)
         return len(self._places) + held
 
-    def ask(self, ask: Ask, now: float) -> Decision:
+    def ask(self, ask: PermitRequest, now: float) -> Decision:
         """Decides on a request; one that asks again keeps its turn."""
         if ask.id in self._places:
             return Decision(ask, Verdict.ADMITTED)
@@ -271,7 +271,7 @@
         until = now + _LOST_LEAST + _LOST_FACTOR * usual
         if self.pace is not None:
             self.pace.take(now)
-        self._places[entry.ask.id] = _Place(entry.ask.work, now, until, busy)
+        self._places[entry.ask.id] = _Permit(entry.ask.work, now, until, busy)
         return Decision(entry.ask, Verdict.ADMITTED)
 
     def _free(self, now: float) -> bool:
@@ -315,7 +315,7 @@
         late = self._is_late(entry, now, 0)
         return late, entry.ask.priority, entry.number
 
-    def _note_run(self, place: _Place, now: float) -> None:
+    def _note_run(self, place: _Permit, now: float) -> None:
         """Learns how long requests run here, without their wait."""
         run = (now - place.at) / max(place.busy / self._slots, 1.0)
         low, high = _RATIO_BOUNDS
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/rests.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/backoffs.py
@@ -8,7 +8,7 @@
 """Rest that is left from which a move of keys is too late."""
 
 
-class _Rest(msgspec.Struct, frozen=True):
+class _Backoff(msgspec.Struct, frozen=True):
     """What one run of a target has asked for.
 
     Attributes:
@@ -22,7 +22,7 @@
     ends: float
 
 
-class Rests:
+class Backoffs:
     """Until when each target wants nothing from this VM.
 
     It concerns one VM alone: a target may reject whoever sends most.
@@ -32,7 +32,7 @@
 
     def __init__(self) -> None:
         """Makes one that knows of none."""
-        self._rests: dict[str, _Rest] = {}
+        self._rests: dict[str, _Backoff] = {}
 
     @property
     def any(self) -> bool:
@@ -50,7 +50,7 @@
         """
         ends = now + seconds
         if self.left(target, born, now) < seconds:
-            self._rests[target] = _Rest(born, now, ends)
+            self._rests[target] = _Backoff(born, now, ends)
 
     def left(self, target: str, born: int, now: float) -> float:
         """Returns for how many seconds a run of a target gets nothing."""
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/patience.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/caller_retries.py
@@ -13,7 +13,7 @@
 wait equally long."""
 
 
-class Patience:
+class RetryAge:
     """Deadlines of one route's callers."""
 
     __slots__ = ("_longest",)
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/casualties.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/crash_detection.py
@@ -16,7 +16,7 @@
 """A third death is beyond chance; a minute covers the repeats of a caller."""
 
 
-class Casualties:
+class CrashDetector:
     """Lost answers of one VM, and the deaths that they turned out to be."""
 
     __slots__ = ("_memory", "_pending")
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/directory.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/directory.py
@@ -35,7 +35,7 @@
     revision: int = 0
 
 
-class Standing(enum.Enum):
+class TargetStatus(enum.Enum):
     """What a target may be used for."""
 
     READY = "ready"
@@ -44,7 +44,7 @@
     ENDED = "ended"
 
 
-_VANISHED = frozenset({Standing.MISSING, Standing.ENDED})
+_VANISHED = frozenset({TargetStatus.MISSING, TargetStatus.ENDED})
 
 
 class Entry:
@@ -74,7 +74,7 @@
 
     def __init__(self, target: Target, since: float) -> None:
         self.target = target
-        self.standing = Standing.READY
+        self.standing = TargetStatus.READY
         self.since = since
         self.until = float("inf")
         self.revision = target.revision
@@ -176,10 +176,10 @@
             entry.until = float("inf")
         entry.target = target
         entry.revision = target.revision
-        if entry.standing is Standing.ENDED and not fresh:
+        if entry.standing is TargetStatus.ENDED and not fresh:
             return False
         leaving = target.leaving or entry.announced_at is not None
-        standing = Standing.LEAVING if leaving else Standing.READY
+        standing = TargetStatus.LEAVING if leaving else TargetStatus.READY
         if entry.standing is standing and not fresh:
             return False
         entry.standing = standing
@@ -212,10 +212,10 @@
             return False
         entry.announced_at = said_at
         self._announced.add(target)
-        if entry.standing is Standing.ENDED:
+        if entry.standing is TargetStatus.ENDED:
             return False
-        if entry.standing is Standing.READY:
-            entry.standing = Standing.LEAVING
+        if entry.standing is TargetStatus.READY:
+            entry.standing = TargetStatus.LEAVING
             entry.since = said_at
         entry.until = min(entry.until, said_at + self._grace)
         return True
@@ -247,7 +247,7 @@
         if revision and revision < entry.revision:
             return False
         entry.revision = max(entry.revision, revision)
-        entry.standing = Standing.MISSING
+        entry.standing = TargetStatus.MISSING
         entry.since = now if since is None else min(since, now)
         entry.until = min(entry.until, entry.since + self._grace)
         if late:
@@ -272,9 +272,9 @@
         entry = self._entries.get(target)
         if entry is None or entry.target.born != born:
             return False
-        if entry.standing is Standing.ENDED:
+        if entry.standing is TargetStatus.ENDED:
             return False
-        entry.standing = Standing.ENDED
+        entry.standing = TargetStatus.ENDED
         entry.since = entry.until = now
         return True
 
@@ -296,7 +296,7 @@
         return (
             entry is not None
             and entry.target.born == born
-            and entry.standing is Standing.ENDED
+            and entry.standing is TargetStatus.ENDED
         )
 
     def has_started_again(self, target: str, born: int) -> bool:
@@ -331,7 +331,7 @@
             entry.target, born=born, address=address, leaving=False
         )
         entry.announced_at = None
-        entry.standing = Standing.READY
+        entry.standing = TargetStatus.READY
         entry.since = now
         entry.until = float("inf")
 
@@ -402,7 +402,9 @@
             for e in self._entries.values()
             if e.target.service == service and allowed(e.target)
         ]
-        ready = [e.target for e in of_service if e.standing is Standing.READY]
+        ready = [
+            e.target for e in of_service if e.standing is TargetStatus.READY
+        ]
         if ready:
             return ready
         return [e.target for e in of_service if now < e.until]
@@ -436,7 +438,7 @@
     def is_ready(self, target: str) -> bool:
         """Whether a target is registered and does not leave."""
         entry = self._entries.get(target)
-        return entry is not None and entry.standing is Standing.READY
+        return entry is not None and entry.standing is TargetStatus.READY
 
     def may_get_work(self, target: str, now: float) -> bool:
         """Whether a target that owns a key may get a request for it."""
@@ -450,13 +452,13 @@
             for entry in self._entries.values()
             if entry.target.service == service
         }
-        return standings - _VANISHED == {Standing.LEAVING}
+        return standings - _VANISHED == {TargetStatus.LEAVING}
 
     def ready(self, service: str) -> list[Target]:
         """Returns the registered targets of a service that do not leave."""
         return [
             entry.target
             for entry in self._entries.values()
-            if entry.standing is Standing.READY
+            if entry.standing is TargetStatus.READY
             and entry.target.service == service
         ]
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/formers.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/former_leaders.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Iterable
 
-from mimosastile_core.gateway import extension
 from mimosastile_core.gateway import leadership
+from mimosastile_core.gateway import lease_extension
 
 
 class FormerLeaders:
@@ -33,7 +33,7 @@
         hold: float = 0.0,
         most: float = 0.0,
         longer_until: float = float("-inf"),
-        witnesses: Iterable[extension.Witness] = (),
+        witnesses: Iterable[lease_extension.Witness] = (),
         unextended_until: float = float("inf"),
         held_up: float = 0.0,
     ) -> None:
@@ -97,7 +97,10 @@
                 self.stopped(now)
 
     def testify(
-        self, witness: extension.Witness, promised: float | None, now: float
+        self,
+        witness: lease_extension.Witness,
+        promised: float | None,
+        now: float,
     ) -> None:
         """Takes a VM's word on what it has promised to former leaders.
 
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/currency.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/freshness.py
@@ -3,7 +3,7 @@
 import math
 
 
-class Currency:
+class Freshness:
     """The latest time at which a view surely held all that the store did.
 
     Each source gives a lower bound: when a question was asked that the answer
@@ -32,7 +32,7 @@
         return None if self._at == -math.inf else max(now - self._at, 0.0)
 
 
-class Stamp:
+class ClockOffset:
     """A reading of a peer's clock, to translate times from and to it.
 
     The peer has read its clock after it was asked and before its answer
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/heat.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/key_rates.py
@@ -4,7 +4,7 @@
 import math
 
 
-class KeyHeat:
+class KeyRates:
     """Decaying counts of requests by key.
 
     Exponential decay by a time constant: a count is close to the number of
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/leadership.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/leadership.py
@@ -47,7 +47,7 @@
     unsure: tuple[str, ...] = ()
 
 
-class Authority:
+class LeaderLease:
     """How long this VM may go on giving orders as leader.
 
     Attributes:
@@ -176,7 +176,7 @@
         return max(usual, min(most, self.ends - arrival + usual))
 
 
-class Pace(msgspec.Struct, frozen=True):
+class RenewalPace(msgspec.Struct, frozen=True):
     """How often a grant is renewed and how long it lasts.
 
     Attributes:
@@ -189,8 +189,8 @@
 
 
 def paced(
-    ranges: int, usual: Pace, slowest: float, orders_per_second: float
-) -> Pace:
+    ranges: int, usual: RenewalPace, slowest: float, orders_per_second: float
+) -> RenewalPace:
     """Returns the pace at which a leader can renew a number of ranges.
 
     A leader with too many orders answers nobody in time, and all grants run
@@ -204,7 +204,7 @@
             than that.
     """
     renew = max(usual.renew, min(ranges / orders_per_second, slowest))
-    return Pace(renew, usual.hold * renew / usual.renew)
+    return RenewalPace(renew, usual.hold * renew / usual.renew)
 
 
 def lapsed_at(last_order: float, hold: float) -> float:
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/limits.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/limits.py
@@ -39,7 +39,7 @@
 _LOTS = 1 << 32
 
 
-class LimitNews(msgspec.Struct, frozen=True, array_like=True):
+class LimitUpdate(msgspec.Struct, frozen=True, array_like=True):
     """What a target has said of its limit, as one VM tells another.
 
     Attributes:
@@ -53,7 +53,7 @@
     age: float
 
 
-class Pace:
+class RateLimiter:
     """Rate limiter of this VM for a target that has named a limit.
 
     The named VM takes tokens from a bucket that holds few; any other VM has a
@@ -150,10 +150,10 @@
         self.rate = rate
         self.since = since
         self.at = at
-        self.pace: Pace | None = None
+        self.pace: RateLimiter | None = None
 
 
-class Limits:
+class TargetLimits:
     """The limit that each target has named last."""
 
     __slots__ = ("_here", "_known_at", "_limited", "_named", "_told")
@@ -167,7 +167,7 @@
         self._here = here
         self._named: dict[str, _Named] = {}
         self._limited = 0
-        self._told: dict[str, LimitNews] = {}
+        self._told: dict[str, LimitUpdate] = {}
         self._known_at = 0.0
 
     @property
@@ -200,7 +200,7 @@
             return None
         return self.rate(target, born)
 
-    def pace(self, target: str, born: int) -> Pace | None:
+    def pace(self, target: str, born: int) -> RateLimiter | None:
         """Returns when this VM may send to a target, None without a limit."""
         known = self._named.get(target)
         if known is None or known.born != born:
@@ -244,7 +244,7 @@
             return False
         return self._set(target, born, rate, now, now)
 
-    def learn(self, target: str, news: LimitNews, now: float) -> bool:
+    def learn(self, target: str, news: LimitUpdate, now: float) -> bool:
         """Takes what another VM has heard; returns whether that is news."""
         at = now - news.age
         known = self._named.get(target)
@@ -277,12 +277,12 @@
             made.pace = former.pace if former and former.born == born else None
             if made.pace is None:
                 lot = zlib.crc32(f"{self._here}/{target}".encode()) / _LOTS
-                made.pace = Pace(rate, lot, now)
+                made.pace = RateLimiter(rate, lot, now)
             made.pace.set_rate(rate, now)
         self._limited = sum(n.rate is not None for n in self._named.values())
         return rate is not None or bool(former and former.rate is not None)
 
-    def news(self, now: float) -> dict[str, LimitNews]:
+    def news(self, now: float) -> dict[str, LimitUpdate]:
         """Returns what a leader tells of all targets."""
         return {
             name: _news(known, now)
@@ -290,12 +290,12 @@
             if known.rate is not None or now - known.at < _LIFTED_SECONDS
         }
 
-    def take_told(self, told: Mapping[str, LimitNews], now: float) -> None:
+    def take_told(self, told: Mapping[str, LimitUpdate], now: float) -> None:
         """Notes what the leader knows, whether or not it is news here."""
         self._told = dict(told)
         self._known_at = now
 
-    def unknown_to_leader(self, now: float) -> dict[str, LimitNews]:
+    def unknown_to_leader(self, now: float) -> dict[str, LimitUpdate]:
         """Returns what this VM reports: what its leader does not know."""
         return {
             name: _news(known, now)
@@ -339,5 +339,5 @@
     return rate is None or rate > known
 
 
-def _news(known: _Named, now: float) -> LimitNews:
-    return LimitNews(known.born, known.rate, round(max(now - known.at, 0), 3))
+def _news(known: _Named, now: float) -> LimitUpdate:
+    return LimitUpdate(known.born, known.rate, round(max(now - known.at, 0), 3))
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/room.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/load_balancing.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from mimosastile_core.gateway import directory
-from mimosastile_core.gateway import reported
+from mimosastile_core.gateway import target_feedback
 
 _SMOOTHING = 0.15
 """Weight of one answer in the mean: some seven answers to follow a change."""
@@ -88,14 +88,14 @@
     probes: int = 2
 
 
-class Place(msgspec.Struct, frozen=True):
+class Location(msgspec.Struct, frozen=True):
     """Where something stands."""
 
     zone: str
     region: str
 
 
-class Load:
+class TargetStats:
     """What this VM knows of one target."""
 
     __slots__ = (
@@ -120,7 +120,7 @@
         self.samples = 0
         self.sent = 0
         self.rest_until = -math.inf
-        self.said: reported.TargetLoad | None = None
+        self.said: target_feedback.TargetLoad | None = None
         self._trouble = 0.0
         self._trouble_at = 0.0
         self._rests = 0
@@ -224,7 +224,7 @@
     runs: float = 0.0
 
 
-class Rooms:
+class LoadBalancer:
     """Loads of all targets, and the choice among them."""
 
     __slots__ = (
@@ -240,7 +240,7 @@
     )
 
     def __init__(
-        self, here: Place, regions: dict[str, str], policy: Policy
+        self, here: Location, regions: dict[str, str], policy: Policy
     ) -> None:
         """Makes one that knows nothing.
 
@@ -252,18 +252,18 @@
         self._here = here
         self._regions = regions
         self._policy = policy
-        self._loads: dict[str, Load] = {}
+        self._loads: dict[str, TargetStats] = {}
         self._reporting: set[str] = set()
         self._work: dict[str, tuple[float, float]] = {}
         self._gates: dict[str, str] = {}
         self._gates_at = -math.inf
         self._silent_gates: dict[str, float] = {}
 
-    def load(self, target: str) -> Load:
+    def load(self, target: str) -> TargetStats:
         """Returns what is known of a target."""
         found = self._loads.get(target)
         if found is None:
-            found = self._loads[target] = Load()
+            found = self._loads[target] = TargetStats()
         return found
 
     def forget_except(self, targets: Iterable[str]) -> None:
@@ -299,7 +299,7 @@
     def learn_load(
         self,
         target: directory.Target,
-        said: reported.TargetLoad,
+        said: target_feedback.TargetLoad,
     ) -> None:
         """Takes what a target has said of its load.
 
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/allowance.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/retry_budget.py
@@ -3,7 +3,7 @@
 import collections
 
 
-class RetryAllowance:
+class RetryBudget:
     """One VM's part of the bound on repeated sends to a service.
 
     The bound holds for all VMs together: a ratio of the requests in a window
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/succession.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/successors.py
@@ -17,7 +17,7 @@
 way there and back."""
 
 
-class Succession:
+class SuccessorSelection:
     """Remembers which VMs were asked, so that others come next."""
 
     __slots__ = ("_asked", "_asked_at")
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/reported.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/target_feedback.py
@@ -43,7 +43,7 @@
         return usual + max(min(slowed, lost), 0.0)
 
 
-class Notice(msgspec.Struct, frozen=True):
+class TargetFeedback(msgspec.Struct, frozen=True):
     """What a target says in an answer that concerns other requests as well.
 
     Attributes:
@@ -73,5 +73,5 @@
         cold_seconds: For how long it stays cold, None if it does not say.
     """
 
-    notice: Notice = Notice()
+    notice: TargetFeedback = TargetFeedback()
     cold_seconds: float | None = None
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/vacancies.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/unowned_ranges.py
@@ -18,7 +18,7 @@
 a release waits for the work that runs."""
 
 
-class _Vacancy:
+class _UnownedRange:
     """Neighbouring keys without an owner."""
 
     __slots__ = ("first", "last", "since")
@@ -29,7 +29,7 @@
         self.since = since
 
 
-class Vacancies:
+class UnownedRanges:
     """Keys of all services that nobody owns."""
 
     __slots__ = ("_lapse", "_longest", "_of")
@@ -43,12 +43,12 @@
         """
         self._lapse = lapse
         self._longest = longest
-        self._of: dict[str, list[_Vacancy]] = {}
+        self._of: dict[str, list[_UnownedRange]] = {}
 
     def take(self, known: assignments.Assignment, now: float) -> None:
         """Notes which keys have no owner; others that had none before have."""
         former = self._of.get(known.service, [])
-        found: list[_Vacancy] = []
+        found: list[_UnownedRange] = []
         index = 0
         for span in known.spans():
             if span.owner:
@@ -57,7 +57,7 @@
             while index < len(former) and former[index].last < span.first:
                 index += 1
             since = _since(span, itertools.islice(former, index, None), now)
-            found.append(_Vacancy(span.first, span.last, since))
+            found.append(_UnownedRange(span.first, span.last, since))
         self._of[known.service] = found
 
     def seconds(self, service: str, key: int, now: float) -> float:
@@ -87,7 +87,7 @@
 
 
 def _since(
-    span: assignments.Span, former: Iterable[_Vacancy], now: float
+    span: assignments.Span, former: Iterable[_UnownedRange], now: float
 ) -> float:
     """Returns since when a range has had no owner, at the longest.
 
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/admitting.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/admission_service.py
@@ -13,8 +13,8 @@
 
 from mimosastile_core.gateway import admission
 from mimosastile_core.gateway import limits
-from mimosastile_gateway import beliefs
 from mimosastile_gateway import clock
+from mimosastile_gateway import cluster_state
 from mimosastile_gateway import datagrams
 from mimosastile_gateway import settings
 
@@ -47,7 +47,7 @@
         """Sends a message; it may be lost."""
 
 
-class Place:
+class Permit:
     """A place at a target.
 
     Attributes:
@@ -64,7 +64,7 @@
         self.number = number
 
 
-class Admitting:
+class AdmissionService:
     """Both sides of admission to contended targets.
 
     Attributes:
@@ -92,7 +92,7 @@
         self,
         configured: settings.GatewaySettings,
         channel: ChannelPort,
-        known: beliefs.Beliefs,
+        known: cluster_state.ClusterState,
         timer: clock.Clock,
     ) -> None:
         """Makes one that has no place and gives none.
@@ -107,7 +107,7 @@
         self._channel = channel
         self._beliefs = known
         self._clock = timer
-        self._queues: dict[str, admission.Queue] = {}
+        self._queues: dict[str, admission.AdmissionQueue] = {}
         # Not from 0: a gate may still know places of this VM's last run.
         self._numbers = round(_NUMBERS * timer.random())
         self._paced: set[str] = set()
@@ -143,7 +143,7 @@
         left: float,
         work: float,
         own: int,
-    ) -> Place | admission.Refusal | None:
+    ) -> Permit | admission.Refusal | None:
         """Waits until a gate gives a place or refuses one.
 
         Args:
@@ -188,7 +188,7 @@
                 verdict = decided.verdict
                 if verdict is admission.Verdict.ADMITTED:
                     self._places[gate, target] += 1
-                    return Place(gate, target, number)
+                    return Permit(gate, target, number)
                 if verdict is admission.Verdict.REFUSED:
                     return admission.Refusal(decided.wait / 1000)
                 if verdict is None:
@@ -200,7 +200,7 @@
                 # A decision may still be on its way.
                 self._tell_done(gate, target, number, answered=False)
 
-    def give_back(self, place: Place, *, answered: bool) -> None:
+    def give_back(self, place: Permit, *, answered: bool) -> None:
         """Gives a place back.
 
         Args:
@@ -281,7 +281,7 @@
             self._send(sender, refused)
             return
         queue.pace = self._pace(asked.target)
-        ask = admission.Ask(
+        ask = admission.PermitRequest(
             sender,
             asked.number,
             asked.priority,
@@ -332,7 +332,7 @@
         self._paced.discard(target)
         self._turn(target)
 
-    def _pace(self, target: str) -> limits.Pace | None:
+    def _pace(self, target: str) -> limits.RateLimiter | None:
         """Returns the pace that a target's limit sets, if it has one."""
         entry = self._beliefs.directory.get(target)
         if entry is None:
@@ -350,7 +350,7 @@
                 ),
             )
 
-    def _queue(self, target: str) -> admission.Queue | None:
+    def _queue(self, target: str) -> admission.AdmissionQueue | None:
         """Returns a target's queue here; None if this VM admits nobody."""
         if self.stopping:
             # Those that wait here still get their places.
@@ -368,7 +368,7 @@
                 if not queue.idle
             }
         beyond = self._settings.rooms.admitted
-        made = self._queues[target] = admission.Queue(
+        made = self._queues[target] = admission.AdmissionQueue(
             entry.target.slots, beyond
         )
         return made
@@ -376,21 +376,25 @@
 
 @functools.singledispatch
 def _receive(
-    message: datagrams.Message, admitting: Admitting, sender: str
+    message: datagrams.Message, admitting: AdmissionService, sender: str
 ) -> None:
     raise TypeError(message)
 
 
 @_receive.register
-def _(message: datagrams.Ask, admitting: Admitting, sender: str) -> None:
+def _(message: datagrams.Ask, admitting: AdmissionService, sender: str) -> None:
     admitting.decide(sender, message)
 
 
 @_receive.register
-def _(message: datagrams.Decision, admitting: Admitting, sender: str) -> None:
+def _(
+    message: datagrams.Decision, admitting: AdmissionService, sender: str
+) -> None:
     admitting.take_decision(message)
 
 
 @_receive.register
-def _(message: datagrams.Done, admitting: Admitting, sender: str) -> None:
+def _(
+    message: datagrams.Done, admitting: AdmissionService, sender: str
+) -> None:
     admitting.take_done(sender, message)
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/candidates.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/candidates.py
@@ -14,12 +14,12 @@
 from mimosastile_core import errors
 from mimosastile_core.gateway import directory
 from mimosastile_core.gateway import eligibility
-from mimosastile_core.gateway import room
+from mimosastile_core.gateway import load_balancing
 from mimosastile_core.gateway import sampling
 from mimosastile_core.gateway import warmup
-from mimosastile_gateway import admitting
-from mimosastile_gateway import beliefs
+from mimosastile_gateway import admission_service
 from mimosastile_gateway import clock
+from mimosastile_gateway import cluster_state
 from mimosastile_gateway import pending
 from mimosastile_gateway import settings
 
@@ -51,9 +51,9 @@
     def __init__(
         self,
         configured: settings.GatewaySettings,
-        known: beliefs.Beliefs,
-        rooms: room.Rooms,
-        places: admitting.Admitting,
+        known: cluster_state.ClusterState,
+        rooms: load_balancing.LoadBalancer,
+        places: admission_service.AdmissionService,
         timer: clock.Clock,
         count: Callable[[], int],
     ) -> None:
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/beliefs.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/cluster_state.py
@@ -10,16 +10,16 @@
 import msgspec
 
 from mimosastile_core.gateway import assignments
+from mimosastile_core.gateway import backoffs
 from mimosastile_core.gateway import configurations
-from mimosastile_core.gateway import currency
 from mimosastile_core.gateway import directory
 from mimosastile_core.gateway import eligibility
+from mimosastile_core.gateway import freshness
 from mimosastile_core.gateway import leadership
 from mimosastile_core.gateway import limits
-from mimosastile_core.gateway import reported
-from mimosastile_core.gateway import rests
 from mimosastile_core.gateway import routes
-from mimosastile_core.gateway import vacancies
+from mimosastile_core.gateway import target_feedback
+from mimosastile_core.gateway import unowned_ranges
 from mimosastile_gateway import clock
 from mimosastile_gateway import events
 from mimosastile_gateway import messages
@@ -53,7 +53,7 @@
 a second."""
 
 
-class Beliefs:
+class ClusterState:
     """The present state, with a signal for whoever waits for a change.
 
     Attributes:
@@ -129,18 +129,18 @@
         self.assignments: dict[str, assignments.Assignment] = {}
         hold = configured.leader.hold
         lapse = leadership.lapsed_at(0.0, hold)
-        self._vacancies = vacancies.Vacancies(
+        self._vacancies = unowned_ranges.UnownedRanges(
             lapse, configured.leader.authority + lapse
         )
         self.evacuations = eligibility.Evacuations()
         self.eligibility = eligibility.Eligibility(configured.vm.regions)
         self._evacuated_at: dict[str, float] = {}
-        self.limits = limits.Limits(configured.vm.id)
-        self.rests = rests.Rests()
+        self.limits = limits.TargetLimits(configured.vm.id)
+        self.rests = backoffs.Backoffs()
         self.seen = 0
         self.configuration_seen = 0
-        self.registrations = currency.Currency()
-        self.operated = currency.Currency()
+        self.registrations = freshness.Freshness()
+        self.operated = freshness.Freshness()
         self.leader: leadership.LeaderEntry | None = None
         self.leader_since = 0.0
         self.vms: dict[str, messages.VmEntry] = {}
@@ -412,7 +412,7 @@
     def hear_notice(
         self,
         target: directory.Target,
-        notice: reported.Notice,
+        notice: target_feedback.TargetFeedback,
         sent_at: float = -math.inf,
     ) -> bool:
         """Takes what a target has said of itself, whatever it has answered.
@@ -455,7 +455,7 @@
         self.signal()
         return True
 
-    def learn_limits(self, told: Mapping[str, limits.LimitNews]) -> None:
+    def learn_limits(self, told: Mapping[str, limits.LimitUpdate]) -> None:
         """Takes what other VMs have heard of targets' limits."""
         now = self._clock.now()
         changed = [
@@ -499,7 +499,7 @@
         self.signal()
         return True
 
-    def learn_leaving(self, told: Iterable[messages.Leaving]) -> None:
+    def learn_leaving(self, told: Iterable[messages.LeavingTarget]) -> None:
         """Takes what targets have said to other VMs of their leaving."""
         now = self._clock.now()
         news = [
@@ -523,11 +523,11 @@
             source=source,
         )
 
-    def leaving_news(self) -> dict[str, messages.Leaving]:
+    def leaving_news(self) -> dict[str, messages.LeavingTarget]:
         """Returns what targets have said of their leaving, by target."""
         now = self._clock.now()
         return {
-            entry.target.id: messages.Leaving(
+            entry.target.id: messages.LeavingTarget(
                 entry.target.id,
                 entry.target.born,
                 round(now - entry.announced_at, 3),
@@ -613,7 +613,7 @@
         seen: int,
         configuration: int,
         evacuations: eligibility.Evacuations = eligibility.Evacuations(),
-    ) -> messages.News | None:
+    ) -> messages.StateUpdate | None:
         """Returns what is known from the store that another VM lacks.
 
         Args:
@@ -633,19 +633,19 @@
         )
         if newer is None and not changed and not moved:
             return None
-        return messages.News(
+        return messages.StateUpdate(
             seen,
             max(self.seen, seen),
             tuple(
-                messages.TargetNews(
+                messages.TargetUpdate(
                     msgspec.structs.replace(entry.target, warm_at=0.0),
                     entry.revision,
-                    entry.standing is directory.Standing.MISSING,
+                    entry.standing is directory.TargetStatus.MISSING,
                     max(entry.target.warm_at - now, 0.0),
                     now - entry.since,
                 )
                 for entry in changed
-                if entry.standing is not directory.Standing.ENDED
+                if entry.standing is not directory.TargetStatus.ENDED
             ),
             newer if isinstance(newer, routes.Configuration) else None,
             newer if isinstance(newer, configurations.Change) else None,
@@ -653,7 +653,7 @@
         )
 
     def take_news(
-        self, news: messages.News, made_at: float | None = None
+        self, news: messages.StateUpdate, made_at: float | None = None
     ) -> None:
         """Takes what another VM has learned from the store.
 
@@ -813,7 +813,7 @@
         now = self._clock.now()
         owner = self.owner(service, key)
         entry = self.directory.get(owner) if owner else None
-        leaves = entry and entry.standing is directory.Standing.LEAVING
+        leaves = entry and entry.standing is directory.TargetStatus.LEAVING
         if leaves and not self.store_ok:
             # Tables are kept there: its keys stay where they are.
             return _STORE_AWAY_SECONDS
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/daemon.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/daemon.py
@@ -10,28 +10,28 @@
 
 import msgspec
 
-from mimosastile_core.gateway import casualties
-from mimosastile_core.gateway import reported
-from mimosastile_core.gateway import room
-from mimosastile_gateway import admitting
-from mimosastile_gateway import beliefs
+from mimosastile_core.gateway import crash_detection
+from mimosastile_core.gateway import load_balancing
+from mimosastile_core.gateway import target_feedback
+from mimosastile_gateway import admission_service
 from mimosastile_gateway import clock
+from mimosastile_gateway import cluster_state
 from mimosastile_gateway import datagrams
+from mimosastile_gateway import dispatching
 from mimosastile_gateway import events
 from mimosastile_gateway import forwarding
 from mimosastile_gateway import http_client
 from mimosastile_gateway import http_server
-from mimosastile_gateway import leading
+from mimosastile_gateway import leader_role
+from mimosastile_gateway import load_probing
+from mimosastile_gateway import membership
 from mimosastile_gateway import messages
 from mimosastile_gateway import metrics
 from mimosastile_gateway import peer_calls
-from mimosastile_gateway import peers
-from mimosastile_gateway import placing
 from mimosastile_gateway import ports
-from mimosastile_gateway import probing
 from mimosastile_gateway import settings
-from mimosastile_gateway import turns
-from mimosastile_gateway import watching
+from mimosastile_gateway import store_watching
+from mimosastile_gateway import wait_queues
 
 _TRIM_SECONDS = 1.0
 _TRAFFIC_TURNS = 5
@@ -69,7 +69,9 @@
     store: Callable[[http_client.Pool], ports.StorePort]
     orders: Callable[[http_client.Pool], ports.OrderPort]
     health: Callable[[http_client.Pool], ports.HealthPort]
-    read_notice: Callable[[Iterable[tuple[bytes, bytes]]], reported.Notice]
+    read_notice: Callable[
+        [Iterable[tuple[bytes, bytes]]], target_feedback.TargetFeedback
+    ]
     records: ports.RecordPort
     readiness_path: str
 
@@ -132,14 +134,18 @@
         # orders would then cost it its grants.
         self._order_pool = http_client.Pool(configured.requests.silent)
         self._metrics = metrics.Metrics(self._events.counts, self._pool.traffic)
-        self._beliefs = beliefs.Beliefs(configured, self._clock, self._events)
+        self._beliefs = cluster_state.ClusterState(
+            configured, self._clock, self._events
+        )
         store = adapter.store(self._pool)
         calls = peer_calls.PeerCalls(self._pool, self._events)
         boot = self._clock.new_id()
-        self._rooms = room.Rooms(
-            room.Place(vm.zone, vm.region), vm.regions, configured.rooms
+        self._rooms = load_balancing.LoadBalancer(
+            load_balancing.Location(vm.zone, vm.region),
+            vm.regions,
+            configured.rooms,
         )
-        self._leading = leading.Leading(
+        self._leading = leader_role.LeaderRole(
             configured,
             boot,
             store,
@@ -149,7 +155,7 @@
             self._clock,
             self._events,
         )
-        self._watching = watching.Watching(
+        self._watching = store_watching.StoreWatcher(
             configured.store,
             store,
             adapter.records,
@@ -157,13 +163,13 @@
             self._clock,
             self._events,
         )
-        queues = turns.Turns()
-        dead = casualties.Casualties()
+        queues = wait_queues.WaitQueues()
+        dead = crash_detection.CrashDetector()
         self._channel = datagrams.Channel(self._events)
-        self._admitting = admitting.Admitting(
+        self._admitting = admission_service.AdmissionService(
             configured, self._channel, self._beliefs, self._clock
         )
-        self._peers = peers.Peers(
+        self._peers = membership.Membership(
             configured,
             boot,
             store,
@@ -178,7 +184,7 @@
             self._clock,
             self._events,
         )
-        places = placing.Placing(
+        places = dispatching.Dispatcher(
             configured,
             self._beliefs,
             self._rooms,
@@ -186,7 +192,7 @@
             queues,
             self._admitting,
             self._clock,
-            probing.Probing(
+            load_probing.LoadProber(
                 adapter.health(self._pool),
                 self._beliefs,
                 self._rooms,
@@ -194,7 +200,7 @@
                 self._events,
             ),
         )
-        self._forwarding = forwarding.Forwarding(
+        self._forwarding = forwarding.Forwarder(
             configured,
             adapter.headers,
             adapter.read_notice,
@@ -476,7 +482,7 @@
         if path == messages.ASSIGN_PATH:
             told = messages.decode(body, messages.ReportReply)
             self._peers.take_push(told)
-            return messages.Taken()
+            return messages.UpdateAck()
         if path == messages.RELAY_PATH:
             return await self._peers.relay(
                 messages.decode(body, messages.Relay)
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/placing.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/dispatching.py
@@ -9,17 +9,17 @@
 from mimosastile_core import errors
 from mimosastile_core.gateway import admission
 from mimosastile_core.gateway import directory
-from mimosastile_core.gateway import room
+from mimosastile_core.gateway import load_balancing
 from mimosastile_core.gateway import routes
-from mimosastile_gateway import admitting
-from mimosastile_gateway import beliefs
+from mimosastile_gateway import admission_service
 from mimosastile_gateway import candidates
 from mimosastile_gateway import clock
-from mimosastile_gateway import peers
+from mimosastile_gateway import cluster_state
+from mimosastile_gateway import load_probing
+from mimosastile_gateway import membership
 from mimosastile_gateway import pending
-from mimosastile_gateway import probing
 from mimosastile_gateway import settings
-from mimosastile_gateway import turns
+from mimosastile_gateway import wait_queues
 
 _POLL_SECONDS = 0.05
 """Longest wait for a turn: what other VMs have under way changes unseen."""
@@ -59,10 +59,10 @@
 _LEAST_WORK = 0.6
 """Part of a request's mean work for which it is still worth sending."""
 
-_Entering = asyncio.Future[admitting.Place | admission.Refusal | None]
+_Entering = asyncio.Future[admission_service.Permit | admission.Refusal | None]
 
 
-class Placing:
+class Dispatcher:
     """Finds targets for requests, and has requests wait for them."""
 
     __slots__ = (
@@ -80,13 +80,13 @@
     def __init__(
         self,
         configured: settings.GatewaySettings,
-        known: beliefs.Beliefs,
-        rooms: room.Rooms,
-        fellows: peers.Peers,
-        queues: turns.Turns,
-        places: admitting.Admitting,
+        known: cluster_state.ClusterState,
+        rooms: load_balancing.LoadBalancer,
+        fellows: membership.Membership,
+        queues: wait_queues.WaitQueues,
+        places: admission_service.AdmissionService,
         timer: clock.Clock,
-        probes: probing.Probing,
+        probes: load_probing.LoadProber,
     ) -> None:
         self._settings = configured
         self._beliefs = known
@@ -105,7 +105,7 @@
         """Returns the requests that wait in this VM, by queue."""
         return self._turns.waiting()
 
-    def ticket(self, priority: int) -> turns.Ticket:
+    def ticket(self, priority: int) -> wait_queues.Ticket:
         """Returns a turn for a new request.
 
         Args:
@@ -340,7 +340,7 @@
         if entered is None:
             self._rooms.gate_silent(gate, self._clock.now())
             return None
-        if isinstance(entered, admitting.Place):
+        if isinstance(entered, admission_service.Permit):
             if not self._may_get(call, target) or self._closed(target):
                 # It has left, become cold or asked for a rest, or its time to
                 # get work has passed meanwhile.
@@ -415,7 +415,7 @@
             entering.cancel()
         elif not entering.cancelled():
             entered = entering.result()
-            if isinstance(entered, admitting.Place):
+            if isinstance(entered, admission_service.Permit):
                 self._admitting.give_back(entered, answered=False)
 
     async def _until_moved(
@@ -449,7 +449,7 @@
         return False
 
     def _no_room(
-        self, call: pending.Call, choice: room.Choice, ahead: int
+        self, call: pending.Call, choice: load_balancing.Choice, ahead: int
     ) -> result.Err[errors.Failure]:
         """Refuses a request for which there will be no room in time."""
         kind = errors.ErrorKind.OVERLOADED
@@ -464,31 +464,31 @@
 
     def _choose(
         self, call: pending.Call, now: float
-    ) -> tuple[str, room.Choice]:
+    ) -> tuple[str, load_balancing.Choice]:
         """Returns the queue to wait in and what was found."""
         service = call.service
         if call.key is not None:
             target = self._candidates.owner(call)
             if target is None:
-                return service.name, room.Choice(None, 0.0)
+                return service.name, load_balancing.Choice(None, 0.0)
             wait = self._candidates.send_wait(target, call)
             if self._beliefs.cold_seconds(target.id):
                 wait = min(wait, _MOVE_SECONDS)
             if wait:
-                return target.id, room.Choice(None, wait)
+                return target.id, load_balancing.Choice(None, wait)
             if self._rooms.full_owner(target, self._peers.count, now):
                 self._peers.hurry()
                 seconds = self._rooms.turn_seconds(
                     target, call.route.name, call.guess
                 )
-                return target.id, room.Choice(None, seconds)
-            return target.id, room.Choice(target, 0.0)
+                return target.id, load_balancing.Choice(None, seconds)
+            return target.id, load_balancing.Choice(target, 0.0)
         eligible = self._candidates.untried(call, now)
         waits = {t.id: self._candidates.send_wait(t, call) for t in eligible}
         candidates = [t for t in eligible if not waits[t.id]]
         if not candidates:
             soonest = min(waits.values(), default=_NO_TARGET_SECONDS)
-            return service.name, room.Choice(None, soonest)
+            return service.name, load_balancing.Choice(None, soonest)
         choice = self._rooms.choose(
             candidates,
             call.route.name,
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/telling.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/dissemination.py
@@ -13,8 +13,8 @@
 from mimosastile_core.gateway import eligibility
 from mimosastile_core.gateway import leadership
 from mimosastile_core.gateway import limits
-from mimosastile_gateway import beliefs
 from mimosastile_gateway import clock
+from mimosastile_gateway import cluster_state
 from mimosastile_gateway import events
 from mimosastile_gateway import messages
 from mimosastile_gateway import peer_calls
@@ -101,7 +101,7 @@
         self.vms: list[_Vm] = []
 
 
-class Lacking(msgspec.Struct, frozen=True):
+class MissingUpdates(msgspec.Struct, frozen=True):
     """What a VM does not know.
 
     Attributes:
@@ -112,9 +112,9 @@
 
     assignments: tuple[_Assignment, ...]
     differences: tuple[_Difference, ...]
-    news: messages.News | None
+    news: messages.StateUpdate | None
 
-    def urgent(self) -> "Lacking":
+    def urgent(self) -> "MissingUpdates":
         """Returns as much of it as fits into a few packets.
 
         Registrations go first, then routes, then owners of keys.
@@ -124,7 +124,7 @@
         if news is not None:
             left -= len(news.targets)
             if left < 0:
-                return Lacking((), (), None)
+                return MissingUpdates((), (), None)
             change = news.change
             if change is not None and len(change.routes) > left:
                 change = None
@@ -137,7 +137,7 @@
             )
         spans = sum(len(d.spans) for d in self.differences)
         small = spans <= left
-        return Lacking((), self.differences if small else (), news)
+        return MissingUpdates((), self.differences if small else (), news)
 
     @property
     def nothing(self) -> bool:
@@ -145,7 +145,7 @@
         return not (self.assignments or self.differences or self.news)
 
 
-class Telling:
+class Disseminator:
     """Keeps what VMs reported, and tells them what is new.
 
     Each VM has one message at most on its way, and what happens meanwhile goes
@@ -173,7 +173,7 @@
         here: str,
         zone: str,
         calls: peer_calls.PeerCalls,
-        known: beliefs.Beliefs,
+        known: cluster_state.ClusterState,
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
@@ -238,7 +238,7 @@
     def spread(
         self,
         gates: Mapping[str, str],
-        named: Mapping[str, limits.LimitNews],
+        named: Mapping[str, limits.LimitUpdate],
     ) -> None:
         """Tells all VMs at once of targets that have got a gate.
 
@@ -328,14 +328,14 @@
         while len(self._told) > _KEPT:
             del self._told[next(iter(self._told))]
 
-    def answer(self, report: messages.Report) -> Lacking:
+    def answer(self, report: messages.Report) -> MissingUpdates:
         """Returns what a VM hears with the answer to its report.
 
         Usually nothing: answers are then small and quick, and a VM whose
         leader is slow to answer takes it for lost.
         """
         vm = self._vms.get(report.vm.id)
-        nothing = Lacking((), (), None)
+        nothing = MissingUpdates((), (), None)
         if vm is None:
             return nothing
         if vm.missed:
@@ -347,13 +347,13 @@
             return self.lacking(report).urgent()
         return nothing
 
-    def lacking(self, report: messages.Report) -> Lacking:
+    def lacking(self, report: messages.Report) -> MissingUpdates:
         """Returns what a VM does not know by its report."""
         whole, changed = self._newer_than(report.versions)
         news = self._beliefs.news_after(
             report.seen, report.configuration, report.evacuations
         )
-        return Lacking(whole, changed, news)
+        return MissingUpdates(whole, changed, news)
 
     def _newer_than(
         self, versions: Mapping[str, assignments.Version]
@@ -562,7 +562,7 @@
         # More may have happened meanwhile.
         self._wanted.set()
 
-    def _message(self, lacking: Lacking) -> bytes:
+    def _message(self, lacking: MissingUpdates) -> bytes:
         """Returns the message with what VMs lack, empty for nothing."""
         if lacking.nothing:
             return b""
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
@@ -11,23 +11,23 @@
 
 from mimosastile_core import errors
 from mimosastile_core import quarantine
-from mimosastile_core.gateway import allowance
-from mimosastile_core.gateway import casualties
+from mimosastile_core.gateway import caller_retries
+from mimosastile_core.gateway import crash_detection
 from mimosastile_core.gateway import directory
-from mimosastile_core.gateway import patience
+from mimosastile_core.gateway import load_balancing
 from mimosastile_core.gateway import ranges
-from mimosastile_core.gateway import reported
-from mimosastile_core.gateway import room
+from mimosastile_core.gateway import retry_budget
 from mimosastile_core.gateway import routes
-from mimosastile_gateway import beliefs
+from mimosastile_core.gateway import target_feedback
 from mimosastile_gateway import clock
+from mimosastile_gateway import cluster_state
+from mimosastile_gateway import dispatching
 from mimosastile_gateway import events
 from mimosastile_gateway import http_client
 from mimosastile_gateway import http_server
+from mimosastile_gateway import membership
 from mimosastile_gateway import metrics
-from mimosastile_gateway import peers
 from mimosastile_gateway import pending
-from mimosastile_gateway import placing
 from mimosastile_gateway import ports
 from mimosastile_gateway import settings
 
@@ -70,7 +70,7 @@
 Sent = result.Result[http_server.Outgoing, errors.Failure]
 
 
-class Forwarding:
+class Forwarder:
     """Decides for each request where it goes, how often and what it answers."""
 
     __slots__ = (
@@ -97,13 +97,15 @@
         self,
         configured: settings.GatewaySettings,
         names: ports.HeaderNames,
-        read_notice: Callable[[Iterable[tuple[bytes, bytes]]], reported.Notice],
+        read_notice: Callable[
+            [Iterable[tuple[bytes, bytes]]], target_feedback.TargetFeedback
+        ],
         pool: http_client.Pool,
-        known: beliefs.Beliefs,
-        rooms: room.Rooms,
-        fellows: peers.Peers,
-        places: placing.Placing,
-        dead: casualties.Casualties,
+        known: cluster_state.ClusterState,
+        rooms: load_balancing.LoadBalancer,
+        fellows: membership.Membership,
+        places: dispatching.Dispatcher,
+        dead: crash_detection.CrashDetector,
         measured: metrics.Metrics,
         timer: clock.Clock,
         log: events.Events,
@@ -120,8 +122,8 @@
         self._events = log
         self._placing = places
         self._casualties = dead
-        self._patience: dict[str, patience.Patience] = {}
-        self._allowances: dict[str, allowance.RetryAllowance] = {}
+        self._patience: dict[str, caller_retries.RetryAge] = {}
+        self._allowances: dict[str, retry_budget.RetryBudget] = {}
         self._counts: collections.Counter[str] = collections.Counter()
         self._calls: set[pending.Call] = set()
         self._ends = math.inf
@@ -228,7 +230,9 @@
             min(incoming.at + seconds, self._ends),
         )
         if wait is not None and wait.isdigit():
-            known = self._patience.setdefault(route.name, patience.Patience())
+            known = self._patience.setdefault(
+                route.name, caller_retries.RetryAge()
+            )
             call.tried_for = known.tried_for(int(wait) / 1000)
         key = incoming.header(names.key)
         if service.keyed and _is_key(key):
@@ -245,12 +249,12 @@
         self._allowance(service.name).request(self._clock.now())
         return call
 
-    def _allowance(self, service: str) -> allowance.RetryAllowance:
+    def _allowance(self, service: str) -> retry_budget.RetryBudget:
         bounds = self._settings.bounds
         fixed = bounds.retry_fixed * _FIXED_SHARE / self._peers.count
         found = self._allowances.get(service)
         if found is None:
-            found = self._allowances[service] = allowance.RetryAllowance(
+            found = self._allowances[service] = retry_budget.RetryBudget(
                 bounds.retry_ratio * _RATIO_SHARE, bounds.retry_window, fixed
             )
         found.set_fixed(fixed)
@@ -611,7 +615,7 @@
     ) -> http_server.Outgoing:
         if failure.answer.router_retries and not failure.retry_after:
             failure = errors.Failure(
-                failure.kind, failure.detail, placing.SOON_SECONDS
+                failure.kind, failure.detail, dispatching.SOON_SECONDS
             )
         now = self._clock.now()
         attempt = incoming.header(self._names.attempt) or b""
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/granting.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/grant_reconciliation.py
@@ -9,12 +9,12 @@
 import result
 
 from mimosastile_core import errors
-from mimosastile_core.gateway import formers
+from mimosastile_core.gateway import former_leaders
 from mimosastile_core.gateway import leadership
 from mimosastile_core.gateway import ranges
-from mimosastile_core.gateway import reported
-from mimosastile_gateway import beliefs
+from mimosastile_core.gateway import target_feedback
 from mimosastile_gateway import clock
+from mimosastile_gateway import cluster_state
 from mimosastile_gateway import events
 from mimosastile_gateway import ports
 from mimosastile_gateway import settings
@@ -95,7 +95,7 @@
         self.task: asyncio.Task[None] | None = None
 
 
-class Granting:
+class GrantReconciler:
     """Gives the orders that a table asks for, and renews grants."""
 
     __slots__ = (
@@ -122,11 +122,11 @@
         self,
         configured: settings.GatewaySettings,
         orders: ports.OrderPort,
-        known: beliefs.Beliefs,
+        known: cluster_state.ClusterState,
         timer: clock.Clock,
         log: events.Events,
-        authority: leadership.Authority,
-        former: formers.FormerLeaders,
+        authority: leadership.LeaderLease,
+        former: former_leaders.FormerLeaders,
         alive_at: Mapping[str, float],
         on_change: Callable[[], None],
     ) -> None:
@@ -375,7 +375,9 @@
             default=None,
         )
 
-    def _hear(self, holder: ranges.Holder, notice: reported.Notice) -> None:
+    def _hear(
+        self, holder: ranges.Holder, notice: target_feedback.TargetFeedback
+    ) -> None:
         """Takes what an owner says of itself; callers may ask it nothing."""
         entry = self._beliefs.directory.get(holder.id)
         if entry is not None and entry.target.born == holder.born:
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/leading.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/leader_role.py
@@ -12,26 +12,26 @@
 
 from mimosastile_core import errors
 from mimosastile_core.gateway import assignments
-from mimosastile_core.gateway import casualties
+from mimosastile_core.gateway import crash_detection
 from mimosastile_core.gateway import demand
 from mimosastile_core.gateway import directory
-from mimosastile_core.gateway import extension
-from mimosastile_core.gateway import formers
-from mimosastile_core.gateway import heat
+from mimosastile_core.gateway import former_leaders
+from mimosastile_core.gateway import key_rates
 from mimosastile_core.gateway import leadership
+from mimosastile_core.gateway import lease_extension
 from mimosastile_core.gateway import ranges
 from mimosastile_core.gateway import routes
-from mimosastile_core.gateway import succession
-from mimosastile_gateway import beliefs
+from mimosastile_core.gateway import successors
 from mimosastile_gateway import clock
+from mimosastile_gateway import cluster_state
+from mimosastile_gateway import dissemination
 from mimosastile_gateway import events
-from mimosastile_gateway import granting
+from mimosastile_gateway import grant_reconciliation
 from mimosastile_gateway import messages
 from mimosastile_gateway import peer_calls
 from mimosastile_gateway import planning
 from mimosastile_gateway import ports
 from mimosastile_gateway import settings
-from mimosastile_gateway import telling
 from mimosastile_gateway import witnessing
 
 _T = TypeVar("_T")
@@ -65,7 +65,7 @@
 """How often a new leader tries to read the tables before it gives up."""
 
 
-class Leading:
+class LeaderRole:
     """Decides over key ranges while this VM leads, and knows when it does.
 
     Attributes:
@@ -122,7 +122,7 @@
         store: ports.StorePort,
         orders: ports.OrderPort,
         calls: peer_calls.PeerCalls,
-        known: beliefs.Beliefs,
+        known: cluster_state.ClusterState,
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
@@ -133,8 +133,8 @@
         self._beliefs = known
         self._clock = timer
         self._events = log
-        self._casualties = casualties.Casualties()
-        self._telling = telling.Telling(
+        self._casualties = crash_detection.CrashDetector()
+        self._telling = dissemination.Disseminator(
             configured.vm.id, configured.vm.zone, calls, known, timer, log
         )
         self._alive_at: dict[str, float] = {}
@@ -150,20 +150,20 @@
         self._serial = 0
         self._publishing: asyncio.TimerHandle | None = None
         self._published_at = float("-inf")
-        self._demand = demand.Demand(telling.REPORT_FRESH)
+        self._demand = demand.Demand(dissemination.REPORT_FRESH)
         self._gates_at = float("-inf")
         self._gates_chosen: dict[str, str] = {}
         self._watchers_at = float("-inf")
         self._watchers_chosen: tuple[str, ...] = ()
         self._planner = self._new_planner()
-        self._services: dict[str, planning.Keyed] = {}
-        self._formers = formers.FormerLeaders(0.0)
+        self._services: dict[str, planning.KeyedService] = {}
+        self._formers = former_leaders.FormerLeaders(0.0)
         self.address = configured.vm.peers
         self.calm_until = float("-inf")
         self.longer_until = float("-inf")
         self._started = 0.0
         self._store_failing_since: float | None = None
-        self._succession = succession.Succession()
+        self._succession = successors.SuccessorSelection()
         self._tasks: list[asyncio.Task[Any]] = []
         self._taking = False
 
@@ -179,9 +179,11 @@
         # Counted from when the answer came, which is later than the truth.
         self.longer_until = now + reply.longer
 
-    def _new_authority(self) -> leadership.Authority:
+    def _new_authority(self) -> leadership.LeaderLease:
         configured = self._settings.leader
-        return leadership.Authority(configured.authority, configured.unextended)
+        return leadership.LeaderLease(
+            configured.authority, configured.unextended
+        )
 
     @property
     def witness(self) -> witnessing.Witness:
@@ -322,14 +324,14 @@
         self._has_led = True
         self._revision = revision
         self._planner = self._new_planner()
-        self._demand = demand.Demand(telling.REPORT_FRESH)
+        self._demand = demand.Demand(dissemination.REPORT_FRESH)
         self._succession.clear()
         self._store_failing_since = None
         self._started = now
         record_item = items.get(messages.WITNESSES_KEY)
-        record = self._decoded(record_item, extension.Record)
+        record = self._decoded(record_item, lease_extension.Record)
         named = former and record and record.epoch == former.epoch
-        self._formers = formers.FormerLeaders(
+        self._formers = former_leaders.FormerLeaders(
             now + configured.authority if former else now,
             entry.unsure,
             self.calm_until,
@@ -338,7 +340,9 @@
             self.longer_until,
             record.witnesses if record and named else (),
             now + configured.unextended,
-            granting.LINK_QUEUE_SECONDS if self._several_regions else 0.0,
+            grant_reconciliation.LINK_QUEUE_SECONDS
+            if self._several_regions
+            else 0.0,
         )
         if not entry.unsure:
             # There was none, or it was an earlier run of this daemon, whose
@@ -428,10 +432,10 @@
 
     def _new_keyed(
         self, table: ranges.RangeTable, revision: int
-    ) -> planning.Keyed:
+    ) -> planning.KeyedService:
         configured = self._settings.leader
         now = self._clock.now()
-        grants = granting.Granting(
+        grants = grant_reconciliation.GrantReconciler(
             self._settings,
             self._orders,
             self._beliefs,
@@ -442,12 +446,12 @@
             self._alive_at,
             self._published,
         )
-        return planning.Keyed(
+        return planning.KeyedService(
             table,
             revision,
             grants,
-            heat.KeyHeat(configured.heat_fast, now),
-            heat.KeyHeat(configured.heat_slow, now),
+            key_rates.KeyRates(configured.heat_fast, now),
+            key_rates.KeyRates(configured.heat_slow, now),
         )
 
     def outranked_by(self, entry: leadership.LeaderEntry) -> None:
@@ -484,7 +488,7 @@
         # A VM that reports here does not lead itself.
         self._formers.follows(vm.id, boot, report.longer)
         if report.epoch >= self._entry.epoch:
-            witness = extension.Witness(vm.id, vm.boot)
+            witness = lease_extension.Witness(vm.id, vm.boot)
             self._formers.testify(witness, report.promised, boot)
         if report.news is not None:
             self._beliefs.take_news(report.news)
@@ -817,7 +821,7 @@
     # Committing.
 
     async def _commit(
-        self, keyed: planning.Keyed, table: ranges.RangeTable
+        self, keyed: planning.KeyedService, table: ranges.RangeTable
     ) -> bool:
         """Writes a table and has it carried out.
 
@@ -860,7 +864,7 @@
         return await self._resolve(keyed, table)
 
     async def _resolve(
-        self, keyed: planning.Keyed, table: ranges.RangeTable
+        self, keyed: planning.KeyedService, table: ranges.RangeTable
     ) -> bool:
         """Finds out what became of a commit without an answer.
 
@@ -884,7 +888,10 @@
         return found.commit == table.commit
 
     def _take(
-        self, keyed: planning.Keyed, table: ranges.RangeTable, revision: int
+        self,
+        keyed: planning.KeyedService,
+        table: ranges.RangeTable,
+        revision: int,
     ) -> None:
         fresh = keyed.table.next_fence
         stale = {item.owner for item in table.ranges if item.fence < fresh}
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/probing.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/load_probing.py
@@ -7,11 +7,11 @@
 
 from mimosastile_core import errors
 from mimosastile_core.gateway import directory
-from mimosastile_core.gateway import reported
-from mimosastile_core.gateway import room
+from mimosastile_core.gateway import load_balancing
 from mimosastile_core.gateway import routes
-from mimosastile_gateway import beliefs
+from mimosastile_core.gateway import target_feedback
 from mimosastile_gateway import clock
+from mimosastile_gateway import cluster_state
 from mimosastile_gateway import events
 from mimosastile_gateway import ports
 
@@ -23,7 +23,7 @@
 took."""
 
 
-class Probing:
+class LoadProber:
     """Health checks whose answers count for one choice."""
 
     __slots__ = (
@@ -38,8 +38,8 @@
     def __init__(
         self,
         health: ports.HealthPort,
-        known: beliefs.Beliefs,
-        rooms: room.Rooms,
+        known: cluster_state.ClusterState,
+        rooms: load_balancing.LoadBalancer,
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
@@ -104,7 +104,7 @@
         return target if self._take(target, answer.ok_value) else None
 
     def _take(
-        self, target: directory.Target, report: reported.HealthReport
+        self, target: directory.Target, report: target_feedback.HealthReport
     ) -> bool:
         if report.cold_seconds:
             self._beliefs.directory.note_cold(
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/peers.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
@@ -9,28 +9,28 @@
 
 from mimosastile_core import quarantine
 from mimosastile_core.gateway import assignments
-from mimosastile_core.gateway import casualties
-from mimosastile_core.gateway import currency
+from mimosastile_core.gateway import crash_detection
 from mimosastile_core.gateway import directory
 from mimosastile_core.gateway import eligibility
+from mimosastile_core.gateway import freshness
 from mimosastile_core.gateway import leadership
+from mimosastile_core.gateway import load_balancing
 from mimosastile_core.gateway import ranges
-from mimosastile_core.gateway import room
-from mimosastile_gateway import admitting
-from mimosastile_gateway import beliefs
+from mimosastile_gateway import admission_service
 from mimosastile_gateway import clock
+from mimosastile_gateway import cluster_state
 from mimosastile_gateway import events
-from mimosastile_gateway import leading
+from mimosastile_gateway import leader_role
 from mimosastile_gateway import messages
 from mimosastile_gateway import peer_calls
 from mimosastile_gateway import ports
 from mimosastile_gateway import settings
-from mimosastile_gateway import turns
-from mimosastile_gateway import watching
+from mimosastile_gateway import store_watching
+from mimosastile_gateway import wait_queues
 
 _SESSION_SHARE = 0.3
 """Part of a lease after which it is renewed: two more tries fit in."""
-_CALL_SECONDS = leading.ANSWER_SECONDS
+_CALL_SECONDS = leader_role.ANSWER_SECONDS
 """Longest wait for a peer: the way to the far region and back, sixteen times,
 or one lost packet that is sent again."""
 _RELAY_SECONDS = 0.3
@@ -78,7 +78,7 @@
 """Peers asked whether they hear the leader before it is replaced."""
 
 
-class Peers:
+class Membership:
     """Registers this VM, reports to the leader, replaces a lost one."""
 
     __slots__ = (
@@ -133,13 +133,13 @@
         boot: str,
         store: ports.StorePort,
         calls: peer_calls.PeerCalls,
-        known: beliefs.Beliefs,
-        rooms: room.Rooms,
-        leader: leading.Leading,
-        queues: turns.Turns,
-        places: admitting.Admitting,
-        watcher: watching.Watching,
-        dead: casualties.Casualties,
+        known: cluster_state.ClusterState,
+        rooms: load_balancing.LoadBalancer,
+        leader: leader_role.LeaderRole,
+        queues: wait_queues.WaitQueues,
+        places: admission_service.AdmissionService,
+        watcher: store_watching.StoreWatcher,
+        dead: crash_detection.CrashDetector,
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
@@ -169,17 +169,17 @@
         self._keys: dict[str, list[int]] = collections.defaultdict(list)
         self._alive: set[str] = set()
         self._deaths: list[quarantine.Death] = []
-        self._ended: list[messages.Ended] = []
-        self._misses: list[messages.Miss] = []
+        self._ended: list[messages.EndedTarget] = []
+        self._misses: list[messages.OwnershipMiss] = []
         self._turned_away: collections.Counter[str] = collections.Counter()
         self._vms = 1
         self._vms_read_at = float("-inf")
         self._fellows: tuple[messages.VmEntry, ...] = ()
         self._told_factors: dict[str, float] = {}
         self._told_leader: leadership.LeaderEntry | None = None
-        self._stamp: currency.Stamp | None = None
+        self._stamp: freshness.ClockOffset | None = None
         self._told_leaving: dict[str, int] = {}
-        self._reported_leaving: dict[str, messages.Leaving] = {}
+        self._reported_leaving: dict[str, messages.LeavingTarget] = {}
         self._news_seen = 0
         self._news_version = -1
         self._news_evacuations = eligibility.Evacuations()
@@ -247,7 +247,7 @@
 
     def ended(self, target: directory.Target) -> None:
         """Notes that another target answers at a target's address."""
-        self._ended.append(messages.Ended(target.id, target.born))
+        self._ended.append(messages.EndedTarget(target.id, target.born))
         self._beliefs.end_target(target.id, target.born)
 
     def turned_away(self, target: str) -> None:
@@ -276,14 +276,14 @@
     def missed(self, service: str, key: int, target: str) -> None:
         """Notes that a target rejected a key that it should own."""
         if len(self._misses) < _KEYS_PER_REPORT:
-            self._misses.append(messages.Miss(service, key, target))
+            self._misses.append(messages.OwnershipMiss(service, key, target))
 
-    def heard(self) -> messages.Heard:
+    def heard(self) -> messages.LeaderContact:
         """Returns what this VM knows of the leader."""
         seconds = self._clock.now() - self._heard_at
         if self._leader.leading:
             seconds = 0.0
-        return messages.Heard(
+        return messages.LeaderContact(
             self._beliefs.leader,
             seconds,
             tuple(self._beliefs.assignments.values()),
@@ -547,7 +547,7 @@
         )
         return seen, operated
 
-    def _untold_leaving(self) -> tuple[messages.Leaving, ...]:
+    def _untold_leaving(self) -> tuple[messages.LeavingTarget, ...]:
         """Returns targets whose leaving the leader has not heard from here.
 
         Its next answer shows that it has.
@@ -570,7 +570,7 @@
         told.update(changed)
         return changed
 
-    def _own_news(self) -> messages.News | None:
+    def _own_news(self) -> messages.StateUpdate | None:
         """Returns what this VM has read from the store and its leader lacks.
 
         A leader that is cut off from the store learns it from those that it
@@ -669,7 +669,9 @@
         for death in reply.deaths:
             self._casualties.learn(death, now)
         if reply.stamp is not None:
-            self._stamp = currency.Stamp(reply.stamp, self._reported_at, now)
+            self._stamp = freshness.ClockOffset(
+                reply.stamp, self._reported_at, now
+            )
         if reply.leader != self._told_leader:
             # A new leader knows nothing of what was told to the one before.
             self._told_leader = reply.leader
@@ -877,7 +879,7 @@
 
     def _is_heard(self, body: bytes, leader: leadership.LeaderEntry) -> bool:
         try:
-            heard = messages.decode(body, messages.Heard)
+            heard = messages.decode(body, messages.LeaderContact)
         except msgspec.DecodeError as error:
             self._events.write("peers", "reply_unreadable", why=str(error))
             return False
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/messages.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/messages.py
@@ -26,7 +26,7 @@
 _Assignment = assignments.Assignment
 _Difference = assignments.Difference
 _Evacuations = eligibility.Evacuations
-_LimitNews = limits.LimitNews
+_LimitUpdate = limits.LimitUpdate
 _COMPRESS_FROM = 600
 """Bytes from which a message is compressed; smaller ones fit into a packet."""
 _COMPRESS_LEVEL = 1
@@ -76,7 +76,7 @@
         return -self.strength, int(self.store_seconds / _STORE_STEP)
 
 
-class TargetNews(msgspec.Struct, frozen=True, array_like=True):
+class TargetUpdate(msgspec.Struct, frozen=True, array_like=True):
     """What became of a target's registration.
 
     Attributes:
@@ -95,7 +95,7 @@
     age: float = 0.0
 
 
-class News(msgspec.Struct, frozen=True):
+class StateUpdate(msgspec.Struct, frozen=True):
     """What a VM knows from the store that another one does not.
 
     Attributes:
@@ -110,13 +110,13 @@
 
     after: int
     revision: int
-    targets: tuple[TargetNews, ...] = ()
+    targets: tuple[TargetUpdate, ...] = ()
     configuration: routes.Configuration | None = None
     change: configurations.Change | None = None
     evacuations: _Evacuations | None = None
 
 
-class Miss(msgspec.Struct, frozen=True, array_like=True):
+class OwnershipMiss(msgspec.Struct, frozen=True, array_like=True):
     """A target rejected a key that it should own.
 
     Attributes:
@@ -130,7 +130,7 @@
     target: str
 
 
-class Ended(msgspec.Struct, frozen=True, array_like=True):
+class EndedTarget(msgspec.Struct, frozen=True, array_like=True):
     """A run of a target that is known to be over.
 
     Attributes:
@@ -142,7 +142,7 @@
     born: int
 
 
-class Leaving(msgspec.Struct, frozen=True, array_like=True):
+class LeavingTarget(msgspec.Struct, frozen=True, array_like=True):
     """A run of a target that has said in an answer that it leaves.
 
     Attributes:
@@ -206,20 +206,20 @@
     factors: dict[str, float] = {}
     alive: tuple[str, ...] = ()
     deaths: tuple[quarantine.Death, ...] = ()
-    ended: tuple[Ended, ...] = ()
-    misses: tuple[Miss, ...] = ()
+    ended: tuple[EndedTarget, ...] = ()
+    misses: tuple[OwnershipMiss, ...] = ()
     versions: dict[str, assignments.Version] = {}
     seen: int = 0
     configuration: int = -1
     configuration_seen: int = 0
-    news: News | None = None
+    news: StateUpdate | None = None
     stopping: bool = False
     longer: float | None = None
     epoch: int = -1
     promised: float | None = None
     evacuations: _Evacuations = _Evacuations()
-    limits: dict[str, _LimitNews] = {}
-    leaving: tuple[Leaving, ...] = ()
+    limits: dict[str, _LimitUpdate] = {}
+    leaving: tuple[LeavingTarget, ...] = ()
     resting: dict[str, float] = {}
     seen_at: float | None = None
     configuration_at: float | None = None
@@ -266,7 +266,7 @@
     gates: dict[str, str] = {}
     assignments: tuple[_Assignment, ...] = ()
     differences: tuple[_Difference, ...] = ()
-    news: News | None = None
+    news: StateUpdate | None = None
     seen: int = 0
     configuration: int = -1
     configuration_seen: int = 0
@@ -276,14 +276,14 @@
     vms: int = 0
     take_over: bool = False
     evacuations: _Evacuations = _Evacuations()
-    limits: dict[str, _LimitNews] = {}
-    leaving: tuple[Leaving, ...] = ()
+    limits: dict[str, _LimitUpdate] = {}
+    leaving: tuple[LeavingTarget, ...] = ()
     stamp: float | None = None
     seen_age: float | None = None
     configuration_age: float | None = None
 
 
-class Taken(msgspec.Struct, frozen=True):
+class UpdateAck(msgspec.Struct, frozen=True):
     """A VM's word that it has heard what its leader told it.
 
     It says no more: what the VM knows now stands in its next report, and a
@@ -337,7 +337,7 @@
     promised: bool
 
 
-class Heard(msgspec.Struct, frozen=True):
+class LeaderContact(msgspec.Struct, frozen=True):
     """What a VM knows of the leader.
 
     Attributes:
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/pending.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/pending.py
@@ -5,9 +5,9 @@
 import msgspec
 
 from mimosastile_core.gateway import routes
-from mimosastile_gateway import admitting
+from mimosastile_gateway import admission_service
 from mimosastile_gateway import http_server
-from mimosastile_gateway import turns
+from mimosastile_gateway import wait_queues
 
 _GUESS_SHARE = 0.35
 """Share of a route's target latency that its work is guessed to take."""
@@ -116,9 +116,9 @@
         self.answered = False
         self.tried: set[str] = set()
         self.tried_for = 0.0
-        self.place: admitting.Place | None = None
+        self.place: admission_service.Permit | None = None
         self.timer: asyncio.Timeout | None = None
-        self.ticket: turns.Ticket
+        self.ticket: wait_queues.Ticket
         self.basis: Basis | None = None
 
     @property
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/planning.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/planning.py
@@ -10,16 +10,16 @@
 import math
 
 from mimosastile_core.gateway import directory
-from mimosastile_core.gateway import heat
+from mimosastile_core.gateway import key_rates
 from mimosastile_core.gateway import ranges
 from mimosastile_core.gateway import rebalance
-from mimosastile_gateway import beliefs
 from mimosastile_gateway import clock
+from mimosastile_gateway import cluster_state
+from mimosastile_gateway import dissemination
 from mimosastile_gateway import events
-from mimosastile_gateway import granting
+from mimosastile_gateway import grant_reconciliation
 from mimosastile_gateway import messages
 from mimosastile_gateway import settings
-from mimosastile_gateway import telling
 
 _RESTING_VMS = 2
 """VMs from which a target must want nothing for its keys to move: what concerns
@@ -54,7 +54,7 @@
 """Bounds on how slow or fast a target is taken for."""
 
 
-class Keyed:
+class KeyedService:
     """What a leader keeps of one service that is divided by key."""
 
     __slots__ = (
@@ -71,9 +71,9 @@
         self,
         table: ranges.RangeTable,
         revision: int,
-        grants: granting.Granting,
-        fast: heat.KeyHeat,
-        slow: heat.KeyHeat,
+        grants: grant_reconciliation.GrantReconciler,
+        fast: key_rates.KeyRates,
+        slow: key_rates.KeyRates,
     ) -> None:
         self.table = table
         self.revision = revision
@@ -115,8 +115,8 @@
     def __init__(
         self,
         configured: settings.GatewaySettings,
-        reports: telling.Telling,
-        known: beliefs.Beliefs,
+        reports: dissemination.Disseminator,
+        known: cluster_state.ClusterState,
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
@@ -133,7 +133,7 @@
         self._joined_at = 0.0
 
     def next_table(
-        self, keyed: Keyed, targets: list[directory.Target], now: float
+        self, keyed: KeyedService, targets: list[directory.Target], now: float
     ) -> ranges.RangeTable | None:
         """Returns the next table, None if the present one is right.
 
@@ -152,7 +152,7 @@
         return table
 
     def _changed_lives(
-        self, keyed: Keyed, targets: list[directory.Target]
+        self, keyed: KeyedService, targets: list[directory.Target]
     ) -> ranges.RangeTable | None:
         """New fences for targets that started again or were silent."""
         present = {target.id: holder(target) for target in targets}
@@ -175,7 +175,7 @@
         return ranges.refence(keyed.table, renewed, self._clock.new_id())
 
     def _moved(
-        self, keyed: Keyed, targets: list[directory.Target], now: float
+        self, keyed: KeyedService, targets: list[directory.Target], now: float
     ) -> ranges.RangeTable | None:
         capacity = self._capacity(targets, now)
         lost = self._lost(keyed, capacity, now)
@@ -332,7 +332,7 @@
 
     def _lost(
         self,
-        keyed: Keyed,
+        keyed: KeyedService,
         capacity: Mapping[ranges.Holder, float],
         now: float,
     ) -> list[ranges.Holder]:
@@ -353,7 +353,7 @@
         gone = {o for o in owners if o not in capacity}
         return sorted(silent | gone, key=lambda holder: holder.id)
 
-    def _settled(self, keyed: Keyed) -> ranges.RangeTable | None:
+    def _settled(self, keyed: KeyedService) -> ranges.RangeTable | None:
         now = self._clock.now()
         settled = keyed.granting.settled()
         if not settled or now - self._settled_at < _SETTLE_PAUSE:
@@ -361,7 +361,7 @@
         self._settled_at = now
         return ranges.settle(keyed.table, settled, self._clock.new_id())
 
-    def _joined(self, keyed: Keyed) -> ranges.RangeTable | None:
+    def _joined(self, keyed: KeyedService) -> ranges.RangeTable | None:
         now = self._clock.now()
         if now - self._joined_at < _JOIN_EVERY:
             return None
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/ports.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/ports.py
@@ -7,8 +7,8 @@
 
 from mimosastile_core import errors
 from mimosastile_core.gateway import directory
-from mimosastile_core.gateway import reported
 from mimosastile_core.gateway import routes
+from mimosastile_core.gateway import target_feedback
 
 
 class HeaderNames(msgspec.Struct, frozen=True):
@@ -214,7 +214,7 @@
 
     async def grant(
         self, target: str, address: str, order: GrantOrder, timeout: float
-    ) -> result.Result[reported.Notice, errors.Failure]:
+    ) -> result.Result[target_feedback.TargetFeedback, errors.Failure]:
         """Sends a grant to a target and waits for its answer.
 
         Returns:
@@ -235,7 +235,7 @@
 
     async def check(
         self, target: directory.Target, path: str, timeout: float
-    ) -> result.Result[reported.HealthReport, errors.Failure]:
+    ) -> result.Result[target_feedback.HealthReport, errors.Failure]:
         """Makes a health check; its status proves nothing."""
 
 
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/settings.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/settings.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from mimosastile_core.gateway import leadership
+from mimosastile_core.gateway import load_balancing
 from mimosastile_core.gateway import rebalance
-from mimosastile_core.gateway import room
 
 Positive = Annotated[float, msgspec.Meta(gt=0)]
 
@@ -151,11 +151,11 @@
     heat_fast: Positive = 1.0
     heat_slow: Positive = 6.0
 
-    def pace(self, ranges: int) -> leadership.Pace:
+    def pace(self, ranges: int) -> leadership.RenewalPace:
         """Returns the pace of renewals for a number of ranges."""
         return leadership.paced(
             ranges,
-            leadership.Pace(self.renew, self.hold),
+            leadership.RenewalPace(self.renew, self.hold),
             self.renew_slowest,
             self.orders_per_second,
         )
@@ -246,5 +246,5 @@
     leader: LeaderSettings = LeaderSettings()
     requests: RequestSettings = RequestSettings()
     stop: StopSettings = StopSettings()
-    rooms: room.Policy = room.Policy()
+    rooms: load_balancing.Policy = load_balancing.Policy()
     balance: rebalance.Policy = rebalance.Policy()
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/watching.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/store_watching.py
@@ -11,11 +11,11 @@
 import result
 
 from mimosastile_core import errors
-from mimosastile_core.gateway import currency
 from mimosastile_core.gateway import directory
 from mimosastile_core.gateway import eligibility
-from mimosastile_gateway import beliefs
+from mimosastile_core.gateway import freshness
 from mimosastile_gateway import clock
+from mimosastile_gateway import cluster_state
 from mimosastile_gateway import events
 from mimosastile_gateway import ports
 from mimosastile_gateway import settings
@@ -33,7 +33,7 @@
 whether the store is back."""
 
 
-class Watching:
+class StoreWatcher:
     """Lists two prefixes, then follows their changes.
 
     A watch may fall silent without an end, may be cut, and its history may be
@@ -63,7 +63,7 @@
         configured: settings.StoreSettings,
         store: ports.StorePort,
         records: ports.RecordPort,
-        known: beliefs.Beliefs,
+        known: cluster_state.ClusterState,
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
@@ -147,7 +147,7 @@
         self,
         prefix: str,
         seen: Callable[[], int],
-        view: currency.Currency,
+        view: freshness.Freshness,
         listed: Callable[[ports.Listing], None],
         changed: Callable[[ports.Changes, float | None], None],
     ) -> None:
@@ -218,7 +218,7 @@
         self,
         prefix: str,
         seen: Callable[[], int],
-        view: currency.Currency,
+        view: freshness.Freshness,
         changed: Callable[[ports.Changes, float | None], None],
     ) -> None:
         """Follows changes until the store has dropped their history."""
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/turns.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/wait_queues.py
@@ -30,7 +30,7 @@
         self.order = order
 
 
-class Turns:
+class WaitQueues:
     """Queues by name, urgent requests first, then in order of arrival."""
 
     __slots__ = ("_numbers", "_queues")
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/witnessing.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/witnessing.py
@@ -6,16 +6,16 @@
 import result
 
 from mimosastile_core import errors
-from mimosastile_core.gateway import extension
 from mimosastile_core.gateway import leadership
-from mimosastile_gateway import beliefs
+from mimosastile_core.gateway import lease_extension
 from mimosastile_gateway import clock
+from mimosastile_gateway import cluster_state
+from mimosastile_gateway import dissemination
 from mimosastile_gateway import events
 from mimosastile_gateway import messages
 from mimosastile_gateway import peer_calls
 from mimosastile_gateway import ports
 from mimosastile_gateway import settings
-from mimosastile_gateway import telling
 
 _CALL_MARGIN_SECONDS = 0.2
 """What a witness's answer may take beside its own look at the store: several
@@ -46,7 +46,7 @@
         configured: settings.GatewaySettings,
         boot: str,
         store: ports.StorePort,
-        known: beliefs.Beliefs,
+        known: cluster_state.ClusterState,
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
@@ -66,12 +66,12 @@
         self._beliefs = known
         self._clock = timer
         self._events = log
-        self._promises = extension.Promises()
+        self._promises = lease_extension.Promises()
 
     @property
-    def identity(self) -> extension.Witness:
+    def identity(self) -> lease_extension.Witness:
         """This run of this VM, as leaders name it."""
-        return extension.Witness(self._settings.vm.id, self._boot)
+        return lease_extension.Witness(self._settings.vm.id, self._boot)
 
     def promised(self) -> float | None:
         """Returns the seconds until the last promise ends, None for none."""
@@ -143,10 +143,10 @@
         configured: settings.GatewaySettings,
         entry: leadership.LeaderEntry,
         revision: int,
-        authority: leadership.Authority,
+        authority: leadership.LeaderLease,
         store: ports.StorePort,
         calls: peer_calls.PeerCalls,
-        reports: telling.Telling,
+        reports: dissemination.Disseminator,
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
@@ -172,7 +172,7 @@
         self._telling = reports
         self._clock = timer
         self._events = log
-        self._record: extension.Record | None = None
+        self._record: lease_extension.Record | None = None
         self._named: tuple[messages.VmEntry, ...] = ()
         self._named_at = float("-inf")
         self._asking: asyncio.Task[None] | None = None
@@ -205,21 +205,23 @@
         able = self._able()
         present = {_identity(vm) for vm in able}
         record = self._record
-        if record and not extension.outdated(
+        if record and not lease_extension.outdated(
             record.witnesses, present, len(present)
         ):
             return
         self._named_at = now
-        chosen = extension.chosen((_identity(vm), vm.zone) for vm in able)
+        chosen = lease_extension.chosen((_identity(vm), vm.zone) for vm in able)
         if not chosen:
             return
         await self._write(
-            extension.Record(self._entry.epoch, chosen), able, leader_revision
+            lease_extension.Record(self._entry.epoch, chosen),
+            able,
+            leader_revision,
         )
 
     async def _write(
         self,
-        record: extension.Record,
+        record: lease_extension.Record,
         able: list[messages.VmEntry],
         leader_revision: int,
     ) -> None:
@@ -324,8 +326,8 @@
             return False
 
 
-def _identity(vm: messages.VmEntry) -> extension.Witness:
-    return extension.Witness(vm.id, vm.boot)
+def _identity(vm: messages.VmEntry) -> lease_extension.Witness:
+    return lease_extension.Witness(vm.id, vm.boot)
 
 
 def _surely_undone(
--- a/tests/gateway/fakes.py
+++ b/tests/gateway/fakes.py
@@ -9,10 +9,10 @@
 
 from mimosastile_core import errors
 from mimosastile_core.gateway import directory
-from mimosastile_core.gateway import reported
 from mimosastile_core.gateway import routes
-from mimosastile_gateway import beliefs
+from mimosastile_core.gateway import target_feedback
 from mimosastile_gateway import clock
+from mimosastile_gateway import cluster_state
 from mimosastile_gateway import events
 from mimosastile_gateway import ports
 from mimosastile_gateway import settings
@@ -96,7 +96,7 @@
 
 def known(timer, log, *targets, keyed=True):
     """Returns beliefs with one service and some targets."""
-    made = beliefs.Beliefs(configured(), timer, log)
+    made = cluster_state.ClusterState(configured(), timer, log)
     service = routes.Service("s", keyed=keyed)
     made.take_configuration(routes.Configuration(1, services={"s": service}))
     made.take_targets(list(targets))
@@ -182,7 +182,9 @@
         if name in self.silent:
             await asyncio.sleep(timeout)
             return result.Err(errors.Failure(errors.ErrorKind.ANSWER_LOST))
-        return result.Ok(self.notices.get(name, reported.Notice()))
+        return result.Ok(
+            self.notices.get(name, target_feedback.TargetFeedback())
+        )
 
     async def release(self, name, address, order, timeout):
         """Takes a release."""
--- a/tests/gateway/fleet.py
+++ b/tests/gateway/fleet.py
@@ -10,22 +10,22 @@
 
 import msgspec
 
-from mimosastile_core.gateway import casualties
-from mimosastile_core.gateway import room
+from mimosastile_core.gateway import crash_detection
+from mimosastile_core.gateway import load_balancing
 from mimosastile_core.gateway import routes
-from mimosastile_gateway import admitting
-from mimosastile_gateway import beliefs
+from mimosastile_gateway import admission_service
+from mimosastile_gateway import cluster_state
+from mimosastile_gateway import dispatching
 from mimosastile_gateway import forwarding
 from mimosastile_gateway import http_client
 from mimosastile_gateway import http_server
-from mimosastile_gateway import leading
+from mimosastile_gateway import leader_role
+from mimosastile_gateway import load_probing
+from mimosastile_gateway import membership
 from mimosastile_gateway import messages
 from mimosastile_gateway import metrics
-from mimosastile_gateway import peers
-from mimosastile_gateway import placing
-from mimosastile_gateway import probing
-from mimosastile_gateway import turns
-from mimosastile_gateway import watching
+from mimosastile_gateway import store_watching
+from mimosastile_gateway import wait_queues
 from mimosastile_platform import headers
 from mimosastile_platform import health
 from mimosastile_platform import records
@@ -233,7 +233,7 @@
     def __init__(self, fleet, name):
         base = fakes.configured(settle=0.1, settle_most=0.2)
         zone = fleet.zone_of(name)
-        place = room.Place(zone, base.vm.regions[zone])
+        place = load_balancing.Location(zone, base.vm.regions[zone])
         configured = msgspec.structs.replace(
             base,
             vm=msgspec.structs.replace(
@@ -247,13 +247,15 @@
         timer, self.log = fleet.clock, fakes.Lines()
         self.name = name
         self.zone = zone
-        self.beliefs = beliefs.Beliefs(configured, timer, self.log)
+        self.beliefs = cluster_state.ClusterState(configured, timer, self.log)
         if not fleet.watched:
             self.beliefs.take_configuration(fleet.configuration)
             self.beliefs.take_targets(
                 [target.registration for target in fleet.targets.values()]
             )
-        self.rooms = room.Rooms(place, base.vm.regions, configured.rooms)
+        self.rooms = load_balancing.LoadBalancer(
+            place, base.vm.regions, configured.rooms
+        )
         store = fakes.Cut(fleet.store)
         if fleet.link is not None and zone != "z":
             store = links.FarStore(fleet.store, fleet.link)
@@ -261,7 +263,7 @@
         channel = _Channel(fleet, name)
         boot = f"boot-{name}-{fleet.started}"
         fleet.started += 1
-        self.leading = leading.Leading(
+        self.leading = leader_role.LeaderRole(
             configured,
             boot,
             store,
@@ -271,7 +273,7 @@
             timer,
             self.log,
         )
-        self.watching = watching.Watching(
+        self.watching = store_watching.StoreWatcher(
             configured.store,
             store,
             records.Records(),
@@ -279,11 +281,11 @@
             timer,
             self.log,
         )
-        queues, dead = turns.Turns(), casualties.Casualties()
-        self.admitting = admitting.Admitting(
+        queues, dead = wait_queues.WaitQueues(), crash_detection.CrashDetector()
+        self.admitting = admission_service.AdmissionService(
             configured, channel, self.beliefs, timer
         )
-        self.peers = peers.Peers(
+        self.peers = membership.Membership(
             configured,
             boot,
             store,
@@ -299,7 +301,7 @@
             self.log,
         )
         pool = _Pool(fleet, name)
-        self.placing = placing.Placing(
+        self.placing = dispatching.Dispatcher(
             configured,
             self.beliefs,
             self.rooms,
@@ -307,11 +309,11 @@
             queues,
             self.admitting,
             timer,
-            probing.Probing(
+            load_probing.LoadProber(
                 health.Health(pool), self.beliefs, self.rooms, timer, self.log
             ),
         )
-        self.forwarding = forwarding.Forwarding(
+        self.forwarding = forwarding.Forwarder(
             configured,
             headers.NAMES,
             headers.read_notice,
@@ -334,7 +336,7 @@
         """Answers a peer's call."""
         if path == messages.ASSIGN_PATH:
             self.peers.take_push(messages.decode(body, messages.ReportReply))
-            return messages.encode(messages.Taken())
+            return messages.encode(messages.UpdateAck())
         if path == messages.REPORT_PATH:
             report = messages.decode(body, messages.Report)
             return messages.encode(self.leading.take_report(report))
--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission.py
@@ -19,7 +19,7 @@
 
     def __init__(self, seed=1, work=WORK):
         self.random = random.Random(seed)
-        self.queue = admission.Queue(SLOTS, BEYOND)
+        self.queue = admission.AdmissionQueue(SLOTS, BEYOND)
         self.work = work
         self.now = 0.0
         self.on_time = self.late = self.refused = self.most = 0
@@ -49,7 +49,7 @@
 
     def _ask(self, vm, priority, known_work):
         self._number += 1
-        ask = admission.Ask(
+        ask = admission.PermitRequest(
             vm,
             self._number,
             priority,
@@ -175,7 +175,7 @@
 
     def _ask(self, number, **changes):
         fields = {"priority": 2, "on_time": AIM, "left": DEADLINE, "work": WORK}
-        return admission.Ask("vm", number, **(fields | changes))
+        return admission.PermitRequest("vm", number, **(fields | changes))
 
     @hypothesis.given(
         steps=st.lists(
@@ -190,7 +190,7 @@
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=100)
     def test_never_more_than_there_are(self, steps):
         """Whatever is asked, lost and asked again, in whatever order."""
-        queue, now = admission.Queue(2, 1), 0.0
+        queue, now = admission.AdmissionQueue(2, 1), 0.0
         for number, (what, which, pause) in enumerate(steps):
             if what == "ask":
                 queue.ask(self._ask(number), now)
@@ -209,7 +209,7 @@
 
         They count for as long as such requests may take, not for ever.
         """
-        queue = admission.Queue(1, 0)
+        queue = admission.AdmissionQueue(1, 0)
         queue.ask(self._ask(1), 0.0)
         waits = queue.ask(self._ask(2), 0.0)
         assert waits.verdict is admission.Verdict.WAITS
@@ -219,14 +219,14 @@
 
     def test_what_a_vm_holds_without_a_place_counts(self):
         """A gate that has just become one learns what is under way."""
-        queue = admission.Queue(4, 0)
+        queue = admission.AdmissionQueue(4, 0)
         first = queue.ask(self._ask(1, held=4), 0.0)
         assert first.verdict is admission.Verdict.WAITS
         assert [d.ask.number for d in queue.turn(WORK + 0.01)] == [1]
 
     def test_withdrawn(self):
         """A caller leaves; its place goes to the next one."""
-        queue = admission.Queue(1, 0)
+        queue = admission.AdmissionQueue(1, 0)
         for number in (1, 2, 3):
             queue.ask(self._ask(number), 0.0)
         assert queue.done("vm", 2, 0.01) == []
@@ -239,7 +239,7 @@
         If that counted as an answer it would seem many times as fast as it
         is, and requests would be kept there that it cannot serve in time.
         """
-        queue = admission.Queue(1, 0)
+        queue = admission.AdmissionQueue(1, 0)
         now = 0.0
         for number in range(0, 200, 2):
             queue.ask(self._ask(number), now)
@@ -251,7 +251,7 @@
 
     def test_refusal_says_when_to_come_back(self):
         """The wait that is told is that of the queue, not a constant."""
-        queue = admission.Queue(1, 0)
+        queue = admission.AdmissionQueue(1, 0)
         for number in range(1, 12):
             queue.ask(self._ask(number, left=9.0, on_time=9.0), 0.0)
         told = queue.ask(self._ask(12), 0.0)
@@ -268,14 +268,16 @@
         Slots stand idle then, and whoever cannot have a turn in time hears at
         once when one can be expected.
         """
-        queue = admission.Queue(SLOTS, BEYOND)
-        queue.pace = limits.Pace(6.1, 0.0, 0.0)
+        queue = admission.AdmissionQueue(SLOTS, BEYOND)
+        queue.pace = limits.RateLimiter(6.1, 0.0, 0.0)
         admitted, refused = [], []
         decisions = []
         for step in range(1000):
             now = step * 0.01
             if step % 3 == 0:
-                ask = admission.Ask("vm", step, 2, AIM, DEADLINE, WORK)
+                ask = admission.PermitRequest(
+                    "vm", step, 2, AIM, DEADLINE, WORK
+                )
                 decisions = [queue.ask(ask, now)]
             decisions += queue.turn(now)
             for decision in decisions:
--- a/tests/gateway/test_admitting.py
+++ b/tests/gateway/test_admission_service.py
@@ -5,8 +5,8 @@
 import pytest
 
 from mimosastile_core.gateway import admission
-from mimosastile_core.gateway import room
-from mimosastile_gateway import admitting
+from mimosastile_core.gateway import load_balancing
+from mimosastile_gateway import admission_service
 from mimosastile_gateway import datagrams
 from mimosastile_standins import virtual
 from tests.gateway import fakes
@@ -34,9 +34,9 @@
         """Adds a VM that knows one target."""
         timer, log = fakes.VirtualClock(), fakes.Lines()
         configured = fakes.configured()
-        configured.rooms = room.Policy(admitted=admitted)
+        configured.rooms = load_balancing.Policy(admitted=admitted)
         known = fakes.known(timer, log, fakes.target("a", slots=slots))
-        made = admitting.Admitting(
+        made = admission_service.AdmissionService(
             configured, Port(self, address), known, timer
         )
         made.address = address
@@ -93,7 +93,7 @@
             assert not second.done()
             assert vm.waiting() == {"a": 1}
             vm.give_back(first, answered=True)
-            assert isinstance(await second, admitting.Place)
+            assert isinstance(await second, admission_service.Permit)
             assert vm.waiting() == {}
 
         _play(scenario)
@@ -138,7 +138,7 @@
             third = asyncio.create_task(_enter(gate))
             await asyncio.sleep(0.01)
             gate.give_back(first, answered=True)
-            assert isinstance(await third, admitting.Place)
+            assert isinstance(await third, admission_service.Permit)
 
         _play(scenario)
 
@@ -172,7 +172,7 @@
             network.lost = 1
             gate.give_back(first, answered=True)
             began = virtual.now()
-            assert isinstance(await waiting, admitting.Place)
+            assert isinstance(await waiting, admission_service.Permit)
             assert virtual.now() - began < 0.6
 
         _play(scenario)
@@ -214,7 +214,7 @@
             assert await _enter(other) is None
             assert virtual.now() - began < 0.05
             gate.give_back(first, answered=True)
-            assert isinstance(await waiting, admitting.Place)
+            assert isinstance(await waiting, admission_service.Permit)
 
         _play(scenario)
 
--- a/tests/gateway/test_rests.py
+++ b/tests/gateway/test_backoffs.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from mimosastile_core.gateway import rests
+from mimosastile_core.gateway import backoffs
 
 
 class TestRests:
@@ -21,14 +21,14 @@
     )
     def test_longest_word_counts(self, asked, now, left):
         """Guards against a rest that an answer from before it cuts short."""
-        made = rests.Rests()
+        made = backoffs.Backoffs()
         for at, seconds in asked:
             made.ask("t", 1, seconds, at)
         assert made.left("t", 1, now) == left
 
     def test_next_run(self):
         """Guards against the rest of a run that is over."""
-        made = rests.Rests()
+        made = backoffs.Backoffs()
         made.ask("t", 1, 7200.0, 0.0)
         assert made.left("t", 2, 1.0) == 0.0
         made.ask("t", 2, 1.0, 1.0)
@@ -36,7 +36,7 @@
 
     def test_reported(self):
         """Guards against moves of keys for a short rest."""
-        made = rests.Rests()
+        made = backoffs.Backoffs()
         made.ask("short", 1, 1.5, 0.0)
         made.ask("long", 1, 4.0, 0.0)
         assert made.long(0.5) == {"long": 3.5}
--- a/tests/gateway/test_bounded_targets.py
+++ b/tests/gateway/test_bounded_targets.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from mimosastile_core.gateway import reported
+from mimosastile_core.gateway import target_feedback
 from mimosastile_standins import virtual
 from tests.gateway import fakes
 from tests.gateway import fleet
@@ -243,7 +243,7 @@
 
         async def scenario(made):
             target = made.owner()
-            made.orders.notices[target.id] = reported.Notice(
+            made.orders.notices[target.id] = target_feedback.TargetFeedback(
                 limit=3.1, names_limit=True
             )
             await asyncio.sleep(2.0)
--- a/tests/gateway/test_patience.py
+++ b/tests/gateway/test_caller_retries.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from mimosastile_core.gateway import patience
+from mimosastile_core.gateway import caller_retries
 
 
 def _known(deadlines):
-    made = patience.Patience()
+    made = caller_retries.RetryAge()
     for deadline in deadlines:
         made.tried_for(deadline)
     return made
@@ -34,7 +34,7 @@
 
     def test_first_request(self):
         """Nothing is known yet; nobody is taken for late."""
-        assert patience.Patience().tried_for(0.2) == 0.0
+        assert caller_retries.RetryAge().tried_for(0.2) == 0.0
 
     def test_follows_callers_that_change(self):
         """One caller waits for a minute; it does not make others late."""
--- a/tests/gateway/test_candidates.py
+++ b/tests/gateway/test_candidates.py
@@ -4,7 +4,7 @@
 
 from mimosastile_core.gateway import assignments
 from mimosastile_core.gateway import eligibility
-from mimosastile_core.gateway import room
+from mimosastile_core.gateway import load_balancing
 from mimosastile_core.gateway import routes
 from mimosastile_gateway import candidates
 from mimosastile_gateway import http_server
@@ -35,7 +35,11 @@
         )
         for name, zone in (("a", "z"), ("b", "z"), ("c", "far")):
             self.beliefs.take_target(fakes.target(name, zone=zone))
-        self.rooms = room.Rooms(room.Place("z", "r"), {"z": "r"}, room.Policy())
+        self.rooms = load_balancing.LoadBalancer(
+            load_balancing.Location("z", "r"),
+            {"z": "r"},
+            load_balancing.Policy(),
+        )
         self.candidates = candidates.Candidates(
             fakes.configured(),
             self.beliefs,
--- a/tests/gateway/test_beliefs.py
+++ b/tests/gateway/test_cluster_state.py
@@ -14,10 +14,12 @@
 
 
 def _news(after, revision, *targets):
-    return messages.News(
+    return messages.StateUpdate(
         after,
         revision,
-        tuple(messages.TargetNews(t, t.revision, False, 0.0) for t in targets),
+        tuple(
+            messages.TargetUpdate(t, t.revision, False, 0.0) for t in targets
+        ),
     )
 
 
@@ -52,7 +54,7 @@
             known.take_news(_news(5, 9, leaving))
             assert known.seen == 9
             standing = known.directory.get("a").standing
-            assert standing is directory.Standing.LEAVING
+            assert standing is directory.TargetStatus.LEAVING
 
         _play(check)
 
@@ -64,10 +66,10 @@
 
         def check(known):
             told = configurations.Change(5, 6)
-            known.take_news(messages.News(0, 1, change=told))
+            known.take_news(messages.StateUpdate(0, 1, change=told))
             assert known.version == 1
             told = configurations.Change(1, 6)
-            known.take_news(messages.News(0, 1, change=told))
+            known.take_news(messages.StateUpdate(0, 1, change=told))
             assert known.version == 6
 
         _play(check)
--- a/tests/gateway/test_casualties.py
+++ b/tests/gateway/test_crash_detection.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from mimosastile_core.gateway import casualties
+from mimosastile_core.gateway import crash_detection
 
 
 def _deaths(made, request, count, begin=0.0):
@@ -24,7 +24,7 @@
         Without a memory of it, it takes one target after the other from all
         other callers.
         """
-        made = casualties.Casualties()
+        made = crash_detection.CrashDetector()
         _deaths(made, "r", count)
         assert made.held("r", 5.0) is held
         assert not made.held("other", 5.0)
@@ -34,7 +34,7 @@
 
         Their callers' requests must not be refused for it.
         """
-        made = casualties.Casualties()
+        made = crash_detection.CrashDetector()
         for number in range(50):
             made.lost("t1", "r", number * 0.1)
             made.answered("t1")
@@ -43,7 +43,7 @@
 
     def test_crash_long_after(self):
         """A target dies of something else, seconds after a lost answer."""
-        made = casualties.Casualties()
+        made = crash_detection.CrashDetector()
         for number in range(5):
             made.lost(f"t{number}", "r", 0.0)
             assert made.unreachable(f"t{number}", 4.0, "x") == []
@@ -51,7 +51,10 @@
 
     def test_deaths_seen_by_others(self):
         """The request comes to another VM each time."""
-        made, other = casualties.Casualties(), casualties.Casualties()
+        made, other = (
+            crash_detection.CrashDetector(),
+            crash_detection.CrashDetector(),
+        )
         _deaths(made, "r", 3)
         for death in made.deaths(5.0):
             other.learn(death, 5.0)
@@ -59,7 +62,7 @@
 
     def test_forgotten_in_the_end(self):
         """Memory does not grow, and a caller may try again later."""
-        made = casualties.Casualties()
+        made = crash_detection.CrashDetector()
         _deaths(made, "r", 3)
         assert not made.held("r", 70.0)
         assert made.deaths(70.0) == ()
--- a/tests/gateway/test_datagrams.py
+++ b/tests/gateway/test_datagrams.py
@@ -6,7 +6,7 @@
 import pytest
 
 from mimosastile_core.gateway import admission
-from mimosastile_gateway import admitting
+from mimosastile_gateway import admission_service
 from mimosastile_gateway import datagrams
 from mimosastile_standins import virtual
 from tests.gateway import fakes
@@ -46,7 +46,9 @@
 def _gate(port):
     timer, log = fakes.VirtualClock(), fakes.Lines()
     known = fakes.known(timer, log, fakes.target("a"))
-    made = admitting.Admitting(fakes.configured(), port, known, timer)
+    made = admission_service.AdmissionService(
+        fakes.configured(), port, known, timer
+    )
     made.address = "gate:1"
     return made
 
--- a/tests/gateway/test_placing.py
+++ b/tests/gateway/test_dispatching.py
@@ -8,13 +8,13 @@
 from mimosastile_core import errors
 from mimosastile_core.gateway import admission
 from mimosastile_core.gateway import assignments
-from mimosastile_core.gateway import room
+from mimosastile_core.gateway import load_balancing
 from mimosastile_core.gateway import routes
-from mimosastile_gateway import admitting
+from mimosastile_gateway import admission_service
+from mimosastile_gateway import dispatching
 from mimosastile_gateway import http_server
 from mimosastile_gateway import pending
-from mimosastile_gateway import placing
-from mimosastile_gateway import turns
+from mimosastile_gateway import wait_queues
 from mimosastile_standins import virtual
 from tests.gateway import fakes
 
@@ -33,7 +33,7 @@
     """
 
     def __init__(self):
-        self.answer = admitting.Place(GATE, "a", 1)
+        self.answer = admission_service.Permit(GATE, "a", 1)
         self.seconds = 0.1
         self.given_back = []
         self.asked = []
@@ -74,14 +74,18 @@
         self.beliefs = fakes.known(
             self.clock, self.log, fakes.target("a"), fakes.target("b")
         )
-        self.rooms = room.Rooms(room.Place("z", "r"), {"z": "r"}, room.Policy())
+        self.rooms = load_balancing.LoadBalancer(
+            load_balancing.Location("z", "r"),
+            {"z": "r"},
+            load_balancing.Policy(),
+        )
         self.gate = Gate()
-        self.placing = placing.Placing(
+        self.placing = dispatching.Dispatcher(
             fakes.configured(),
             self.beliefs,
             self.rooms,
             Peers(),
-            turns.Turns(),
+            wait_queues.WaitQueues(),
             self.gate,
             self.clock,
             None,
--- a/tests/gateway/test_telling.py
+++ b/tests/gateway/test_dissemination.py
@@ -8,8 +8,8 @@
 from mimosastile_core.gateway import eligibility
 from mimosastile_core.gateway import leadership
 from mimosastile_core.gateway import routes
+from mimosastile_gateway import dissemination
 from mimosastile_gateway import messages
-from mimosastile_gateway import telling
 from mimosastile_standins import virtual
 from tests.gateway import fakes
 
@@ -58,7 +58,9 @@
         timer = fakes.VirtualClock()
         known = fakes.known(timer, fakes.Lines(), fakes.target("a"))
         calls = Calls()
-        made = telling.Telling("vm-1", "z", calls, known, timer, fakes.Lines())
+        made = dissemination.Disseminator(
+            "vm-1", "z", calls, known, timer, fakes.Lines()
+        )
         made.begin(ENTRY)
         made.announce([_vm("vm-1"), _vm("vm-2"), _vm("vm-3")])
         await asyncio.sleep(0.1)
--- a/tests/gateway/test_formers.py
+++ b/tests/gateway/test_former_leaders.py
@@ -2,16 +2,16 @@
 
 import pytest
 
-from mimosastile_core.gateway import extension
-from mimosastile_core.gateway import formers
+from mimosastile_core.gateway import former_leaders
+from mimosastile_core.gateway import lease_extension
 
-W1 = extension.Witness("vm-1", "boot-1")
-W2 = extension.Witness("vm-2", "boot-2")
+W1 = lease_extension.Witness("vm-1", "boot-1")
+W2 = lease_extension.Witness("vm-2", "boot-2")
 
 
 def _formers(calm=0.0, longer=float("-inf")):
     """Returns a leader replaced at 0, with authority of 10 s, short 2.5 s."""
-    return formers.FormerLeaders(
+    return former_leaders.FormerLeaders(
         10.0, ("vm-0",), calm, 2.0, 10.0, longer, (W1, W2), 2.5
     )
 
@@ -31,12 +31,12 @@
             pytest.param([(W2, None), (W1, 6.0)], 4.64, id="in any order"),
             pytest.param([(W1, 6.0), (W2, 4.0)], 6.3, id="both promised"),
             pytest.param(
-                [(extension.Witness("vm-1", "later"), None)],
+                [(lease_extension.Witness("vm-1", "later"), None)],
                 12.3,
                 id="a later run of a witness knows nothing",
             ),
             pytest.param(
-                [(extension.Witness("vm-9", "boot-9"), None)],
+                [(lease_extension.Witness("vm-9", "boot-9"), None)],
                 12.3,
                 id="another VM",
             ),
--- a/tests/gateway/test_currency.py
+++ b/tests/gateway/test_freshness.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies
 import pytest
 
-from mimosastile_core.gateway import currency
+from mimosastile_core.gateway import freshness
 
 
 class TestCurrency:
@@ -22,7 +22,7 @@
     )
     def test_age(self, noted, now, age):
         """Guards against a late answer that makes a view look older."""
-        known = currency.Currency()
+        known = freshness.Freshness()
         for at in noted:
             known.note(at)
         assert known.age(now) == age
@@ -45,6 +45,6 @@
         The question or the answer was held up on its way.
         """
         made = asked + ways[0]
-        stamp = currency.Stamp(made + offset, asked, made + ways[1])
+        stamp = freshness.ClockOffset(made + offset, asked, made + ways[1])
         assert stamp.to_peer(at) <= at + offset + 1e-6
         assert stamp.from_peer(at + offset) <= at + 1e-6
--- a/tests/gateway/test_granting.py
+++ b/tests/gateway/test_grant_reconciliation.py
@@ -5,10 +5,10 @@
 import msgspec
 import pytest
 
-from mimosastile_core.gateway import formers
+from mimosastile_core.gateway import former_leaders
 from mimosastile_core.gateway import leadership
 from mimosastile_core.gateway import ranges
-from mimosastile_gateway import granting
+from mimosastile_gateway import grant_reconciliation
 from mimosastile_standins import virtual
 from tests.gateway import fakes
 
@@ -30,16 +30,16 @@
             fakes.target("b"),
         )
         self.alive_at = {}
-        self.authority = leadership.Authority(1e9)
+        self.authority = leadership.LeaderLease(1e9)
         self.authority.confirm(0.0)
-        self.granting = granting.Granting(
+        self.granting = grant_reconciliation.GrantReconciler(
             fakes.configured(trouble_after=1e9),
             self.orders,
             self.beliefs,
             self.clock,
             self.log,
             self.authority,
-            silence or formers.FormerLeaders(0.0),
+            silence or former_leaders.FormerLeaders(0.0),
             self.alive_at,
             lambda: None,
         )
@@ -455,7 +455,7 @@
         The former leader may renew its grants until it notices that it was
         replaced; only then does the time of the last one begin to run.
         """
-        silence = formers.FormerLeaders(10.0, ("vm-0",), calm, 2.0, 10.0)
+        silence = former_leaders.FormerLeaders(10.0, ("vm-0",), calm, 2.0, 10.0)
         if known is not None:
             silence.stopped(known)
         assert silence.lapse() == pytest.approx(expected, abs=0.01)
@@ -468,7 +468,9 @@
         """
 
         async def main():
-            rig = Rig(formers.FormerLeaders(4.0, ("vm-0",), 0.0, 2.0, 10.0))
+            rig = Rig(
+                former_leaders.FormerLeaders(4.0, ("vm-0",), 0.0, 2.0, 10.0)
+            )
             rig.orders.dead.add("a")
             rig.move(0, HALF - 1, B)
             await rig.served(0)
--- a/tests/gateway/test_heat.py
+++ b/tests/gateway/test_key_rates.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from mimosastile_core.gateway import heat
+from mimosastile_core.gateway import key_rates
 
 
 class TestDecay:
@@ -13,27 +13,27 @@
     )
     def test_exponential(self, after, left):
         """A count falls by the time constant."""
-        counts = heat.KeyHeat(2.0, 0.0)
+        counts = key_rates.KeyRates(2.0, 0.0)
         counts.add([7], 0.0)
         found = counts.counts(after).get(7, 0.0)
         assert found == pytest.approx(left, rel=0.01, abs=1e-4)
 
     def test_steady_rate(self):
         """At a steady rate the count is the rate times the time constant."""
-        counts = heat.KeyHeat(2.0, 0.0)
+        counts = key_rates.KeyRates(2.0, 0.0)
         for step in range(4000):
             counts.add([3, 3], step / 100)
         assert counts.counts(40.0)[3] == pytest.approx(400, rel=0.02)
 
     def test_long_run_stays_bounded(self):
         """After days without a restart neither numbers nor memory grow."""
-        counts = heat.KeyHeat(1.0, 0.0)
+        counts = key_rates.KeyRates(1.0, 0.0)
         for step in range(2000):
             counts.add([step], step * 10.0)
         assert len(counts.counts(20_000.0)) < 10
 
     def test_clock_that_stands_still_or_goes_back(self):
         """A late report does not make counts grow."""
-        counts = heat.KeyHeat(1.0, 10.0)
+        counts = key_rates.KeyRates(1.0, 10.0)
         counts.add([1], 9.0)
         assert counts.counts(9.0)[1] == pytest.approx(1.0)
--- a/tests/gateway/test_leading.py
+++ b/tests/gateway/test_leader_role.py
@@ -9,7 +9,7 @@
 from mimosastile_core.gateway import leadership
 from mimosastile_core.gateway import ranges
 from mimosastile_gateway import http_client
-from mimosastile_gateway import leading
+from mimosastile_gateway import leader_role
 from mimosastile_gateway import messages
 from mimosastile_gateway import peer_calls
 from mimosastile_gateway import ports
@@ -27,7 +27,7 @@
         self.beliefs = fakes.known(self.clock, self.log, *targets)
         configured = fakes.configured(settle=0.1, settle_most=0.2)
         vm = msgspec.structs.replace(configured.vm, id=name)
-        self.leading = leading.Leading(
+        self.leading = leader_role.LeaderRole(
             msgspec.structs.replace(configured, vm=vm),
             f"boot-{name}",
             store,
@@ -748,8 +748,8 @@
             _, _, (one, two) = _world("vm-1", "vm-2")
             await one.leading.take_over("test")
             leaving = fakes.target("a", leaving=True, revision=9)
-            news = messages.News(
-                0, 9, (messages.TargetNews(leaving, 9, False, 0.0),)
+            news = messages.StateUpdate(
+                0, 9, (messages.TargetUpdate(leaving, 9, False, 0.0),)
             )
             one.leading.take_report(two.report(news=news))
             one.leading.take_report(two.report(seen=5))
--- a/tests/gateway/test_leadership.py
+++ b/tests/gateway/test_leadership.py
@@ -8,7 +8,7 @@
 
 
 def _confirmed(at):
-    made = leadership.Authority(SPAN)
+    made = leadership.LeaderLease(SPAN)
     made.confirm(at)
     return made
 
@@ -28,7 +28,7 @@
 
     def test_holds_nothing_before_the_first_look(self):
         """A VM that was never named leads nothing."""
-        assert not leadership.Authority(SPAN).holds(0.0)
+        assert not leadership.LeaderLease(SPAN).holds(0.0)
 
     def test_an_answer_that_comes_late_does_not_take_back(self):
         """Answers that overtake each other never shorten the time."""
@@ -80,7 +80,7 @@
     )
     def test_paced(self, ranges, renew, hold):
         """Guards against a leader that has more orders than it can send."""
-        usual = leadership.Pace(0.5, 2.0)
+        usual = leadership.RenewalPace(0.5, 2.0)
         found = leadership.paced(ranges, usual, 1.0, 1000.0)
         assert found.renew == pytest.approx(renew)
         assert found.hold == pytest.approx(hold)
--- a/tests/gateway/test_extension.py
+++ b/tests/gateway/test_lease_extension.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from mimosastile_core.gateway import extension
 from mimosastile_core.gateway import leadership
+from mimosastile_core.gateway import lease_extension
 
 
 def _witness(name):
-    return extension.Witness(name, f"boot-{name}")
+    return lease_extension.Witness(name, f"boot-{name}")
 
 
 class TestChosen:
@@ -27,7 +27,7 @@
     )
     def test_zones(self, able, names):
         """Guards against one zone's fault taking all witnesses."""
-        chosen = extension.chosen((_witness(n), zone) for n, zone in able)
+        chosen = lease_extension.chosen((_witness(n), zone) for n, zone in able)
         assert [w.vm for w in chosen] == names
 
     @pytest.mark.parametrize(
@@ -41,7 +41,7 @@
     )
     def test_outdated(self, named, present, expected):
         """Others are named when one is lost, or when there are too few."""
-        found = extension.outdated(
+        found = lease_extension.outdated(
             [_witness(n) for n in named],
             {_witness(n) for n in present},
             len(present),
@@ -50,8 +50,8 @@
 
     def test_restarted_witness_is_lost(self):
         """Guards against reliance on a run that has forgotten its promises."""
-        present = {extension.Witness("a", "later")}
-        assert extension.outdated([_witness("a")], present, 1)
+        present = {lease_extension.Witness("a", "later")}
+        assert lease_extension.outdated([_witness("a")], present, 1)
 
 
 class TestPromises:
@@ -59,7 +59,7 @@
 
     def test_longest_counts(self):
         """A shorter promise does not shorten an earlier one."""
-        promises = extension.Promises()
+        promises = lease_extension.Promises()
         assert promises.seconds(0.0) is None
         promises.add(9.0)
         promises.add(4.0)
@@ -80,7 +80,7 @@
     )
     def test_ends(self, witnessed, extended, ends):
         """Guards against orders after the time that a successor waits for."""
-        authority = leadership.Authority(10.0, 2.5)
+        authority = leadership.LeaderLease(10.0, 2.5)
         authority.confirm(0.0)
         if witnessed:
             authority.need_witnesses()
@@ -103,7 +103,7 @@
         self, now, extended, replaceable, hold
     ):
         """Guards against longer grants that no witness knows of."""
-        authority = leadership.Authority(10.0, 2.5)
+        authority = leadership.LeaderLease(10.0, 2.5)
         authority.confirm(0.0)
         authority.need_witnesses()
         authority.replaceable = replaceable
@@ -114,7 +114,7 @@
 
     def test_next_outage_needs_new_promises(self):
         """Guards against one outage's promises serving for the next one."""
-        authority = leadership.Authority(10.0, 2.5)
+        authority = leadership.LeaderLease(10.0, 2.5)
         authority.need_witnesses()
         authority.confirm(0.0)
         authority.extend(0.0)
--- a/tests/gateway/test_leaving_targets.py
+++ b/tests/gateway/test_leaving_targets.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from mimosastile_core.gateway import reported
+from mimosastile_core.gateway import target_feedback
 from mimosastile_standins import virtual
 from tests.gateway import fakes
 from tests.gateway import fleet
@@ -110,7 +110,9 @@
 
         async def scenario(made):
             target = made.owner()
-            made.orders.notices[target.id] = reported.Notice(leaving=True)
+            made.orders.notices[target.id] = target_feedback.TargetFeedback(
+                leaving=True
+            )
             await asyncio.sleep(3.0)
             assert made.owner() is not target
             answer = await made.ask("vm-001", "/s", 0)
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -5,7 +5,7 @@
 import pytest
 
 from mimosastile_core.gateway import limits
-from mimosastile_gateway import beliefs
+from mimosastile_gateway import cluster_state
 from mimosastile_standins import virtual
 from tests.gateway import fakes
 
@@ -31,14 +31,14 @@
     )
     def test_order_of_answers(self, answers, expected):
         """Guards against a limit that an answer from before it lifts."""
-        made = limits.Limits("vm-1")
+        made = limits.TargetLimits("vm-1")
         for rate, sent_at, now in answers:
             made.hear("t", 1, rate, sent_at, now)
         assert made.rate("t", 1) == expected
 
     def test_new_run(self):
         """Guards against a limit that outlives the run that named it."""
-        made = limits.Limits("vm-1")
+        made = limits.TargetLimits("vm-1")
         made.hear("t", 1, 6.1, 0.0, 1.0)
         assert made.rate("t", 2) is None
         made.hear("t", 2, 3.0, 0.5, 1.2)
@@ -50,7 +50,7 @@
 
         async def main():
             log, timer = fakes.Lines(), fakes.VirtualClock()
-            known = beliefs.Beliefs(fakes.configured(), timer, log)
+            known = cluster_state.ClusterState(fakes.configured(), timer, log)
             target = fakes.target("a")
             for rate in (6.1, 6.1, 3.0, None, None):
                 known.hear_limit(target, rate, virtual.now())
@@ -80,15 +80,15 @@
     )
     def test_newer_word_counts(self, heard, told, expected):
         """Guards against a limit that news from before it lift."""
-        made = limits.Limits("vm-1")
+        made = limits.TargetLimits("vm-1")
         made.hear("t", 1, heard[0], 0.0, heard[1])
         now = 10.0
-        made.learn("t", limits.LimitNews(1, told[0], now - told[1]), now)
+        made.learn("t", limits.LimitUpdate(1, told[0], now - told[1]), now)
         assert made.rate("t", 1) == expected
 
     def test_report(self):
         """Guards against limits that a leader is told again and again."""
-        one, leader = limits.Limits("vm-1"), limits.Limits("vm-2")
+        one, leader = limits.TargetLimits("vm-1"), limits.TargetLimits("vm-2")
         one.hear("t", 1, 6.1, 0.0, 1.0)
         for name, news in one.unknown_to_leader(1.0).items():
             assert leader.learn(name, news, 1.1)
@@ -107,7 +107,7 @@
 
     def test_targets_that_are_gone_are_forgotten(self):
         """Memory does not grow with the targets that ever named a limit."""
-        made = limits.Limits("vm-1")
+        made = limits.TargetLimits("vm-1")
         for number in range(50):
             made.hear(f"t{number}", 1, 6.1, 0.0, 1.0)
         made.forget_except({"t1": 1, "t2": 2})
@@ -131,8 +131,11 @@
         and every other VM takes its own turns.
         """
         changes = sorted(replaced)
-        paces = [limits.Pace(rate, n / 4, 0.0) for n in range(len(changes) + 1)]
-        others = [limits.Pace(rate, n / vms, 0.0) for n in range(vms)]
+        paces = [
+            limits.RateLimiter(rate, n / 4, 0.0)
+            for n in range(len(changes) + 1)
+        ]
+        others = [limits.RateLimiter(rate, n / vms, 0.0) for n in range(vms)]
         now, sent = 0.0, []
         for number, gap in enumerate(gaps):
             now += gap
@@ -158,7 +161,7 @@
     def test_own_turns_are_not_saved(self, vms):
         """Guards against all VMs using up what they saved at one moment."""
         rate = 6.1
-        paces = [limits.Pace(rate, n / vms, 0.0) for n in range(vms)]
+        paces = [limits.RateLimiter(rate, n / vms, 0.0) for n in range(vms)]
         for alone in (False, True):
             at_once = sum(
                 not pace.own_wait(vms, 1000.0, alone=alone) for pace in paces
@@ -169,7 +172,9 @@
     @pytest.mark.parametrize("rate", [0.4, 6.1, 40.0])
     def test_vms_that_hear_nobody(self, vms, rate):
         """Guards against cut-off VMs that each take the whole for theirs."""
-        paces = [limits.Pace(rate, (n * 0.618) % 1, 0.0) for n in range(vms)]
+        paces = [
+            limits.RateLimiter(rate, (n * 0.618) % 1, 0.0) for n in range(vms)
+        ]
         sent = []
         for step in range(1000):
             now = step * 0.04
@@ -183,7 +188,7 @@
 
     def test_sender_saves_little(self):
         """Guards against a rush after a quiet time."""
-        pace = limits.Pace(6.1, 0.0, 0.0)
+        pace = limits.RateLimiter(6.1, 0.0, 0.0)
         sent = 0
         while not pace.wait(1000.0):
             pace.take(1000.0)
@@ -192,5 +197,5 @@
 
     def test_no_requests_at_all(self):
         """Guards against a target that can never say it takes more."""
-        pace = limits.Pace(0.0, 0.0, 0.0)
+        pace = limits.RateLimiter(0.0, 0.0, 0.0)
         assert 1.0 < pace.wait(0.0) < 20.0
--- a/tests/gateway/test_room.py
+++ b/tests/gateway/test_load_balancing.py
@@ -6,8 +6,8 @@
 import pytest
 
 from mimosastile_core.gateway import directory
-from mimosastile_core.gateway import reported
-from mimosastile_core.gateway import room
+from mimosastile_core.gateway import load_balancing
+from mimosastile_core.gateway import target_feedback
 
 REGIONS = {"a1": "a", "a2": "a", "b1": "b"}
 
@@ -19,7 +19,9 @@
 
 
 def _rooms():
-    return room.Rooms(room.Place("a1", "a"), REGIONS, room.Policy())
+    return load_balancing.LoadBalancer(
+        load_balancing.Location("a1", "a"), REGIONS, load_balancing.Policy()
+    )
 
 
 def _choose(rooms, targets, now=10.0):
@@ -127,7 +129,7 @@
 
     def test_one_long_request_does_not_make_it_slow(self):
         """One request in a hundred takes several times as long."""
-        load = room.Load()
+        load = load_balancing.TargetStats()
         for _ in range(30):
             load.answered(0.1, 0.1, 1.0)
         load.answered(3.0, 0.1, 1.0)
@@ -135,7 +137,7 @@
 
     def test_rest_grows_and_ends(self):
         """Repeated failures to reach it make it rest longer."""
-        load = room.Load()
+        load = load_balancing.TargetStats()
         load.unreachable(0.0)
         first = load.rest_until
         load.unreachable(10.0)
@@ -264,7 +266,7 @@
         targets = []
         for name, said in loads.items():
             targets.append(_target(name, slots=2))
-            rooms.learn_load(targets[-1], reported.TargetLoad(*said))
+            rooms.learn_load(targets[-1], target_feedback.TargetLoad(*said))
         return rooms.compare(targets, "r", 0.2, 100, 10.0, on_time, left)
 
     @pytest.mark.parametrize(
@@ -316,11 +318,11 @@
         guess, work = 0.5, 0.2
         loads = itertools.cycle([(2, 0, 2), (2, 1, 2)])
         for said in itertools.islice(loads, 200):
-            rooms.learn_load(target, reported.TargetLoad(*said))
+            rooms.learn_load(target, target_feedback.TargetLoad(*said))
             found = rooms.compare([target], "r", guess, 100, 10.0, 5.0, 5.0)
             seconds = work * found.runs
             rooms.answered("r", "x", seconds / found.runs, 100, 10.0)
         assert rooms.work("r", guess) == pytest.approx(work)
-        rooms.learn_load(target, reported.TargetLoad(2, 3, 2))
+        rooms.learn_load(target, target_feedback.TargetLoad(2, 3, 2))
         found = rooms.compare([target], "r", guess, 100, 10.0, 1.0, 2.0)
         assert found.target is target
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_membership.py
@@ -6,16 +6,16 @@
 import msgspec
 import pytest
 
-from mimosastile_core.gateway import casualties
+from mimosastile_core.gateway import crash_detection
 from mimosastile_core.gateway import leadership
-from mimosastile_core.gateway import room
-from mimosastile_gateway import admitting
+from mimosastile_core.gateway import load_balancing
+from mimosastile_gateway import admission_service
 from mimosastile_gateway import datagrams
-from mimosastile_gateway import leading
+from mimosastile_gateway import leader_role
+from mimosastile_gateway import membership
 from mimosastile_gateway import messages
-from mimosastile_gateway import peers
-from mimosastile_gateway import turns
-from mimosastile_gateway import watching
+from mimosastile_gateway import store_watching
+from mimosastile_gateway import wait_queues
 from mimosastile_platform import records
 from mimosastile_standins import virtual
 from tests.gateway import fakes
@@ -44,7 +44,7 @@
             self.reports.append((virtual.now(), report))
             reply = messages.ReportReply(ENTRY, leading=True, store=True)
             return messages.encode(reply)
-        return messages.encode(messages.Taken())
+        return messages.encode(messages.UpdateAck())
 
 
 class Store(fakes.Store):
@@ -63,7 +63,7 @@
 def _peers(configured, known, store, calls, timer, log):
     """Makes a VM's part among its peers."""
     vm = configured.vm.id
-    leader = leading.Leading(
+    leader = leader_role.LeaderRole(
         configured,
         f"boot-{vm}",
         store,
@@ -73,20 +73,26 @@
         timer,
         log,
     )
-    return peers.Peers(
+    return membership.Membership(
         configured,
         f"boot-{vm}",
         store,
         calls,
         known,
-        room.Rooms(room.Place("z", "r"), {"z": "r"}, room.Policy()),
+        load_balancing.LoadBalancer(
+            load_balancing.Location("z", "r"),
+            {"z": "r"},
+            load_balancing.Policy(),
+        ),
         leader,
-        turns.Turns(),
-        admitting.Admitting(configured, datagrams.Channel(log), known, timer),
-        watching.Watching(
+        wait_queues.WaitQueues(),
+        admission_service.AdmissionService(
+            configured, datagrams.Channel(log), known, timer
+        ),
+        store_watching.StoreWatcher(
             configured.store, store, records.Records(), known, timer, log
         ),
-        casualties.Casualties(),
+        crash_detection.CrashDetector(),
         timer,
         log,
     )
@@ -189,13 +195,13 @@
                 messages.ReportReply(ENTRY, leading=True, stamp=100.01)
             )
             await asyncio.sleep(1.0)
-            leaving = messages.TargetNews(
+            leaving = messages.TargetUpdate(
                 fakes.target("a", leaving=True, revision=7), 7, False, 0.0, 0.2
             )
             told = messages.ReportReply(
                 ENTRY,
                 leading=True,
-                news=messages.News(0, 7, (leaving,)),
+                news=messages.StateUpdate(0, 7, (leaving,)),
                 stamp=101.01,
             )
             said_at = virtual.now() - 0.2
@@ -364,7 +370,7 @@
             return None
         if path == messages.ASSIGN_PATH:
             other.take_push(messages.decode(body, messages.ReportReply))
-            return messages.encode(messages.Taken())
+            return messages.encode(messages.UpdateAck())
         if path == messages.REPORT_PATH:
             report = messages.decode(body, messages.Report)
             return messages.encode(other._leader.take_report(report))
--- a/tests/gateway/test_proofs.py
+++ b/tests/gateway/test_proofs.py
@@ -14,10 +14,10 @@
 import result
 
 from mimosastile_core.gateway import directory
-from mimosastile_core.gateway import formers
+from mimosastile_core.gateway import former_leaders
 from mimosastile_core.gateway import leadership
 from mimosastile_core.gateway import ranges
-from mimosastile_gateway import granting
+from mimosastile_gateway import grant_reconciliation
 from mimosastile_standins import virtual
 from tests.gateway import fakes
 
@@ -45,16 +45,16 @@
             fakes.target("a", born=BORN),
             fakes.target("b"),
         )
-        authority = leadership.Authority(1e9)
+        authority = leadership.LeaderLease(1e9)
         authority.confirm(0.0)
-        self.granting = granting.Granting(
+        self.granting = grant_reconciliation.GrantReconciler(
             fakes.configured(trouble_after=1e9),
             self.orders,
             self.beliefs,
             self.clock,
             self.log,
             authority,
-            formers.FormerLeaders(0.0),
+            former_leaders.FormerLeaders(0.0),
             {},
             lambda: None,
         )
@@ -212,14 +212,18 @@
 
         mutations = {
             "released": (fakes.Orders, "release", release),
-            "lapsed": (granting.Granting, "_lapse", lambda *_: 0.0),
+            "lapsed": (
+                grant_reconciliation.GrantReconciler,
+                "_lapse",
+                lambda *_: 0.0,
+            ),
             "run ended": (
-                granting.Granting,
+                grant_reconciliation.GrantReconciler,
                 "_run_ended",
                 lambda made, holder: (
                     (entry := made._beliefs.directory.get(holder.id)) is None
                     or entry.target.born != holder.born
-                    or entry.standing is not directory.Standing.READY
+                    or entry.standing is not directory.TargetStatus.READY
                 ),
             ),
         }
--- a/tests/gateway/test_allowance.py
+++ b/tests/gateway/test_retry_budget.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from mimosastile_core.gateway import allowance
+from mimosastile_core.gateway import retry_budget
 
 RATIO, WINDOW, FIXED = 0.2, 10.0, 60.0
 
@@ -10,7 +10,7 @@
 def _most_repeats(vms, requests_per_second, seconds=30):
     """Repeats in the worst window if every VM repeats whenever it may."""
     parts = [
-        allowance.RetryAllowance(RATIO, WINDOW, FIXED / vms) for _ in range(vms)
+        retry_budget.RetryBudget(RATIO, WINDOW, FIXED / vms) for _ in range(vms)
     ]
     taken = []
     steps = 20
@@ -43,7 +43,7 @@
 
     def test_tokens_come_back(self):
         """What was used in one window may be used again in a later one."""
-        left = allowance.RetryAllowance(RATIO, WINDOW, 2.0)
+        left = retry_budget.RetryBudget(RATIO, WINDOW, 2.0)
         assert left.take(0.0)
         assert left.take(0.0)
         assert not left.take(1.0)
@@ -51,7 +51,7 @@
 
     def test_part_follows_the_number_of_vms(self):
         """With fewer VMs each may repeat more."""
-        left = allowance.RetryAllowance(RATIO, WINDOW, 0.0)
+        left = retry_budget.RetryBudget(RATIO, WINDOW, 0.0)
         assert not left.take(0.0)
         left.set_fixed(3.0)
         assert left.take(0.0)
--- a/tests/gateway/test_watching.py
+++ b/tests/gateway/test_store_watching.py
@@ -9,7 +9,7 @@
 
 from mimosastile_gateway import ports
 from mimosastile_gateway import settings
-from mimosastile_gateway import watching
+from mimosastile_gateway import store_watching
 from mimosastile_platform import records
 from mimosastile_standins import virtual
 from tests.gateway import fakes
@@ -50,7 +50,7 @@
     """Makes a VM's view of the store; returns it with its beliefs and log."""
     timer, log = fakes.VirtualClock(), fakes.Lines()
     known = fakes.known(timer, log, *targets)
-    made = watching.Watching(
+    made = store_watching.StoreWatcher(
         settings.StoreSettings(address="127.0.0.1:1"),
         store,
         records.Records(),
--- a/tests/gateway/test_succession.py
+++ b/tests/gateway/test_successors.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from mimosastile_core.gateway import succession
+from mimosastile_core.gateway import successors
 
 VMS = tuple(f"vm-{n}" for n in range(7))
 
@@ -35,12 +35,12 @@
         Keys of lost targets have no owner until another VM leads; callers are
         refused meanwhile.
         """
-        made = succession.Succession()
+        made = successors.SuccessorSelection()
         assert _asked_until(made, VMS, set(VMS[cut:])) <= most
 
     def test_those_asked_have_time(self):
         """The same VMs are not asked again at once, and no others."""
-        made = succession.Succession()
+        made = successors.SuccessorSelection()
         assert made.next(VMS, 0.0) == VMS[:3]
         assert made.next(VMS, 0.5) == ()
         assert made.next(VMS, 0.7) == VMS[3:6]
@@ -51,20 +51,20 @@
 
         Whoever was cut off before may be the only one now that is not.
         """
-        made = succession.Succession()
+        made = successors.SuccessorSelection()
         for second in range(3):
             made.next(VMS, float(second))
         assert set(VMS[:3]) <= set(made.next(VMS, 3.0))
 
     def test_nobody_reaches_the_store(self):
         """It is the store that is down; nobody is asked."""
-        made = succession.Succession()
+        made = successors.SuccessorSelection()
         assert made.next((), 0.0) == ()
         assert made.asked == ()
 
     def test_store_is_back(self):
         """Whoever was asked in an outage is not asked any more."""
-        made = succession.Succession()
+        made = successors.SuccessorSelection()
         made.next(VMS, 0.0)
         made.clear()
         assert made.asked == ()
--- a/tests/gateway/test_vacancies.py
+++ b/tests/gateway/test_unowned_ranges.py
@@ -3,7 +3,7 @@
 import pytest
 
 from mimosastile_core.gateway import assignments
-from mimosastile_core.gateway import vacancies
+from mimosastile_core.gateway import unowned_ranges
 
 
 def _assigned(serial, firsts, owners):
@@ -11,7 +11,7 @@
 
 
 def _after(gone, *, key=100):
-    made = vacancies.Vacancies(2.2, 12.2)
+    made = unowned_ranges.UnownedRanges(2.2, 12.2)
     made.take(_assigned(1, (0, 50, 200), ("a", "", "b")), 10.0)
     return made.seconds("s", key, 10.0 + gone)
 
@@ -42,7 +42,7 @@
 
     def test_unknown_service(self):
         """Nothing was told yet; the first table comes soon."""
-        made = vacancies.Vacancies(2.2, 12.2)
+        made = unowned_ranges.UnownedRanges(2.2, 12.2)
         assert made.seconds("s", 1, 5.0) == 0.0
 
 
@@ -51,7 +51,7 @@
 
     def test_time_runs_on(self):
         """Other keys change hands meanwhile; this range was cut."""
-        made = vacancies.Vacancies(2.2, 12.2)
+        made = unowned_ranges.UnownedRanges(2.2, 12.2)
         made.take(_assigned(1, (0, 50, 200), ("a", "", "b")), 10.0)
         made.take(_assigned(2, (0, 60, 90, 200), ("a", "", "c", "b")), 11.0)
         assert made.seconds("s", 70, 11.2) == pytest.approx(1.0)
@@ -59,7 +59,7 @@
 
     def test_served_again(self):
         """Keys got an owner and lost it again; time begins anew."""
-        made = vacancies.Vacancies(2.2, 12.2)
+        made = unowned_ranges.UnownedRanges(2.2, 12.2)
         made.take(_assigned(1, (0,), ("",)), 10.0)
         made.take(_assigned(2, (0,), ("a",)), 11.0)
         made.take(_assigned(3, (0,), ("",)), 12.0)
@@ -68,7 +68,7 @@
     @pytest.mark.parametrize("joined", [True, False])
     def test_many_neighbours(self, joined):
         """Guards against a range that forgets its oldest part."""
-        made = vacancies.Vacancies(2.2, 12.2)
+        made = unowned_ranges.UnownedRanges(2.2, 12.2)
         made.take(_assigned(1, (0, 10, 20), ("", "a", "")), 10.0)
         made.take(_assigned(2, (0, 10, 15, 20), ("", "", "a", "")), 11.0)
         if joined:
--- a/tests/gateway/test_witnessing.py
+++ b/tests/gateway/test_witnessing.py
@@ -9,10 +9,10 @@
 import result
 
 from mimosastile_core import errors
-from mimosastile_core.gateway import extension
-from mimosastile_core.gateway import formers
+from mimosastile_core.gateway import former_leaders
 from mimosastile_core.gateway import leadership
-from mimosastile_gateway import leading
+from mimosastile_core.gateway import lease_extension
+from mimosastile_gateway import leader_role
 from mimosastile_gateway import messages
 from mimosastile_standins import virtual
 from tests.gateway import fakes
@@ -56,7 +56,7 @@
         )
         configured = fakes.configured(settle=0.1, settle_most=0.2)
         vm = msgspec.structs.replace(configured.vm, id=name)
-        self.leading = leading.Leading(
+        self.leading = leader_role.LeaderRole(
             msgspec.structs.replace(configured, vm=vm),
             boot,
             self.store,
@@ -376,7 +376,7 @@
             fleet.vms["vm-2"].beliefs.take_leader(known)
             await asyncio.sleep(3.0)
             stored, _ = fleet.store.items[messages.WITNESSES_KEY]
-            record = msgspec.json.decode(stored, type=extension.Record)
+            record = msgspec.json.decode(stored, type=lease_extension.Record)
             named = {w.vm: w.boot for w in record.witnesses}
             assert named["vm-2"] == fleet.vms["vm-2"].boot
             fleet.stop()
@@ -548,7 +548,7 @@
         ]
         restarted = [(History.outage, 2.5), *outage[1:2]]
         restarted += [(History.all_restart, 0.0), *outage[3:]]
-        testify = formers.FormerLeaders.testify
+        testify = former_leaders.FormerLeaders.testify
 
         def any_run(former, witness, promised, now):
             for known in former._witnesses:
@@ -557,14 +557,19 @@
 
         target, name, guess, history = {
             "promises": (
-                formers.FormerLeaders,
+                former_leaders.FormerLeaders,
                 "testify",
                 lambda f, w, _, now: testify(f, w, None, now),
                 outage,
             ),
-            "runs": (formers.FormerLeaders, "testify", any_run, restarted),
+            "runs": (
+                former_leaders.FormerLeaders,
+                "testify",
+                any_run,
+                restarted,
+            ),
             "short authority": (
-                leadership.Authority,
+                leadership.LeaderLease,
                 "need_witnesses",
                 lambda _: None,
                 alone,
--- a/tests/gateway/test_world.py
+++ b/tests/gateway/test_world.py
@@ -12,8 +12,8 @@
 import pytest
 
 from mimosastile_core.gateway import ranges
+from mimosastile_gateway import load_probing
 from mimosastile_gateway import messages
-from mimosastile_gateway import probing
 from mimosastile_standins import platform_target
 from mimosastile_standins import platform_world
 
@@ -518,8 +518,8 @@
     @pytest.fixture(autouse=True)
     def _patient(self, monkeypatch):
         """Has probes wait for all answers, however busy this machine is."""
-        monkeypatch.setattr(probing, "_SECONDS", 10.0)
-        monkeypatch.setattr(probing, "_MORE_SECONDS", 10.0)
+        monkeypatch.setattr(load_probing, "_SECONDS", 10.0)
+        monkeypatch.setattr(load_probing, "_MORE_SECONDS", 10.0)
 
     def test_slow_targets_are_avoided(self):
         """Guards against work for a target that says it is slow now."""
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 import pytest
 
-from mimosastile_core.gateway import reported
+from mimosastile_core.gateway import target_feedback
 from mimosastile_platform import headers
 
 
@@ -14,9 +14,9 @@
     @pytest.mark.parametrize(
         ("value", "expected"),
         [
-            (b"3,0,8", reported.TargetLoad(3, 0, 8)),
-            (b"2,5,2,100", reported.TargetLoad(2, 5, 2, 1.0)),
-            (b"2, 5, 2, 300", reported.TargetLoad(2, 5, 2, 3.0)),
+            (b"3,0,8", target_feedback.TargetLoad(3, 0, 8)),
+            (b"2,5,2,100", target_feedback.TargetLoad(2, 5, 2, 1.0)),
+            (b"2, 5, 2, 300", target_feedback.TargetLoad(2, 5, 2, 3.0)),
             (None, None),
             (b"", None),
             (b"3", None),
@@ -112,7 +112,7 @@
     def test_nothing(self):
         """Most answers say nothing of the target."""
         notice = headers.read_notice([(b"content-length", b"3")])
-        assert notice == reported.Notice()
+        assert notice == target_feedback.TargetFeedback()
 
     @hypothesis.given(
         st.lists(st.tuples(st.just(b"server-limit"), st.binary()))
