--- a/packages/mimosastile-core/src/mimosastile_core/gateway/backoffs.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/backoffs.py
@@ -28,16 +28,16 @@
     It concerns one VM alone: a target may reject whoever sends most.
     """
 
-    __slots__ = ("_rests",)
+    __slots__ = ("_backoffs",)
 
     def __init__(self) -> None:
         """Makes one that knows of none."""
-        self._rests: dict[str, _Backoff] = {}
+        self._backoffs: dict[str, _Backoff] = {}
 
     @property
     def any(self) -> bool:
         """Whether any target may rest."""
-        return bool(self._rests)
+        return bool(self._backoffs)
 
     def ask(self, target: str, born: int, seconds: float, now: float) -> None:
         """Takes a target's word; the longest one counts.
@@ -50,15 +50,15 @@
         """
         ends = now + seconds
         if self.left(target, born, now) < seconds:
-            self._rests[target] = _Backoff(born, now, ends)
+            self._backoffs[target] = _Backoff(born, now, ends)
 
     def left(self, target: str, born: int, now: float) -> float:
         """Returns for how many seconds a run of a target gets nothing."""
-        rest = self._rests.get(target)
+        rest = self._backoffs.get(target)
         if rest is None or rest.born != born:
             return 0.0
         if now >= rest.ends:
-            del self._rests[target]
+            del self._backoffs[target]
             return 0.0
         return rest.ends - now
 
@@ -67,10 +67,12 @@
 
         Those that have ended are forgotten.
         """
-        self._rests = {n: r for n, r in self._rests.items() if r.ends > now}
+        self._backoffs = {
+            n: r for n, r in self._backoffs.items() if r.ends > now
+        }
         return {
             name: round(rest.ends - now, 2)
-            for name, rest in self._rests.items()
+            for name, rest in self._backoffs.items()
             if rest.ends - rest.began >= _LONG_SECONDS
             and rest.ends - now > _LEFT_SECONDS
         }
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/load_balancing.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/load_balancing.py
@@ -99,7 +99,7 @@
     """What this VM knows of one target."""
 
     __slots__ = (
-        "_rests",
+        "_backoffs",
         "_trouble",
         "_trouble_at",
         "factor",
@@ -123,7 +123,7 @@
         self.said: target_feedback.TargetLoad | None = None
         self._trouble = 0.0
         self._trouble_at = 0.0
-        self._rests = 0
+        self._backoffs = 0
 
     def under_way(self, now: float) -> int:
         """Returns the requests under way there, of all VMs."""
@@ -186,7 +186,7 @@
     def well(self, now: float) -> None:
         """Notes that it answers, whatever that took."""
         self._note(0.0, now)
-        self._rests = 0
+        self._backoffs = 0
 
     def failed(self, now: float) -> None:
         """Notes a failure or a rejection."""
@@ -195,9 +195,9 @@
     def unreachable(self, now: float) -> None:
         """Notes that it could not be reached at all."""
         self._note(1.0, now)
-        rest = min(_REST_SECONDS * 2**self._rests, _REST_MOST_SECONDS)
+        rest = min(_REST_SECONDS * 2**self._backoffs, _REST_MOST_SECONDS)
         self.rest_until = now + rest
-        self._rests = min(self._rests + 1, 8)
+        self._backoffs = min(self._backoffs + 1, 8)
 
     def silent(self, now: float) -> None:
         """Notes that it did not say its load in time."""
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/admission_service.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/admission_service.py
@@ -73,7 +73,7 @@
     """
 
     __slots__ = (
-        "_beliefs",
+        "_cluster",
         "_channel",
         "_clock",
         "_done",
@@ -105,7 +105,7 @@
         """
         self._settings = configured
         self._channel = channel
-        self._beliefs = known
+        self._cluster = known
         self._clock = timer
         self._queues: dict[str, admission.AdmissionQueue] = {}
         # Not from 0: a gate may still know places of this VM's last run.
@@ -273,7 +273,7 @@
             self._send(sender, none)
             return
         now = self._clock.now()
-        cold = self._beliefs.cold_seconds(asked.target)
+        cold = self._cluster.cold_seconds(asked.target)
         if cold:
             refused = datagrams.Decision(
                 asked.number, admission.Verdict.REFUSED, round(1000 * cold)
@@ -334,10 +334,10 @@
 
     def _pace(self, target: str) -> limits.RateLimiter | None:
         """Returns the pace that a target's limit sets, if it has one."""
-        entry = self._beliefs.directory.get(target)
+        entry = self._cluster.directory.get(target)
         if entry is None:
             return None
-        return self._beliefs.limits.pace(target, entry.target.born)
+        return self._cluster.limits.pace(target, entry.target.born)
 
     def _tell(self, decisions: Iterable[admission.Decision]) -> None:
         for decision in decisions:
@@ -358,7 +358,7 @@
         found = self._queues.get(target)
         if found is not None:
             return found
-        entry = self._beliefs.directory.get(target)
+        entry = self._cluster.directory.get(target)
         if entry is None:
             return None
         if len(self._queues) >= _IDLE_QUEUES:
@@ -376,25 +376,23 @@
 
 @functools.singledispatch
 def _receive(
-    message: datagrams.Message, admitting: AdmissionService, sender: str
+    message: datagrams.Message, service: AdmissionService, sender: str
 ) -> None:
     raise TypeError(message)
 
 
 @_receive.register
-def _(message: datagrams.Ask, admitting: AdmissionService, sender: str) -> None:
-    admitting.decide(sender, message)
+def _(message: datagrams.Ask, service: AdmissionService, sender: str) -> None:
+    service.decide(sender, message)
 
 
 @_receive.register
 def _(
-    message: datagrams.Decision, admitting: AdmissionService, sender: str
+    message: datagrams.Decision, service: AdmissionService, sender: str
 ) -> None:
-    admitting.take_decision(message)
+    service.take_decision(message)
 
 
 @_receive.register
-def _(
-    message: datagrams.Done, admitting: AdmissionService, sender: str
-) -> None:
-    admitting.take_done(sender, message)
+def _(message: datagrams.Done, service: AdmissionService, sender: str) -> None:
+    service.take_done(sender, message)
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/candidates.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/candidates.py
@@ -37,14 +37,14 @@
     """Filters the targets of requests."""
 
     __slots__ = (
-        "_admitting",
-        "_beliefs",
+        "_admission",
+        "_cluster",
         "_clock",
         "_cold_sends",
         "_count",
         "_pools",
         "_ready",
-        "_rooms",
+        "_balancer",
         "_settings",
     )
 
@@ -52,8 +52,8 @@
         self,
         configured: settings.GatewaySettings,
         known: cluster_state.ClusterState,
-        rooms: load_balancing.LoadBalancer,
-        places: admission_service.AdmissionService,
+        balancer: load_balancing.LoadBalancer,
+        admission: admission_service.AdmissionService,
         timer: clock.Clock,
         count: Callable[[], int],
     ) -> None:
@@ -62,15 +62,15 @@
         Args:
             configured: Settings of this VM.
             known: What this VM believes.
-            rooms: Loads of targets.
-            places: Knows this VM's address as the only sender of a target.
+            balancer: Loads of targets.
+            admission: Knows this VM's address as the only sender of a target.
             timer: The clock.
             count: Returns how many VMs there are.
         """
         self._settings = configured
-        self._beliefs = known
-        self._rooms = rooms
-        self._admitting = places
+        self._cluster = known
+        self._balancer = balancer
+        self._admission = admission
         self._clock = timer
         self._count = count
         self._cold_sends = warmup.SendRate()
@@ -86,13 +86,13 @@
             admitted: Whether its gate has admitted it, and counted it.
         """
         now = self._clock.now()
-        if self._beliefs.cold_seconds(target.id):
+        if self._cluster.cold_seconds(target.id):
             self._cold_sends.note(target.id, now)
-        pace = self._beliefs.limits.pace(target.id, target.born)
+        pace = self._cluster.limits.pace(target.id, target.born)
         if pace is None or admitted:
             return
-        gate = self._rooms.gate(target.id, now)
-        if gate == self._admitting.address:
+        gate = self._balancer.gate(target.id, now)
+        if gate == self._admission.address:
             pace.take(now)
         else:
             pace.take_own(self._count(), now, alone=gate is None)
@@ -106,8 +106,8 @@
         Args:
             call: A request without a key.
         """
-        pace = self._beliefs.limits.pace
-        if not self._beliefs.limits.any:
+        pace = self._cluster.limits.pace
+        if not self._cluster.limits.any:
             return None
         untried = self.untried(call, self._clock.now())
         paces = {t.id: pace(t.id, t.born) for t in untried}
@@ -133,11 +133,11 @@
         found = self._ready.get(key)
         if found is not None:
             return found
-        allows = self._beliefs.eligibility.allows
-        found = self._beliefs.directory.usable(
+        allows = self._cluster.eligibility.allows
+        found = self._cluster.directory.usable(
             call.service.name, now, lambda t: allows(t.zone, regions)
         )
-        if found and self._beliefs.directory.is_ready(found[0].id):
+        if found and self._cluster.directory.is_ready(found[0].id):
             # All are ready then. Without a ready one the choice changes with
             # the time.
             self._ready[key] = found
@@ -154,7 +154,7 @@
         usable = self.eligible(call, now)
         if call.service.keyed:
             # A target without keys runs nothing.
-            assignment = self._beliefs.assignments.get(service)
+            assignment = self._cluster.assignments.get(service)
             owners = set(assignment.owners) if assignment else set()
             usable = [t for t in usable if t.id in owners]
         fresh = [t for t in usable if t.id not in call.tried]
@@ -178,7 +178,7 @@
             drawn = sampling.pool(
                 self.eligible(call, now),
                 self._settings.vm.id,
-                lambda t: self._rooms.distance(t, route.name, latency),
+                lambda t: self._balancer.distance(t, route.name, latency),
             )
             if key[:2] in self._ready:
                 self._pools[key] = drawn
@@ -186,11 +186,11 @@
         def unfit(target: directory.Target) -> bool:
             return (
                 target.id in asked
-                or self._rooms.load(target.id).rest_until > now
+                or self._balancer.load(target.id).rest_until > now
                 or self.send_wait(target, call) > 0
             )
 
-        count = self._rooms.policy.probes
+        count = self._balancer.policy.probes
         found = sampling.sample(
             drawn,
             count,
@@ -202,25 +202,25 @@
     def send_wait(self, target: directory.Target, call: pending.Call) -> float:
         """Returns the seconds until this VM may send to a target by itself."""
         wait = self._cold_wait(target, call)
-        if self._beliefs.limits.any:
+        if self._cluster.limits.any:
             wait = max(wait, self._limit_wait(target))
-        if self._beliefs.rests.any:
+        if self._cluster.backoffs.any:
             wait = max(wait, self.rest_wait(target))
         return wait
 
     def rest_wait(self, target: directory.Target) -> float:
         """Returns for how many seconds a target wants nothing from this VM."""
-        rests = self._beliefs.rests
-        return rests.left(target.id, target.born, self._clock.now())
+        backoffs = self._cluster.backoffs
+        return backoffs.left(target.id, target.born, self._clock.now())
 
     def _limit_wait(self, target: directory.Target) -> float:
         """Returns the seconds until a target's limit lets this VM send."""
-        pace = self._beliefs.limits.pace(target.id, target.born)
+        pace = self._cluster.limits.pace(target.id, target.born)
         if pace is None:
             return 0.0
         now = self._clock.now()
-        gate = self._rooms.gate(target.id, now)
-        if gate == self._admitting.address:
+        gate = self._balancer.gate(target.id, now)
+        if gate == self._admission.address:
             return pace.wait(now)
         vms = self._count()
         if vms == 1:
@@ -235,11 +235,11 @@
             0 for a warm one; for a cold one, until its rate allows another
             request, or until it is warm if another VM sends to it.
         """
-        cold = self._beliefs.cold_seconds(target.id)
+        cold = self._cluster.cold_seconds(target.id)
         if not cold:
             return 0.0
         now = self._clock.now()
-        if self._rooms.gate(target.id, now) != self._admitting.address:
+        if self._balancer.gate(target.id, now) != self._admission.address:
             return cold
         rate = call.service.cold_rate
         return min(self._cold_sends.wait(target.id, rate, now), cold)
@@ -255,16 +255,16 @@
                 returned as well.
         """
         assert call.key is not None
-        owner = self._beliefs.owner(call.service.name, call.key)
+        owner = self._cluster.owner(call.service.name, call.key)
         if owner is None:
             return None
-        known = self._beliefs.directory
+        known = self._cluster.directory
         entry = known.get(owner)
         if entry is None or not known.may_get_work(owner, self._clock.now()):
             return None
         target = entry.target
         regions = call.route.regions
-        if not excluded and self._beliefs.owner_excluded(target.zone, regions):
+        if not excluded and self._cluster.owner_excluded(target.zone, regions):
             return None
         return target
 
@@ -279,7 +279,7 @@
         regions = call.route.regions
         if call.key is not None:
             return self._owner_excluded(call)
-        known = self._beliefs.directory
+        known = self._cluster.directory
         if self.eligible(call, now):
             return None
         if known.all_leave(call.service.name):
@@ -288,7 +288,7 @@
             why.value
             for target in known.ready(call.service.name)
             if (
-                why := self._beliefs.eligibility.exclusion(target.zone, regions)
+                why := self._cluster.eligibility.exclusion(target.zone, regions)
             )
         )
         if not reasons:
@@ -307,11 +307,11 @@
         owner = self.owner(call, excluded=True)
         if owner is None:
             return None
-        why = self._beliefs.owner_excluded(owner.zone, call.route.regions)
+        why = self._cluster.owner_excluded(owner.zone, call.route.regions)
         if why is None:
             return None
         evacuated = why is eligibility.Exclusion.EVACUATED
-        if evacuated and self._beliefs.able_owners(call.service):
+        if evacuated and self._cluster.able_owners(call.service):
             return None
         return _no_place(f"{owner.id} in {owner.zone} is {why.value}")
 
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/cluster_state.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/cluster_state.py
@@ -89,7 +89,7 @@
         "_settings",
         "_store_failed_at",
         "_subscribers",
-        "_vacancies",
+        "_unowned_ranges",
         "assignments",
         "configuration_seen",
         "directory",
@@ -100,7 +100,7 @@
         "limits",
         "operated",
         "registrations",
-        "rests",
+        "backoffs",
         "route_table",
         "seen",
         "shares",
@@ -129,14 +129,14 @@
         self.assignments: dict[str, assignments.Assignment] = {}
         hold = configured.leader.hold
         lapse = leadership.lapsed_at(0.0, hold)
-        self._vacancies = unowned_ranges.UnownedRanges(
+        self._unowned_ranges = unowned_ranges.UnownedRanges(
             lapse, configured.leader.authority + lapse
         )
         self.evacuations = eligibility.Evacuations()
         self.eligibility = eligibility.Eligibility(configured.vm.regions)
         self._evacuated_at: dict[str, float] = {}
         self.limits = limits.TargetLimits(configured.vm.id)
-        self.rests = backoffs.Backoffs()
+        self.backoffs = backoffs.Backoffs()
         self.seen = 0
         self.configuration_seen = 0
         self.registrations = freshness.Freshness()
@@ -544,7 +544,7 @@
             seconds: For how long.
         """
         now = self._clock.now()
-        self.rests.ask(target.id, target.born, seconds, now)
+        self.backoffs.ask(target.id, target.born, seconds, now)
         self._events.write(
             "targets", "rest_asked", target=target.id, seconds=seconds
         )
@@ -595,7 +595,7 @@
         if known is not None and new.version <= known.version:
             return False
         self.assignments[new.service] = new
-        self._vacancies.take(new, self._clock.now())
+        self._unowned_ranges.take(new, self._clock.now())
         self.signal()
         return True
 
@@ -819,8 +819,8 @@
             return _STORE_AWAY_SECONDS
         if entry is not None:
             # Its owner has vanished, and the leader has not moved it yet.
-            return self._vacancies.expected(now - entry.since)
-        return self._vacancies.seconds(service, key, now)
+            return self._unowned_ranges.expected(now - entry.since)
+        return self._unowned_ranges.seconds(service, key, now)
 
     def versions(self) -> dict[str, assignments.Version]:
         """Returns the version of each assignment."""
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/daemon.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/daemon.py
@@ -85,27 +85,27 @@
 
     __slots__ = (
         "_adapter",
-        "_admitting",
-        "_beliefs",
+        "_admission",
+        "_cluster",
         "_callers",
         "_channel",
         "_clock",
         "_events",
-        "_forwarding",
+        "_forwarder",
         "_inner",
         "_lag",
-        "_leading",
+        "_leader_role",
         "_metrics",
         "_observed",
         "_order_pool",
-        "_peers",
+        "_membership",
         "_pool",
         "_ready",
-        "_rooms",
+        "_balancer",
         "_settings",
         "_stopping",
         "_trim",
-        "_watching",
+        "_watcher",
         "callers_address",
     )
 
@@ -134,87 +134,87 @@
         # orders would then cost it its grants.
         self._order_pool = http_client.Pool(configured.requests.silent)
         self._metrics = metrics.Metrics(self._events.counts, self._pool.traffic)
-        self._beliefs = cluster_state.ClusterState(
+        self._cluster = cluster_state.ClusterState(
             configured, self._clock, self._events
         )
         store = adapter.store(self._pool)
         calls = peer_calls.PeerCalls(self._pool, self._events)
         boot = self._clock.new_id()
-        self._rooms = load_balancing.LoadBalancer(
+        self._balancer = load_balancing.LoadBalancer(
             load_balancing.Location(vm.zone, vm.region),
             vm.regions,
             configured.rooms,
         )
-        self._leading = leader_role.LeaderRole(
+        self._leader_role = leader_role.LeaderRole(
             configured,
             boot,
             store,
             adapter.orders(self._order_pool),
             calls,
-            self._beliefs,
+            self._cluster,
             self._clock,
             self._events,
         )
-        self._watching = store_watching.StoreWatcher(
+        self._watcher = store_watching.StoreWatcher(
             configured.store,
             store,
             adapter.records,
-            self._beliefs,
+            self._cluster,
             self._clock,
             self._events,
         )
         queues = wait_queues.WaitQueues()
-        dead = crash_detection.CrashDetector()
+        crashes = crash_detection.CrashDetector()
         self._channel = datagrams.Channel(self._events)
-        self._admitting = admission_service.AdmissionService(
-            configured, self._channel, self._beliefs, self._clock
+        self._admission = admission_service.AdmissionService(
+            configured, self._channel, self._cluster, self._clock
         )
-        self._peers = membership.Membership(
+        self._membership = membership.Membership(
             configured,
             boot,
             store,
             calls,
-            self._beliefs,
-            self._rooms,
-            self._leading,
+            self._cluster,
+            self._balancer,
+            self._leader_role,
             queues,
-            self._admitting,
-            self._watching,
-            dead,
+            self._admission,
+            self._watcher,
+            crashes,
             self._clock,
             self._events,
         )
-        places = dispatching.Dispatcher(
+        dispatcher = dispatching.Dispatcher(
             configured,
-            self._beliefs,
-            self._rooms,
-            self._peers,
+            self._cluster,
+            self._balancer,
+            self._membership,
             queues,
-            self._admitting,
+            self._admission,
             self._clock,
             load_probing.LoadProber(
                 adapter.health(self._pool),
-                self._beliefs,
-                self._rooms,
+                self._cluster,
+                self._balancer,
                 self._clock,
                 self._events,
             ),
         )
-        self._forwarding = forwarding.Forwarder(
+        self._forwarder = forwarding.Forwarder(
             configured,
             adapter.headers,
             adapter.read_notice,
             self._pool,
-            self._beliefs,
-            self._rooms,
-            self._peers,
-            places,
-            dead,
+            self._cluster,
+            self._balancer,
+            self._membership,
+            dispatcher,
+            crashes,
             self._metrics,
             self._clock,
             self._events,
         )
-        self._callers = http_server.Server(self._forwarding.handle)
+        self._callers = http_server.Server(self._forwarder.handle)
         self._ready = http_server.Server(self._readiness)
         self._inner = http_server.Server(self._peer_call)
         self._observed = http_server.Server(self._observe)
@@ -228,17 +228,17 @@
         """Whether the balancer should send callers here."""
         return (
             not self._stopping
-            and self._beliefs.configuration is not None
-            and any(True for _ in self._beliefs.directory)
+            and self._cluster.configuration is not None
+            and any(True for _ in self._cluster.directory)
         )
 
     async def start(self) -> None:
         """Begins to listen and to learn."""
         vm = self._settings.vm
         inner = await self._inner.listen(vm.peers)
-        self._peers.listens_on(inner)
+        self._membership.listens_on(inner)
         try:
-            await self._channel.open(inner, self._admitting.receive)
+            await self._channel.open(inner, self._admission.receive)
         except OSError as error:
             # Peers take a gate that does not answer for lost and send to its
             # targets by themselves.
@@ -250,9 +250,9 @@
         except OSError as error:
             # Callers go before metrics.
             self._events.write("daemon", "no_metrics", why=str(error))
-        self._beliefs.subscribe(self._on_change)
-        self._watching.start()
-        self._peers.start()
+        self._cluster.subscribe(self._on_change)
+        self._watcher.start()
+        self._membership.start()
         self._trim = asyncio.create_task(self._trim_on(), name="trim")
         self._events.write(
             "daemon",
@@ -267,20 +267,20 @@
         began = self._clock.now()
         self._stopping = True
         self._callers.stopping = True
-        self._admitting.stopping = True
-        self._forwarding.end_by(began + grace - _LAST_ANSWER_SECONDS)
+        self._admission.stopping = True
+        self._forwarder.end_by(began + grace - _LAST_ANSWER_SECONDS)
         self._events.write("daemon", "stopping", grace=grace)
         await asyncio.gather(
-            self._leading.hand_over(min(1.5, grace / 2)),
+            self._leader_role.hand_over(min(1.5, grace / 2)),
             asyncio.sleep(min(self._settings.stop.notice, grace / 2)),
         )
         self._callers.stop_listening()
         self._callers.close_idle()
         while self._callers.busy and self._clock.now() - began < grace:
             await asyncio.sleep(0.02)
-        self._leading.step_down("this daemon stops")
-        self._watching.stop()
-        await self._peers.stop()
+        self._leader_role.step_down("this daemon stops")
+        self._watcher.stop()
+        await self._membership.stop()
         if self._trim is not None:
             self._trim.cancel()
         self._events.write(
@@ -298,9 +298,9 @@
 
     def abort(self) -> None:
         """Ends everything at once, as the end of the process would."""
-        self._leading.step_down("this daemon ends")
-        self._watching.stop()
-        self._peers.abort()
+        self._leader_role.step_down("this daemon ends")
+        self._watcher.stop()
+        self._membership.abort()
         if self._trim is not None:
             self._trim.cancel()
         for server in (
@@ -332,7 +332,7 @@
         ]
         if "bounds" in changed:
             held.bounds = new.bounds
-            self._beliefs.set_drain(new.bounds.drain)
+            self._cluster.set_drain(new.bounds.drain)
         self._events.write(
             "daemon",
             "settings_read",
@@ -346,7 +346,7 @@
 
     def dump(self) -> dict[str, object]:
         """Returns the state of all parts."""
-        known = self._beliefs
+        known = self._cluster
         configuration = known.configuration
         return {
             "vm": self._settings.vm.id,
@@ -373,15 +373,15 @@
                 if route.regions
             },
             "store_ok": known.store_ok,
-            "leading": self._leading.dump(),
-            "forwarding": self._forwarding.dump(),
-            "gates": self._admitting.dump(),
+            "leading": self._leader_role.dump(),
+            "forwarding": self._forwarder.dump(),
+            "gates": self._admission.dump(),
             "connections_opened": self._pool.opened,
             "log_lines_dropped": self._events.dropped,
         }
 
     def _on_change(self) -> None:
-        configuration = self._beliefs.configuration
+        configuration = self._cluster.configuration
         if configuration is not None:
             self._callers.limits = configuration.limits
 
@@ -395,8 +395,8 @@
             self._lag = self._clock.now() - asked - _TRIM_SECONDS
             self._pool.trim(_IDLE_MOST)
             self._order_pool.trim(_IDLE_MOST)
-            known = [entry.target.id for entry in self._beliefs.directory]
-            self._rooms.forget_except(known)
+            known = [entry.target.id for entry in self._cluster.directory]
+            self._balancer.forget_except(known)
 
     def _log_traffic(self) -> None:
         """Logs the bytes of own calls since the start."""
@@ -434,8 +434,8 @@
         return http_server.Outgoing(404)
 
     def _set_gauges(self) -> None:
-        known = self._beliefs
-        own = self._rooms.own()
+        known = self._cluster
+        own = self._balancer.own()
         ages = {
             "registrations_age_seconds": known.registrations_age,
             "configuration_age_seconds": known.configuration_age,
@@ -444,14 +444,14 @@
             **{name: age for name, age in ages.items() if age is not None},
             "configuration_version": max(known.version, 0),
             "ready": self.ready,
-            "leading": self._leading.leading,
+            "leading": self._leader_role.leading,
             "store_reached": known.store_ok,
             "log_lines_dropped": self._events.dropped,
             "connections_opened": self._pool.opened,
             "requests_under_way": sum(own.values()),
             "targets_in_use": len(own),
             "targets_known": sum(1 for _ in known.directory),
-            "vms_known": self._peers.count,
+            "vms_known": self._membership.count,
             "loop_lag_seconds": round(self._lag, 4),
             "processor_seconds": round(_processor_seconds(), 3),
         }
@@ -478,19 +478,19 @@
     ) -> msgspec.Struct | None:
         if path == messages.REPORT_PATH:
             report = messages.decode(body, messages.Report)
-            return self._leading.take_report(report)
+            return self._leader_role.take_report(report)
         if path == messages.ASSIGN_PATH:
             told = messages.decode(body, messages.ReportReply)
-            self._peers.take_push(told)
+            self._membership.take_push(told)
             return messages.UpdateAck()
         if path == messages.RELAY_PATH:
-            return await self._peers.relay(
+            return await self._membership.relay(
                 messages.decode(body, messages.Relay)
             )
         if path == messages.HEARD_PATH:
-            return self._peers.heard()
+            return self._membership.heard()
         if path == messages.EXTEND_PATH:
-            return await self._leading.witness.answer(
+            return await self._leader_role.witness.answer(
                 messages.decode(body, messages.ExtensionRequest)
             )
         return None
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/dispatching.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/dispatching.py
@@ -66,44 +66,49 @@
     """Finds targets for requests, and has requests wait for them."""
 
     __slots__ = (
-        "_admitting",
-        "_beliefs",
+        "_admission",
+        "_cluster",
         "_candidates",
         "_clock",
-        "_peers",
-        "_probing",
-        "_rooms",
+        "_membership",
+        "_prober",
+        "_balancer",
         "_settings",
-        "_turns",
+        "_queues",
     )
 
     def __init__(
         self,
         configured: settings.GatewaySettings,
         known: cluster_state.ClusterState,
-        rooms: load_balancing.LoadBalancer,
-        fellows: membership.Membership,
+        balancer: load_balancing.LoadBalancer,
+        own_membership: membership.Membership,
         queues: wait_queues.WaitQueues,
-        places: admission_service.AdmissionService,
+        admission: admission_service.AdmissionService,
         timer: clock.Clock,
         probes: load_probing.LoadProber,
     ) -> None:
         self._settings = configured
-        self._beliefs = known
-        self._rooms = rooms
-        self._peers = fellows
-        self._turns = queues
-        self._admitting = places
+        self._cluster = known
+        self._balancer = balancer
+        self._membership = own_membership
+        self._queues = queues
+        self._admission = admission
         self._candidates = candidates.Candidates(
-            configured, known, rooms, places, timer, lambda: fellows.count
+            configured,
+            known,
+            balancer,
+            admission,
+            timer,
+            lambda: own_membership.count,
         )
         self._clock = timer
-        self._probing = probes
+        self._prober = probes
         known.subscribe(queues.wake_all)
 
     def waiting(self) -> dict[str, int]:
         """Returns the requests that wait in this VM, by queue."""
-        return self._turns.waiting()
+        return self._queues.waiting()
 
     def ticket(self, priority: int) -> wait_queues.Ticket:
         """Returns a turn for a new request.
@@ -111,22 +116,22 @@
         Args:
             priority: Its rank; 0 is the most urgent.
         """
-        return self._turns.ticket(priority)
+        return self._queues.ticket(priority)
 
     def latest_start(self, call: pending.Call) -> float:
         """Returns the time after which a request is not worth sending."""
-        work = self._rooms.work(call.route.name, call.guess)
+        work = self._balancer.work(call.route.name, call.guess)
         margin = self._settings.requests.margin
         return call.deadline - margin - _LEAST_WORK * work
 
     def leave(self, call: pending.Call, target: directory.Target) -> None:
         """Gives back what a request had at a target; others are next."""
-        self._rooms.load(target.id).end()
+        self._balancer.load(target.id).end()
         place, call.place = call.place, None
         if place is not None:
-            self._admitting.give_back(place, answered=call.answered)
-        self._turns.next(target.id)
-        self._turns.next(target.service)
+            self._admission.give_back(place, answered=call.answered)
+        self._queues.next(target.id)
+        self._queues.next(target.service)
 
     async def await_owner(
         self, call: pending.Call, target: directory.Target
@@ -134,12 +139,12 @@
         """Waits a moment for news after a target has rejected a key."""
         if call.key is None:
             return
-        known = self._beliefs.owner(call.service.name, call.key)
+        known = self._cluster.owner(call.service.name, call.key)
         if known != target.id:
             return
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(_OWNER_PAUSE * 2**call.rejects):
-                await self._beliefs.changed.wait()
+                await self._cluster.changed.wait()
 
     async def await_reachable(
         self, call: pending.Call, target: directory.Target
@@ -155,7 +160,7 @@
             left = ends - self._clock.now()
             if left < _TICK_SECONDS:
                 return
-            await clock.wait(self._beliefs.changed, left)
+            await clock.wait(self._cluster.changed, left)
 
     async def find(
         self, call: pending.Call
@@ -196,14 +201,14 @@
             return await self._await_room(call, compared.err_value)
         call.runs = 0.0
         queue, choice = self._choose(call, now)
-        ahead = self._turns.ahead(queue, call.ticket)
+        ahead = self._queues.ahead(queue, call.ticket)
         if choice.target is not None and not ahead:
             return result.Ok(self._begin(call, choice.target))
         left = self.latest_start(call) - now
         seconds = min(choice.seconds, 1e6)
         if max(seconds * (ahead + 1), _TICK_SECONDS) > left:
             return self._no_room(call, choice, ahead)
-        await self._turns.wait(queue, call.ticket, min(left, _POLL_SECONDS))
+        await self._queues.wait(queue, call.ticket, min(left, _POLL_SECONDS))
         return None
 
     def _compares(self, call: pending.Call) -> bool:
@@ -211,8 +216,8 @@
         return (
             call.key is None
             and not call.service.keyed
-            and self._rooms.policy.probes > 0
-            and self._rooms.reports_load(call.service.name)
+            and self._balancer.policy.probes > 0
+            and self._balancer.reports_load(call.service.name)
         )
 
     async def _compare(
@@ -228,11 +233,11 @@
         for _ in range(_ROUNDS):
             drawn = self._candidates.draw(call, asked)
             asked.update(target.id for target in drawn)
-            said = await self._probing.ask(drawn, call.service)
+            said = await self._prober.ask(drawn, call.service)
             now = self._clock.now()
             # What is known of them may have changed meanwhile.
             eligible = {t.id for t in self._candidates.eligible(call, now)}
-            choice = self._rooms.compare(
+            choice = self._balancer.compare(
                 (t for t in said if t.id in eligible),
                 call.route.name,
                 call.guess,
@@ -264,7 +269,7 @@
             The refusal, if waiting is of no use.
         """
         now = self._clock.now()
-        work = self._rooms.work(call.route.name, call.guess)
+        work = self._balancer.work(call.route.name, call.guess)
         left = min(
             self.latest_start(call) - now,
             self._on_time_left(call, now) - work,
@@ -281,7 +286,7 @@
         self, call: pending.Call, target: directory.Target
     ) -> directory.Target:
         """Notes a request that is sent to a target."""
-        self._rooms.load(target.id).begin()
+        self._balancer.load(target.id).begin()
         self._candidates.sent(target, admitted=call.place is not None)
         return target
 
@@ -294,12 +299,12 @@
             The refusal, if none will own it in time.
         """
         left = self.latest_start(call) - now
-        seconds = self._beliefs.seconds_without_owner(call.service.name, key)
+        seconds = self._cluster.seconds_without_owner(call.service.name, key)
         if max(seconds, _TICK_SECONDS) >= left:
             wait = max(seconds, SOON_SECONDS)
             kind = errors.ErrorKind.NO_OWNER
             return result.Err(errors.Failure(kind, retry_after=wait))
-        await clock.wait(self._beliefs.changed, min(left, _POLL_SECONDS))
+        await clock.wait(self._cluster.changed, min(left, _POLL_SECONDS))
         return None
 
     async def _enter(
@@ -312,20 +317,20 @@
             answers, or the request goes elsewhere meanwhile.
         """
         target = self._gated(call)
-        gate = self._rooms.gate(target.id, now) if target else None
+        gate = self._balancer.gate(target.id, now) if target else None
         if target is None or gate is None:
             return None
         if self._closed(target):
             return None
         entering = asyncio.ensure_future(
-            self._admitting.enter(
+            self._admission.enter(
                 gate,
                 target.id,
                 call.route.priority,
                 self._on_time_left(call, now),
                 call.deadline - self._settings.requests.margin - now,
-                self._rooms.work(call.route.name, call.guess),
-                self._rooms.load(target.id).own,
+                self._balancer.work(call.route.name, call.guess),
+                self._balancer.load(target.id).own,
             )
         )
         try:
@@ -338,17 +343,17 @@
             return None
         entered = entering.result()
         if entered is None:
-            self._rooms.gate_silent(gate, self._clock.now())
+            self._balancer.gate_silent(gate, self._clock.now())
             return None
         if isinstance(entered, admission_service.Permit):
             if not self._may_get(call, target) or self._closed(target):
                 # It has left, become cold or asked for a rest, or its time to
                 # get work has passed meanwhile.
-                self._admitting.give_back(entered, answered=False)
+                self._admission.give_back(entered, answered=False)
                 return None
             call.place = entered
             return result.Ok(self._begin(call, target))
-        self._peers.turned_away(target.id)
+        self._membership.turned_away(target.id)
         wait = self._relieved(call, target, entered.seconds)
         wait = max(wait, self._settings.requests.retry_after_least)
         kind = errors.ErrorKind.OVERLOADED
@@ -360,7 +365,7 @@
         The rate of a cold one is bounded, and places are not; one that rests
         wants nothing from this VM.
         """
-        cold = self._beliefs.cold_seconds(target.id)
+        cold = self._cluster.cold_seconds(target.id)
         return cold > 0 or self._candidates.rest_wait(target) > 0
 
     def _gated(self, call: pending.Call) -> directory.Target | None:
@@ -373,7 +378,7 @@
         """Whether a target may still get a request that has waited for it."""
         if call.key is not None:
             return self._candidates.owner(call) is target
-        known = self._beliefs.directory
+        known = self._cluster.directory
         return known.may_get_work(target.id, self._clock.now())
 
     def _relieved(
@@ -389,7 +394,7 @@
         if self._candidates.rest_wait(target):
             # Another VM may be welcome, and keys move.
             return min(seconds, _RELIEF_SECONDS)
-        if self._beliefs.limits.pace(target.id, target.born) is None:
+        if self._cluster.limits.pace(target.id, target.born) is None:
             return seconds
         if call.key is not None and self._is_relieved(call.service):
             return min(seconds, _RELIEF_SECONDS)
@@ -397,10 +402,10 @@
 
     def _is_relieved(self, service: routes.Service) -> bool:
         """Whether keys that do not fit into a limit can move."""
-        assignment = self._beliefs.assignments.get(service.name)
+        assignment = self._cluster.assignments.get(service.name)
         owners = assignment.owners if assignment else ()
-        limited = self._beliefs.limited_targets()
-        return self._beliefs.store_ok and not set(limited).issuperset(owners)
+        limited = self._cluster.limited_targets()
+        return self._cluster.store_ok and not set(limited).issuperset(owners)
 
     def _on_time_left(self, call: pending.Call, now: float) -> float:
         """Returns the seconds within which an answer is on time."""
@@ -416,7 +421,7 @@
         elif not entering.cancelled():
             entered = entering.result()
             if isinstance(entered, admission_service.Permit):
-                self._admitting.give_back(entered, answered=False)
+                self._admission.give_back(entered, answered=False)
 
     async def _until_moved(
         self,
@@ -433,7 +438,7 @@
             left = call.deadline - self._clock.now()
             if left < _TICK_SECONDS:
                 return True
-            changed = asyncio.ensure_future(self._beliefs.changed.wait())
+            changed = asyncio.ensure_future(self._cluster.changed.wait())
             try:
                 done, _ = await asyncio.wait(
                     (entering, changed),
@@ -455,7 +460,7 @@
         kind = errors.ErrorKind.OVERLOADED
         owner = self._candidates.owner(call) if call.key is not None else None
         if owner is not None:
-            self._peers.turned_away(owner.id)
+            self._membership.turned_away(owner.id)
         wait = min(choice.seconds * (ahead + 1), _LATEST_SECONDS)
         if owner is not None:
             wait = self._relieved(call, owner, wait)
@@ -472,13 +477,13 @@
             if target is None:
                 return service.name, load_balancing.Choice(None, 0.0)
             wait = self._candidates.send_wait(target, call)
-            if self._beliefs.cold_seconds(target.id):
+            if self._cluster.cold_seconds(target.id):
                 wait = min(wait, _MOVE_SECONDS)
             if wait:
                 return target.id, load_balancing.Choice(None, wait)
-            if self._rooms.full_owner(target, self._peers.count, now):
-                self._peers.hurry()
-                seconds = self._rooms.turn_seconds(
+            if self._balancer.full_owner(target, self._membership.count, now):
+                self._membership.hurry()
+                seconds = self._balancer.turn_seconds(
                     target, call.route.name, call.guess
                 )
                 return target.id, load_balancing.Choice(None, seconds)
@@ -489,12 +494,12 @@
         if not candidates:
             soonest = min(waits.values(), default=_NO_TARGET_SECONDS)
             return service.name, load_balancing.Choice(None, soonest)
-        choice = self._rooms.choose(
+        choice = self._balancer.choose(
             candidates,
             call.route.name,
             call.guess,
             self._most_own(service),
-            self._peers.count,
+            self._membership.count,
             now,
             self._clock.random(),
             call.route.target_latency or math.inf,
@@ -503,6 +508,6 @@
 
     def _most_own(self, service: routes.Service) -> int:
         """Returns how many requests this VM may have at one target."""
-        share = service.connections / self._peers.count
+        share = service.connections / self._membership.count
         most = share * self._settings.requests.own_connections
         return max(2, int(most))
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/dissemination.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/dissemination.py
@@ -57,19 +57,19 @@
     Attributes:
         report: Its last report, with what it has been told since.
         at: When it reported.
-        telling: Whether a message is on its way to it.
+        sending: Whether a message is on its way to it.
         since: When that one was sent.
         missed: Whether the last one got lost; it then hears all with the
             answer to its report, if anything reaches it.
         answered: Whether it was told so.
     """
 
-    __slots__ = ("answered", "at", "missed", "report", "since", "telling")
+    __slots__ = ("answered", "at", "missed", "report", "since", "sending")
 
     def __init__(self, report: messages.Report, at: float) -> None:
         self.report = report
         self.at = at
-        self.telling = False
+        self.sending = False
         self.since = 0.0
         self.missed = False
         self.answered = False
@@ -155,7 +155,7 @@
     """
 
     __slots__ = (
-        "_beliefs",
+        "_cluster",
         "_calls",
         "_clock",
         "_entry",
@@ -190,7 +190,7 @@
         self._here = here
         self._zone = zone
         self._calls = calls
-        self._beliefs = known
+        self._cluster = known
         self._clock = timer
         self._events = log
         self._entry: leadership.LeaderEntry | None = None
@@ -320,10 +320,10 @@
 
     def publish(self, present: assignments.Assignment) -> None:
         """Has VMs told of an assignment, unless it says what they know."""
-        known = self._beliefs.assignments.get(present.service)
+        known = self._cluster.assignments.get(present.service)
         if known is not None and assignments.same(known, present):
             return
-        self._beliefs.take_assignment(present)
+        self._cluster.take_assignment(present)
         self._told[present.service, present.version] = present
         while len(self._told) > _KEPT:
             del self._told[next(iter(self._told))]
@@ -341,7 +341,7 @@
         if vm.missed:
             vm.answered = True
             return self.lacking(report)
-        if vm.telling and self._clock.now() - vm.since > _SLOW_SECONDS:
+        if vm.sending and self._clock.now() - vm.since > _SLOW_SECONDS:
             # Its connection may have fallen silent; that a target leaves or a
             # route has changed cannot wait until this is known.
             return self.lacking(report).urgent()
@@ -350,7 +350,7 @@
     def lacking(self, report: messages.Report) -> MissingUpdates:
         """Returns what a VM does not know by its report."""
         whole, changed = self._newer_than(report.versions)
-        news = self._beliefs.news_after(
+        news = self._cluster.news_after(
             report.seen, report.configuration, report.evacuations
         )
         return MissingUpdates(whole, changed, news)
@@ -363,7 +363,7 @@
     ]:
         """Returns assignments that a VM lacks, and changes of others."""
         whole, changed = [], []
-        for name, present in self._beliefs.assignments.items():
+        for name, present in self._cluster.assignments.items():
             version = versions.get(name)
             if version is not None and tuple(version) >= present.version:
                 continue
@@ -394,7 +394,7 @@
         for vm in self._vms.values():
             report = vm.report
             stale = not self._reports(vm)
-            if stale or vm.telling or vm.missed or report.vm.id == self._here:
+            if stale or vm.sending or vm.missed or report.vm.id == self._here:
                 continue
             known = msgspec.json.encode(
                 (
@@ -532,9 +532,9 @@
 
     def _begin_telling(self, vms: Iterable[_Vm]) -> _Known:
         for vm in vms:
-            vm.telling = True
+            vm.sending = True
             vm.since = self._clock.now()
-        known = self._beliefs
+        known = self._cluster
         return _Known(
             known.versions(), known.seen, known.version, known.evacuations
         )
@@ -543,7 +543,7 @@
         self, vms: Iterable[_Vm], told: _Known, *, missed: bool
     ) -> None:
         for vm in vms:
-            vm.telling = False
+            vm.sending = False
             vm.missed = missed
             if not missed:
                 vm.report = msgspec.structs.replace(
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
@@ -75,21 +75,21 @@
 
     __slots__ = (
         "_allowances",
-        "_beliefs",
+        "_cluster",
         "_calls",
-        "_casualties",
+        "_crashes",
         "_clock",
         "_counts",
         "_ends",
         "_events",
         "_metrics",
         "_names",
-        "_patience",
-        "_peers",
-        "_placing",
+        "_retry_ages",
+        "_membership",
+        "_dispatcher",
         "_pool",
         "_read_notice",
-        "_rooms",
+        "_balancer",
         "_settings",
     )
 
@@ -102,10 +102,10 @@
         ],
         pool: http_client.Pool,
         known: cluster_state.ClusterState,
-        rooms: load_balancing.LoadBalancer,
-        fellows: membership.Membership,
-        places: dispatching.Dispatcher,
-        dead: crash_detection.CrashDetector,
+        balancer: load_balancing.LoadBalancer,
+        own_membership: membership.Membership,
+        dispatcher: dispatching.Dispatcher,
+        crashes: crash_detection.CrashDetector,
         measured: metrics.Metrics,
         timer: clock.Clock,
         log: events.Events,
@@ -114,15 +114,15 @@
         self._names = names
         self._read_notice = read_notice
         self._pool = pool
-        self._beliefs = known
-        self._rooms = rooms
-        self._peers = fellows
+        self._cluster = known
+        self._balancer = balancer
+        self._membership = own_membership
         self._metrics = measured
         self._clock = timer
         self._events = log
-        self._placing = places
-        self._casualties = dead
-        self._patience: dict[str, caller_retries.RetryAge] = {}
+        self._dispatcher = dispatcher
+        self._crashes = crashes
+        self._retry_ages: dict[str, caller_retries.RetryAge] = {}
         self._allowances: dict[str, retry_budget.RetryBudget] = {}
         self._counts: collections.Counter[str] = collections.Counter()
         self._calls: set[pending.Call] = set()
@@ -133,8 +133,8 @@
         now = self._clock.now()
         return {
             "outcomes": dict(self._counts),
-            "waiting": self._placing.waiting(),
-            "under_way": self._rooms.own(),
+            "waiting": self._dispatcher.waiting(),
+            "under_way": self._balancer.own(),
             "repeats_left": {
                 name: round(left.left(now), 1)
                 for name, left in self._allowances.items()
@@ -147,7 +147,7 @@
         """Answers a caller's request."""
         call = self._classify(incoming)
         if _is_unrouted(call) and not self._configuration_is_new():
-            await self._peers.ask_leader(_ASK_SECONDS)
+            await self._membership.ask_leader(_ASK_SECONDS)
             call = self._classify(incoming)
             if _is_unrouted(call) and not self._configuration_is_new():
                 call = errors.failed(errors.ErrorKind.CONFIGURATION_OLD)
@@ -182,7 +182,7 @@
     def _classify(
         self, incoming: http_server.Incoming
     ) -> result.Result[pending.Call, errors.Failure]:
-        configuration = self._beliefs.configuration
+        configuration = self._cluster.configuration
         if configuration is None:
             return errors.failed(errors.ErrorKind.NOT_CONFIGURED)
         host = incoming.header(b"host")
@@ -191,10 +191,10 @@
                 errors.ErrorKind.BAD_REQUEST, "No Host header."
             )
         path = incoming.target.partition(b"?")[0].decode("latin-1")
-        route = self._beliefs.route_table.find(host.decode("latin-1"), path)
+        route = self._cluster.route_table.find(host.decode("latin-1"), path)
         if route is None:
             return errors.failed(errors.ErrorKind.NO_ROUTE)
-        name = self._beliefs.shares.next(route)
+        name = self._cluster.shares.next(route)
         service = configuration.services.get(name)
         if service is None:
             return errors.failed(
@@ -207,7 +207,7 @@
     def _configuration_is_new(self) -> bool:
         """Whether no version is missing that has to be in force by now."""
         bound = self._settings.bounds.configuration * _APPLY_SHARE
-        age = self._beliefs.configuration_age
+        age = self._cluster.configuration_age
         return age is not None and age < bound
 
     def _call(
@@ -230,14 +230,14 @@
             min(incoming.at + seconds, self._ends),
         )
         if wait is not None and wait.isdigit():
-            known = self._patience.setdefault(
+            known = self._retry_ages.setdefault(
                 route.name, caller_retries.RetryAge()
             )
             call.tried_for = known.tried_for(int(wait) / 1000)
         key = incoming.header(names.key)
         if service.keyed and _is_key(key):
             call.key = int(key or b"0")
-            self._peers.asked(service.name, call.key)
+            self._membership.asked(service.name, call.key)
         call.head = [
             name + b": " + value
             for name, value in incoming.headers
@@ -245,13 +245,13 @@
             and name not in (names.deadline, names.expected_target)
         ]
         call.fingerprint = _fingerprint(incoming, key)
-        call.ticket = self._placing.ticket(route.priority)
+        call.ticket = self._dispatcher.ticket(route.priority)
         self._allowance(service.name).request(self._clock.now())
         return call
 
     def _allowance(self, service: str) -> retry_budget.RetryBudget:
         bounds = self._settings.bounds
-        fixed = bounds.retry_fixed * _FIXED_SHARE / self._peers.count
+        fixed = bounds.retry_fixed * _FIXED_SHARE / self._membership.count
         found = self._allowances.get(service)
         if found is None:
             found = self._allowances[service] = retry_budget.RetryBudget(
@@ -265,11 +265,11 @@
     async def _forward(self, call: pending.Call) -> http_server.Outgoing:
         last: errors.Failure | None = None
         while True:
-            if self._casualties.held(call.fingerprint, self._clock.now()):
+            if self._crashes.held(call.fingerprint, self._clock.now()):
                 held = errors.Failure(errors.ErrorKind.HELD_BACK)
                 failure = _final(call, last, held)
                 return self._refused(call, call.incoming, failure)
-            found = await self._placing.find(call)
+            found = await self._dispatcher.find(call)
             if isinstance(found, result.Err):
                 failure = _final(call, last, found.err_value)
                 return self._refused(call, call.incoming, failure)
@@ -280,9 +280,9 @@
             if not self._may_repeat(call, last):
                 return self._refused(call, call.incoming, last)
             if last.kind is errors.ErrorKind.WRONG_FENCE:
-                await self._placing.await_owner(call, found.ok_value)
+                await self._dispatcher.await_owner(call, found.ok_value)
             if last.kind is errors.ErrorKind.UNREACHABLE:
-                await self._placing.await_reachable(call, found.ok_value)
+                await self._dispatcher.await_reachable(call, found.ok_value)
 
     def _may_repeat(self, call: pending.Call, failure: errors.Failure) -> bool:
         """Whether a request is sent once more after a failure."""
@@ -294,12 +294,12 @@
             return False
         if failure.kind is errors.ErrorKind.UNREACHABLE:
             # Nothing arrived anywhere, so it is no repeat.
-            return now < self._placing.latest_start(call)
+            return now < self._dispatcher.latest_start(call)
         if call.maybe_ran and not call.repeatable:
             return False
         if call.sends >= call.route.attempts and ran:
             return False
-        if now >= self._placing.latest_start(call):
+        if now >= self._dispatcher.latest_start(call):
             return False
         return self._allowance(call.service.name).take(now)
 
@@ -309,7 +309,7 @@
         began = self._clock.now()
         call.basis = self._basis(target)
         call.tried.add(target.id)
-        load = self._rooms.load(target.id)
+        load = self._balancer.load(target.id)
         call.waited = load.under_way(began) > target.slots
         sends = call.sends
         call.answered = False
@@ -324,19 +324,19 @@
             sent = self._late(call, target, sends)
         finally:
             call.timer = None
-            self._placing.leave(call, target)
+            self._dispatcher.leave(call, target)
         self._note(call, target, sent, began)
         return sent
 
     def _basis(self, target: directory.Target) -> pending.Basis:
         """Returns what a target is chosen by, for the log."""
         now = self._clock.now()
-        entry = self._beliefs.directory.get(target.id)
+        entry = self._cluster.directory.get(target.id)
         return pending.Basis(
             entry.standing.value if entry else "",
             round(now - entry.since, 3) if entry else 0.0,
-            _rounded(self._beliefs.registrations_age),
-            _rounded(self._beliefs.configuration_age),
+            _rounded(self._cluster.registrations_age),
+            _rounded(self._cluster.configuration_age),
         )
 
     def _late(
@@ -356,12 +356,10 @@
     def _unreachable(self, target: directory.Target) -> None:
         """Notes that a target takes no connection."""
         now = self._clock.now()
-        self._rooms.load(target.id).unreachable(now)
-        deaths = self._casualties.unreachable(
-            target.id, now, self._clock.new_id()
-        )
+        self._balancer.load(target.id).unreachable(now)
+        deaths = self._crashes.unreachable(target.id, now, self._clock.new_id())
         if deaths:
-            self._peers.died(deaths)
+            self._membership.died(deaths)
             self._events.write(
                 "requests",
                 "target_died",
@@ -479,14 +477,14 @@
             return
         notice = self._read_notice(reply.headers)
         if notice.load is not None:
-            self._rooms.learn_load(target, notice.load)
+            self._balancer.learn_load(target, notice.load)
         sealed = reply.header(self._names.seal) is not None
         # Only an answer of the target's own work shows that it has no limit.
         sent_at = sent_at if sealed else -math.inf
-        if self._beliefs.hear_notice(target, notice, sent_at):
-            self._peers.hurry()
+        if self._cluster.hear_notice(target, notice, sent_at):
+            self._membership.hurry()
         if reply.status == _TURNED_AWAY and notice.rest:
-            self._beliefs.hear_rest(target, notice.rest)
+            self._cluster.hear_rest(target, notice.rest)
         for name, value in notice.unreadable:
             self._events.write(
                 "targets",
@@ -502,7 +500,7 @@
         return (
             call.repeatable
             and call.sends < call.route.attempts
-            and now < self._placing.latest_start(call)
+            and now < self._dispatcher.latest_start(call)
             and self._allowance(call.service.name).left(now) >= 1
         )
 
@@ -533,13 +531,13 @@
     ) -> None:
         """Learns from the outcome of a send."""
         now = self._clock.now()
-        load = self._rooms.load(target.id)
+        load = self._balancer.load(target.id)
         if isinstance(sent, result.Ok):
-            self._casualties.answered(target.id)
-            self._peers.answered(target.id)
+            self._crashes.answered(target.id)
+            self._membership.answered(target.id)
             answer = sent.ok_value
             if answer.status < 500 and answer.rest is None:
-                self._rooms.answered(
+                self._balancer.answered(
                     call.route.name,
                     target.id,
                     (now - began) / (call.runs or 1.0),
@@ -553,19 +551,19 @@
             return
         failure = sent.err_value
         if failure.kind is errors.ErrorKind.TARGET_REPLACED:
-            self._peers.ended(target)
+            self._membership.ended(target)
         elif failure.kind is errors.ErrorKind.WRONG_FENCE:
             call.rejects += 1
             if call.key is not None:
-                self._peers.missed(call.service.name, call.key, target.id)
+                self._membership.missed(call.service.name, call.key, target.id)
             else:
                 load.failed(now)
         elif failure.kind is not errors.ErrorKind.UNREACHABLE:
             load.failed(now)
         if call.key is not None and failure.kind in _CROWDED:
-            self._peers.turned_away(target.id)
+            self._membership.turned_away(target.id)
         if failure.kind is errors.ErrorKind.ANSWER_LOST:
-            self._casualties.lost(target.id, call.fingerprint, now)
+            self._crashes.lost(target.id, call.fingerprint, now)
         self._events.write(
             "requests",
             "send_failed",
@@ -624,7 +622,7 @@
         self._counts[kind] += 1
         route = call.route.name if call else ""
         self._metrics.record(route, kind, took)
-        configuration = self._beliefs.configuration
+        configuration = self._cluster.configuration
         self._events.write(
             "requests",
             "refused",
@@ -639,7 +637,7 @@
             took_ms=_ms(took),
             retry_after=failure.wait,
             configuration=configuration.version if configuration else None,
-            configuration_age=_rounded(self._beliefs.configuration_age),
+            configuration_age=_rounded(self._cluster.configuration_age),
         )
         headers: list[tuple[bytes, bytes]] = [
             (b"content-type", b"text/plain; charset=utf-8")
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/grant_reconciliation.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/grant_reconciliation.py
@@ -100,8 +100,8 @@
 
     __slots__ = (
         "_alive_at",
-        "_authority",
-        "_beliefs",
+        "_lease",
+        "_cluster",
         "_clock",
         "_doubtful",
         "_events",
@@ -125,17 +125,17 @@
         known: cluster_state.ClusterState,
         timer: clock.Clock,
         log: events.Events,
-        authority: leadership.LeaderLease,
+        lease: leadership.LeaderLease,
         former: former_leaders.FormerLeaders,
         alive_at: Mapping[str, float],
         on_change: Callable[[], None],
     ) -> None:
         self._settings = configured
         self._orders = orders
-        self._beliefs = known
+        self._cluster = known
         self._clock = timer
         self._events = log
-        self._authority = authority
+        self._lease = lease
         self._formers = former
         self._alive_at = alive_at
         self._on_change = on_change
@@ -353,17 +353,17 @@
                 continue
             # The order may wait on its way, and must not arrive later.
             late = self._settings.leader.order_timeout + self._held_up(holder)
-            if not self._authority.holds(now + late):
+            if not self._lease.holds(now + late):
                 self._events.write(
                     "grants",
                     "authority_ended",
                     target=holder.id,
-                    since=round(now - self._authority.ends, 2),
+                    since=round(now - self._lease.ends, 2),
                 )
                 await asyncio.sleep(_RETRY_SECONDS)
                 continue
             async with self._sending:
-                if not self._authority.holds(self._clock.boot() + late):
+                if not self._lease.holds(self._clock.boot() + late):
                     continue
                 await self._grant(holder, owner, state)
 
@@ -379,9 +379,9 @@
         self, holder: ranges.Holder, notice: target_feedback.TargetFeedback
     ) -> None:
         """Takes what an owner says of itself; callers may ask it nothing."""
-        entry = self._beliefs.directory.get(holder.id)
+        entry = self._cluster.directory.get(holder.id)
         if entry is not None and entry.target.born == holder.born:
-            self._beliefs.hear_notice(entry.target, notice)
+            self._cluster.hear_notice(entry.target, notice)
 
     async def _grant(
         self, holder: ranges.Holder, owner: _Owner, state: _State
@@ -389,7 +389,7 @@
         configured = self._settings.leader
         sent = self._clock.boot()
         latest = sent + configured.order_timeout + self._held_up(holder)
-        hold = self._authority.hold_seconds(
+        hold = self._lease.hold_seconds(
             sent,
             latest,
             self._hold,
@@ -404,7 +404,7 @@
         if hold > self._hold:
             # Before it can arrive: a leader that is replaced meanwhile is
             # asked how long its grants last.
-            self._authority.note_longer(leadership.lapsed_at(latest, hold))
+            self._lease.note_longer(leadership.lapsed_at(latest, hold))
         self._exposures.setdefault(holder, []).append(exposure)
         order = ports.GrantOrder(
             item.first, item.last, item.fence, hold, state.handover
@@ -419,7 +419,7 @@
             exposure.until = leadership.lapsed_at(now, hold)
             exposure.until += self._held_up(holder)
             if hold > self._hold:
-                self._authority.note_longer(exposure.until)
+                self._lease.note_longer(exposure.until)
         current = self._states.get(item.piece) is state
         if isinstance(answer, result.Ok):
             exposure.until = leadership.lapsed_at(now, hold)
@@ -435,7 +435,7 @@
             owner.refused = owner.refused or current
         if failure.kind is errors.ErrorKind.TARGET_REPLACED:
             exposure.until = now
-            self._beliefs.end_target(holder.id, holder.born)
+            self._cluster.end_target(holder.id, holder.born)
         owner.failures += 1
         owner.failing_since = (
             sent if owner.failing_since is None else owner.failing_since
@@ -463,7 +463,7 @@
         from its arrival, and the target would still hold keys that another
         one has been given.
         """
-        entry = self._beliefs.directory.get(holder.id)
+        entry = self._cluster.directory.get(holder.id)
         vm = self._settings.vm
         zone = entry.target.zone if entry else ""
         near = vm.regions.get(zone) == vm.region
@@ -525,7 +525,7 @@
                 how = "run ended"
             elif now >= lapse:
                 how = "lapsed"
-            elif self._authority.holds(now):
+            elif self._lease.holds(now):
                 tries += 1
                 timeout = min(_RELEASE_TRY_SECONDS * tries, lapse - now)
                 answer = await self._orders.release(
@@ -536,7 +536,7 @@
                     how = "released"
                     break
                 if answer.err_value.kind is errors.ErrorKind.TARGET_REPLACED:
-                    self._beliefs.end_target(holder.id, holder.born)
+                    self._cluster.end_target(holder.id, holder.born)
                 left = lapse - self._clock.boot()
                 await asyncio.sleep(min(max(left, 0.0), _RETRY_SECONDS))
             else:
@@ -574,7 +574,7 @@
         some, these may have gone to the later run already, in the earlier
         one's name; that one then answers a release, or they run out.
         """
-        known = self._beliefs.directory
+        known = self._cluster.directory
         if known.has_left_address(holder.id, holder.born):
             return True
         if holder in self._doubtful:
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/leader_role.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/leader_role.py
@@ -78,11 +78,11 @@
 
     __slots__ = (
         "_alive_at",
-        "_authority",
-        "_beliefs",
+        "_lease",
+        "_cluster",
         "_boot",
         "_calls",
-        "_casualties",
+        "_crashes",
         "_clock",
         "_demand",
         "_entry",
@@ -102,10 +102,10 @@
         "_started",
         "_store",
         "_store_failing_since",
-        "_succession",
+        "_successors",
         "_taking",
         "_tasks",
-        "_telling",
+        "_disseminator",
         "_watchers_at",
         "_watchers_chosen",
         "_witness",
@@ -130,11 +130,11 @@
         self._boot = boot
         self._store = store
         self._orders = orders
-        self._beliefs = known
+        self._cluster = known
         self._clock = timer
         self._events = log
-        self._casualties = crash_detection.CrashDetector()
-        self._telling = dissemination.Disseminator(
+        self._crashes = crash_detection.CrashDetector()
+        self._disseminator = dissemination.Disseminator(
             configured.vm.id, configured.vm.zone, calls, known, timer, log
         )
         self._alive_at: dict[str, float] = {}
@@ -143,7 +143,7 @@
             configured, boot, store, known, timer, log
         )
         self._witnesses: witnessing.Witnesses | None = None
-        self._authority = self._new_authority()
+        self._lease = self._new_lease()
         self._entry: leadership.LeaderEntry | None = None
         self._has_led = False
         self._revision = 0
@@ -163,7 +163,7 @@
         self.longer_until = float("-inf")
         self._started = 0.0
         self._store_failing_since: float | None = None
-        self._succession = successors.SuccessorSelection()
+        self._successors = successors.SuccessorSelection()
         self._tasks: list[asyncio.Task[Any]] = []
         self._taking = False
 
@@ -179,7 +179,7 @@
         # Counted from when the answer came, which is later than the truth.
         self.longer_until = now + reply.longer
 
-    def _new_authority(self) -> leadership.LeaderLease:
+    def _new_lease(self) -> leadership.LeaderLease:
         configured = self._settings.leader
         return leadership.LeaderLease(
             configured.authority, configured.unextended
@@ -193,8 +193,8 @@
     def _new_planner(self) -> planning.Planner:
         return planning.Planner(
             self._settings,
-            self._telling,
-            self._beliefs,
+            self._disseminator,
+            self._cluster,
             self._clock,
             self._events,
         )
@@ -224,14 +224,14 @@
         read = await self._store.read(messages.LEADER_KEY)
         if isinstance(read, result.Err):
             # A leader that is cut off as well then asks another VM.
-            self._beliefs.note_store(ok=False, why=read.err_value.detail)
+            self._cluster.note_store(ok=False, why=read.err_value.detail)
             return False
         former = read.ok_value
         known = self._decoded(former, leadership.LeaderEntry)
-        believed = self._beliefs.leader
+        believed = self._cluster.leader
         if known and believed and known.epoch > believed.epoch:
             # Somebody was faster.
-            self._beliefs.take_leader(known)
+            self._cluster.take_leader(known)
             return False
         epoch = max(
             known.epoch if known else 0, believed.epoch if believed else 0
@@ -253,8 +253,8 @@
         items = await self._read_all()
         if items is None or items[messages.LEADER_KEY].revision != revision:
             return False
-        self._authority = self._new_authority()
-        self._authority.confirm(asked)
+        self._lease = self._new_lease()
+        self._lease.confirm(asked)
         self._begin(entry, revision, items, known)
         self._events.write(
             "leader",
@@ -325,7 +325,7 @@
         self._revision = revision
         self._planner = self._new_planner()
         self._demand = demand.Demand(dissemination.REPORT_FRESH)
-        self._succession.clear()
+        self._successors.clear()
         self._store_failing_since = None
         self._started = now
         record_item = items.get(messages.WITNESSES_KEY)
@@ -355,23 +355,23 @@
             self._settings,
             entry,
             record_item.revision if record_item else 0,
-            self._authority,
+            self._lease,
             self._store,
             self._calls,
-            self._telling,
+            self._disseminator,
             self._clock,
             self._events,
         )
         for key, item in items.items():
             if key.startswith(messages.TABLE_PREFIX):
                 self._load(item)
-        self._beliefs.take_leader(entry)
+        self._cluster.take_leader(entry)
         self._tasks = [
             asyncio.create_task(self._plan_on(), name="plan"),
             asyncio.create_task(self._confirm_on(), name="confirm"),
             asyncio.create_task(self._announce(), name="announce"),
         ]
-        self._telling.begin(entry)
+        self._disseminator.begin(entry)
         self._published()
 
     async def _announce(self) -> None:
@@ -384,11 +384,11 @@
             await asyncio.sleep(pause)
             listed = await self._store.list(messages.VM_PREFIX, stale=True)
             if isinstance(listed, result.Ok):
-                self._beliefs.take_vms(listed.ok_value.items)
-                fresh = self._telling.fresh()
-                self._telling.announce(
+                self._cluster.take_vms(listed.ok_value.items)
+                fresh = self._disseminator.fresh()
+                self._disseminator.announce(
                     vm
-                    for vm in self._beliefs.vms.values()
+                    for vm in self._cluster.vms.values()
                     if vm.id not in fresh
                 )
 
@@ -401,9 +401,9 @@
         if former is None:
             return ()
         inherited = set(former.unsure)
-        led = self._clock.boot() - self._beliefs.leader_since
+        led = self._clock.boot() - self._cluster.leader_since
         authority = self._settings.leader.authority
-        if self._beliefs.leader == former and led > authority:
+        if self._cluster.leader == former and led > authority:
             # Whoever led before that one has had to stop since.
             inherited = set()
         inherited.add(former.vm)
@@ -425,23 +425,23 @@
         keyed = self._new_keyed(table, item.revision)
         self._services[table.service] = keyed
         for owner in table.holders():
-            self._beliefs.directory.learn_run(
+            self._cluster.directory.learn_run(
                 owner.id, owner.born, owner.address, self._clock.now()
             )
-        keyed.granting.follow(table)
+        keyed.reconciler.follow(table)
 
     def _new_keyed(
         self, table: ranges.RangeTable, revision: int
     ) -> planning.KeyedService:
         configured = self._settings.leader
         now = self._clock.now()
-        grants = grant_reconciliation.GrantReconciler(
+        reconciler = grant_reconciliation.GrantReconciler(
             self._settings,
             self._orders,
-            self._beliefs,
+            self._cluster,
             self._clock,
             self._events,
-            self._authority,
+            self._lease,
             self._formers,
             self._alive_at,
             self._published,
@@ -449,7 +449,7 @@
         return planning.KeyedService(
             table,
             revision,
-            grants,
+            reconciler,
             key_rates.KeyRates(configured.heat_fast, now),
             key_rates.KeyRates(configured.heat_slow, now),
         )
@@ -467,11 +467,11 @@
             return
         for task in self._tasks:
             task.cancel()
-        self._telling.stop()
+        self._disseminator.stop()
         if self._witnesses is not None:
             self._witnesses.stop()
         for keyed in self._services.values():
-            keyed.granting.stop()
+            keyed.reconciler.stop()
         self._services = {}
         self._events.write("leader", "stepped_down", epoch=entry.epoch, why=why)
 
@@ -479,7 +479,7 @@
 
     def take_report(self, report: messages.Report) -> messages.ReportReply:
         """Takes a VM's report and returns what it should know."""
-        leader = self._beliefs.leader
+        leader = self._cluster.leader
         if self._entry is None:
             return messages.ReportReply(leader, leading=False)
         now = self._clock.now()
@@ -491,21 +491,21 @@
             witness = lease_extension.Witness(vm.id, vm.boot)
             self._formers.testify(witness, report.promised, boot)
         if report.news is not None:
-            self._beliefs.take_news(report.news)
-        self._beliefs.confirm_configuration(
+            self._cluster.take_news(report.news)
+        self._cluster.confirm_configuration(
             report.configuration,
             report.configuration_seen,
             report.evacuations.zones,
         )
-        self._beliefs.note_views(
+        self._cluster.note_views(
             report.seen,
             report.seen_at,
             report.configuration,
             report.evacuations,
             report.configuration_at,
         )
-        self._beliefs.learn_limits(report.limits)
-        self._beliefs.learn_leaving(report.leaving)
+        self._cluster.learn_limits(report.limits)
+        self._cluster.learn_leaving(report.leaving)
         self._planner.learn(report)
         for service, keys in report.keys.items():
             keyed = self._services.get(service)
@@ -515,46 +515,46 @@
         seen = self._clock.boot()
         self._alive_at.update(dict.fromkeys(report.alive, seen))
         for death in report.deaths:
-            self._casualties.learn(death, now)
+            self._crashes.learn(death, now)
         for ended in report.ended:
-            self._beliefs.end_target(ended.target, ended.born)
+            self._cluster.end_target(ended.target, ended.born)
         for miss in report.misses:
             keyed = self._services.get(miss.service)
             if keyed is not None:
-                keyed.granting.missed(miss.key, miss.target)
-        self._telling.take(report)
+                keyed.reconciler.missed(miss.key, miss.target)
+        self._disseminator.take(report)
         self._demand.take(vm.id, report.under_way, report.waiting, now)
-        known = self._beliefs.directory
-        fresh = self._telling.fresh()
-        lacking = self._telling.answer(report)
+        known = self._cluster.directory
+        fresh = self._disseminator.fresh()
+        lacking = self._disseminator.answer(report)
         return messages.ReportReply(
             self._entry,
             leading=True,
-            confirmed=self._clock.boot() - self._authority.confirmed,
+            confirmed=self._clock.boot() - self._lease.confirmed,
             longer=self._longer_seconds(),
             under_way=self._demand.busy(vm.id, vm.zone, known),
             gates=self._gates(fresh, now),
             assignments=lacking.assignments,
             differences=lacking.differences,
             news=lacking.news,
-            seen=self._beliefs.seen,
-            configuration=self._beliefs.version,
-            configuration_seen=self._beliefs.configuration_seen,
+            seen=self._cluster.seen,
+            configuration=self._cluster.version,
+            configuration_seen=self._cluster.configuration_seen,
             store=self._informed(fresh),
-            deaths=self._casualties.deaths(now),
+            deaths=self._crashes.deaths(now),
             watchers=self._watchers(fresh),
             vms=len(fresh),
-            take_over=vm.id in self._succession.asked,
-            evacuations=self._beliefs.evacuations,
-            limits=self._beliefs.limits.news(now),
+            take_over=vm.id in self._successors.asked,
+            evacuations=self._cluster.evacuations,
+            limits=self._cluster.limits.news(now),
             leaving=tuple(
                 run
-                for run in self._beliefs.leaving_news().values()
+                for run in self._cluster.leaving_news().values()
                 if run.age < _LEAVING_TOLD
             ),
             stamp=now,
-            seen_age=self._beliefs.registrations_age,
-            configuration_age=self._beliefs.configuration_age,
+            seen_age=self._cluster.registrations_age,
+            configuration_age=self._cluster.configuration_age,
         )
 
     def _gates(
@@ -564,7 +564,7 @@
         if now - self._gates_at > _GATES_SECONDS:
             self._gates_at = now
             known = self._gates_chosen
-            limited = self._beliefs.limited_targets()
+            limited = self._cluster.limited_targets()
             chosen = self._demand.gates(
                 (
                     (report.vm.address, report.vm.zone)
@@ -573,8 +573,8 @@
                 ),
                 self._settings.vm.regions,
                 self._services,
-                self._beliefs.directory,
-                [*self._beliefs.cold_targets(), *limited],
+                self._cluster.directory,
+                [*self._cluster.cold_targets(), *limited],
             )
             if self._clock.boot() < self._formers.stopped_by:
                 # A former leader may still name another sender, and the two
@@ -585,9 +585,9 @@
             new = self._gates_chosen.keys() - known.keys()
             if new:
                 # Until a VM hears of it, it sends to a full target.
-                self._telling.spread(
+                self._disseminator.spread(
                     {name: self._gates_chosen[name] for name in new},
-                    self._beliefs.limits.news(now),
+                    self._cluster.limits.news(now),
                 )
         return self._gates_chosen
 
@@ -606,7 +606,7 @@
 
     def _longer_seconds(self) -> float:
         """Returns how long longer grants may last, former leaders' included."""
-        until = max(self._authority.longer_until, self._formers_lapse)
+        until = max(self._lease.longer_until, self._formers_lapse)
         return max(until - self._clock.boot(), 0.0)
 
     def _watchers(
@@ -681,11 +681,11 @@
         self._published_at = self._clock.now()
         self._serial += 1
         for keyed in self._services.values():
-            self._telling.publish(
+            self._disseminator.publish(
                 assignments.of_table(
                     keyed.table,
                     (entry.epoch, self._serial),
-                    keyed.granting.ready(),
+                    keyed.reconciler.ready(),
                 )
             )
 
@@ -699,9 +699,7 @@
             await self._confirm()
             reached = self._store_failing_since is None
             if self._witnesses is not None and reached:
-                clear_at = max(
-                    self._formers_lapse, self._authority.longer_until
-                )
+                clear_at = max(self._formers_lapse, self._lease.longer_until)
                 await self._witnesses.name(self._revision, clear_at)
 
     async def _confirm(self) -> None:
@@ -716,26 +714,26 @@
         if isinstance(read, result.Err):
             self._store_failed(read.err_value, asked)
             return
-        self._beliefs.note_store(ok=True)
+        self._cluster.note_store(ok=True)
         self._store_failing_since = None
-        self._succession.clear()
-        self._authority.replaceable = False
+        self._successors.clear()
+        self._lease.replaceable = False
         entry = self._decoded(read.ok_value, leadership.LeaderEntry)
         if entry is None or entry != self._entry:
             if entry is not None:
-                self._beliefs.take_leader(entry)
+                self._cluster.take_leader(entry)
             self.step_down("the store names another leader")
             return
-        self._authority.confirm(asked)
+        self._lease.confirm(asked)
 
     def _store_failed(self, failure: errors.Failure, asked: float) -> None:
         """Notes that a call to the store that began at `asked` has failed."""
         now = self._clock.boot()
-        self._beliefs.note_store(ok=False, why=failure.detail)
+        self._cluster.note_store(ok=False, why=failure.detail)
         if self._store_failing_since is None:
             self._store_failing_since = asked
         self._ask_witnesses()
-        self._authority.replaceable = bool(self._able())
+        self._lease.replaceable = bool(self._able())
         if now - self._store_failing_since < _RESIGN_AFTER:
             return
         successors = self._ask_others()
@@ -754,17 +752,17 @@
     def _ask_others(self) -> tuple[str, ...]:
         """Asks VMs that reach the store to lead; returns the newly asked."""
         able = self._able()
-        asked = self._succession.next(
+        asked = self._successors.next(
             [vm.id for vm in able], self._clock.boot()
         )
-        self._telling.ask_to_lead(vm for vm in able if vm.id in asked)
+        self._disseminator.ask_to_lead(vm for vm in able if vm.id in asked)
         return asked
 
     def _able(self) -> list[messages.VmEntry]:
         """Returns other VMs that say they reach the store, the best first."""
         able = [
             report.vm
-            for report in self._telling.fresh().values()
+            for report in self._disseminator.fresh().values()
             if report.store and report.vm.id != self._settings.vm.id
         ]
         return sorted(able, key=lambda vm: (vm.order, vm.id))
@@ -781,7 +779,7 @@
                 self._events.write("leader", "plan_failed", why=repr(error))
 
     async def _plan(self) -> None:
-        configuration = self._beliefs.configuration
+        configuration = self._cluster.configuration
         if configuration is None:
             return
         for service in configuration.services.values():
@@ -790,7 +788,7 @@
 
     async def _plan_service(self, service: routes.Service) -> None:
         now = self._clock.now()
-        targets = self._beliefs.able_owners(service)
+        targets = self._cluster.able_owners(service)
         keyed = self._services.get(service.name)
         if keyed is None:
             await self._first_table(service.name, targets, now)
@@ -807,7 +805,7 @@
         configured = self._settings.leader
         newest = max(
             entry.since
-            for entry in self._beliefs.directory
+            for entry in self._cluster.directory
             if entry.target.service == service
         )
         waited = self._clock.boot() - self._started
@@ -837,7 +835,7 @@
                 "leader", "table_refused", service=table.service, why=wrong
             )
             return False
-        settled = keyed.granting.settled()
+        settled = keyed.reconciler.settled()
         if settled:
             table = _without_settled(table, settled)
         pace = self._settings.leader.pace(len(table.ranges))
@@ -854,7 +852,7 @@
         if self._entry is not entry:
             return False
         if isinstance(written, result.Ok):
-            self._authority.confirm(asked)
+            self._lease.confirm(asked)
             self._take(keyed, table, written.ok_value)
             return True
         if isinstance(written.err_value, errors.Failure):
@@ -899,8 +897,8 @@
         keyed.table = table
         keyed.revision = revision
         self._services[table.service] = keyed
-        keyed.granting.follow(table)
-        keyed.granting.refenced(renewed)
+        keyed.reconciler.follow(table)
+        keyed.reconciler.refenced(renewed)
         self._published()
 
     async def hand_over(self, seconds: float) -> None:
@@ -929,7 +927,7 @@
                 name: {
                     "version": keyed.table.version,
                     "ranges": len(keyed.table.ranges),
-                    "grants": keyed.granting.dump(),
+                    "grants": keyed.reconciler.dump(),
                 }
                 for name, keyed in self._services.items()
             },
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/load_probing.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/load_probing.py
@@ -28,18 +28,18 @@
 
     __slots__ = (
         "_asking",
-        "_beliefs",
+        "_cluster",
         "_clock",
         "_events",
         "_health",
-        "_rooms",
+        "_balancer",
     )
 
     def __init__(
         self,
         health: ports.HealthPort,
         known: cluster_state.ClusterState,
-        rooms: load_balancing.LoadBalancer,
+        balancer: load_balancing.LoadBalancer,
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
@@ -48,14 +48,14 @@
         Args:
             health: Makes health checks.
             known: What this VM believes.
-            rooms: Loads of targets.
+            balancer: Loads of targets.
             timer: The clock.
             log: Where it logs.
         """
         self._asking: set[asyncio.Future[directory.Target | None]] = set()
         self._health = health
-        self._beliefs = known
-        self._rooms = rooms
+        self._cluster = known
+        self._balancer = balancer
         self._clock = timer
         self._events = log
 
@@ -107,20 +107,20 @@
         self, target: directory.Target, report: target_feedback.HealthReport
     ) -> bool:
         if report.cold_seconds:
-            self._beliefs.directory.note_cold(
+            self._cluster.directory.note_cold(
                 target.id, report.cold_seconds, self._clock.now()
             )
         notice = report.notice
-        self._beliefs.hear_notice(target, notice)
+        self._cluster.hear_notice(target, notice)
         if notice.load is None:
             return False
-        self._rooms.learn_load(target, notice.load)
+        self._balancer.learn_load(target, notice.load)
         return True
 
     def _failed(
         self, target: directory.Target, failure: errors.Failure
     ) -> None:
-        load = self._rooms.load(target.id)
+        load = self._balancer.load(target.id)
         if failure.kind is errors.ErrorKind.ANSWER_LOST:
             load.silent(self._clock.now())
         else:
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
@@ -83,18 +83,18 @@
 
     __slots__ = (
         "_address",
-        "_admitting",
+        "_admission",
         "_alive",
         "_answered",
-        "_beliefs",
+        "_cluster",
         "_boot",
         "_calls",
-        "_casualties",
+        "_crashes",
         "_clock",
         "_deaths",
         "_ended",
         "_events",
-        "_fellows",
+        "_peers",
         "_follows_asked",
         "_follows_store",
         "_found_at",
@@ -108,23 +108,23 @@
         "_report_due",
         "_reported_leaving",
         "_reported_at",
-        "_rooms",
+        "_balancer",
         "_session",
         "_settings",
-        "_stamp",
+        "_clock_offset",
         "_start_spread",
         "_started_at",
         "_store",
         "_store_seconds",
         "_tasks",
         "_turned_away",
-        "_turns",
+        "_queues",
         "_told_factors",
         "_told_leader",
         "_told_leaving",
         "_vms",
         "_vms_read_at",
-        "_watching",
+        "_watcher",
     )
 
     def __init__(
@@ -134,12 +134,12 @@
         store: ports.StorePort,
         calls: peer_calls.PeerCalls,
         known: cluster_state.ClusterState,
-        rooms: load_balancing.LoadBalancer,
+        balancer: load_balancing.LoadBalancer,
         leader: leader_role.LeaderRole,
         queues: wait_queues.WaitQueues,
-        places: admission_service.AdmissionService,
+        admission: admission_service.AdmissionService,
         watcher: store_watching.StoreWatcher,
-        dead: crash_detection.CrashDetector,
+        crashes: crash_detection.CrashDetector,
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
@@ -147,13 +147,13 @@
         self._boot = boot
         self._store = store
         self._calls = calls
-        self._beliefs = known
-        self._rooms = rooms
+        self._cluster = known
+        self._balancer = balancer
         self._leader = leader
-        self._turns = queues
-        self._admitting = places
-        self._watching = watcher
-        self._casualties = dead
+        self._queues = queues
+        self._admission = admission
+        self._watcher = watcher
+        self._crashes = crashes
         self._clock = timer
         self._events = log
         self._address = configured.vm.peers
@@ -174,10 +174,10 @@
         self._turned_away: collections.Counter[str] = collections.Counter()
         self._vms = 1
         self._vms_read_at = float("-inf")
-        self._fellows: tuple[messages.VmEntry, ...] = ()
+        self._peers: tuple[messages.VmEntry, ...] = ()
         self._told_factors: dict[str, float] = {}
         self._told_leader: leadership.LeaderEntry | None = None
-        self._stamp: freshness.ClockOffset | None = None
+        self._clock_offset: freshness.ClockOffset | None = None
         self._told_leaving: dict[str, int] = {}
         self._reported_leaving: dict[str, messages.LeavingTarget] = {}
         self._news_seen = 0
@@ -203,13 +203,13 @@
     @property
     def count(self) -> int:
         """How many VMs share the work, as far as is known; at least 1."""
-        return max(len(self._beliefs.vms), self._vms, 1)
+        return max(len(self._cluster.vms), self._vms, 1)
 
     def listens_on(self, address: str) -> None:
         """Takes the address on which this VM hears its peers."""
         self._address = address
         self._leader.address = address
-        self._admitting.address = address
+        self._admission.address = address
 
     def start(self) -> None:
         """Registers this VM and begins to report."""
@@ -248,7 +248,7 @@
     def ended(self, target: directory.Target) -> None:
         """Notes that another target answers at a target's address."""
         self._ended.append(messages.EndedTarget(target.id, target.born))
-        self._beliefs.end_target(target.id, target.born)
+        self._cluster.end_target(target.id, target.born)
 
     def turned_away(self, target: str) -> None:
         """Notes a request for which a target had no room.
@@ -284,9 +284,9 @@
         if self._leader.leading:
             seconds = 0.0
         return messages.LeaderContact(
-            self._beliefs.leader,
+            self._cluster.leader,
             seconds,
-            tuple(self._beliefs.assignments.values()),
+            tuple(self._cluster.assignments.values()),
         )
 
     def _made_at(self, told: messages.ReportReply) -> float | None:
@@ -296,7 +296,7 @@
             The time; None if it cannot be told, as nothing is known of that
             leader's clock.
         """
-        stamp = self._stamp if told.leader == self._told_leader else None
+        stamp = self._clock_offset if told.leader == self._told_leader else None
         if stamp is None or told.stamp is None:
             return None
         return stamp.from_peer(told.stamp)
@@ -310,14 +310,14 @@
             reply: What it has told.
             made_at: When it has made that, or earlier; None if unknown.
         """
-        self._beliefs.learn_limits(reply.limits)
-        self._beliefs.learn_leaving(reply.leaving)
+        self._cluster.learn_limits(reply.limits)
+        self._cluster.learn_leaving(reply.leaving)
         for assignment in reply.assignments:
-            self._beliefs.take_assignment(assignment)
+            self._cluster.take_assignment(assignment)
         for difference in reply.differences:
-            self._beliefs.take_difference(difference)
+            self._cluster.take_difference(difference)
         if reply.news is not None:
-            self._beliefs.take_news(reply.news, made_at)
+            self._cluster.take_news(reply.news, made_at)
 
     # Registration.
 
@@ -340,7 +340,7 @@
         if self._session:
             kept = await self._store.keep_session(self._session)
             if isinstance(kept, result.Ok):
-                self._beliefs.note_store(ok=True)
+                self._cluster.note_store(ok=True)
                 return True
             if isinstance(kept.err_value, ports.SessionLost):
                 self._events.write(
@@ -348,7 +348,7 @@
                 )
                 self._session = 0
             else:
-                self._beliefs.note_store(ok=False, why=kept.err_value.detail)
+                self._cluster.note_store(ok=False, why=kept.err_value.detail)
             return False
         asked = self._clock.now()
         opened = await self._store.open_session(self._settings.store.session)
@@ -378,9 +378,9 @@
         """Reads leader and tables from the store."""
         listed = await self._store.list(messages.STORE_PREFIX)
         if isinstance(listed, result.Err):
-            self._beliefs.note_store(ok=False, why=listed.err_value.detail)
+            self._cluster.note_store(ok=False, why=listed.err_value.detail)
             return False
-        self._beliefs.note_store(ok=True)
+        self._cluster.note_store(ok=True)
         for item in listed.ok_value.items:
             self._take_item(item)
         return True
@@ -391,7 +391,7 @@
         What was read lately will do.
         """
         now = self._clock.now()
-        if self._fellows and now - self._vms_read_at < _VMS_SECONDS:
+        if self._peers and now - self._vms_read_at < _VMS_SECONDS:
             return
         self._vms_read_at = now
         here = self._settings.vm.id
@@ -400,15 +400,15 @@
             listed = await self._store.list(group, stale=True)
             if isinstance(listed, result.Err):
                 return
-            found = self._beliefs.read_vms(listed.ok_value.items)
-            self._fellows = tuple(vm for vm in found if vm.id != here)
-            if len(self._fellows) >= _ASKED_PEERS:
+            found = self._cluster.read_vms(listed.ok_value.items)
+            self._peers = tuple(vm for vm in found if vm.id != here)
+            if len(self._peers) >= _ASKED_PEERS:
                 return
         listed = await self._store.list(messages.VM_PREFIX, stale=True)
         if isinstance(listed, result.Ok):
-            self._beliefs.take_vms(listed.ok_value.items)
-            everyone = self._beliefs.vms.values()
-            self._fellows = tuple(vm for vm in everyone if vm.id != here)
+            self._cluster.take_vms(listed.ok_value.items)
+            everyone = self._cluster.vms.values()
+            self._peers = tuple(vm for vm in everyone if vm.id != here)
 
     def _take_item(self, item: ports.Item) -> None:
         try:
@@ -419,7 +419,7 @@
             elif item.key.startswith(messages.TABLE_PREFIX):
                 table = messages.decode(item.value, ranges.RangeTable)
                 every = {part.piece for part in table.ranges}
-                self._beliefs.take_assignment(
+                self._cluster.take_assignment(
                     assignments.of_table(table, (0, table.version), every)
                 )
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -428,7 +428,7 @@
             )
 
     def _take_leader(self, entry: leadership.LeaderEntry) -> None:
-        if self._beliefs.take_leader(entry):
+        if self._cluster.take_leader(entry):
             self._heard_at = self._clock.now()
             self._leader.outranked_by(entry)
             self._report_due.set()
@@ -457,7 +457,7 @@
             reply = self._leader.take_report(report)
             self._take_reply(reply)
             return
-        leader = self._beliefs.leader
+        leader = self._cluster.leader
         if leader is not None and leader.vm != self._settings.vm.id:
             answer = await self._send_report(leader.address, report)
             if answer is not None:
@@ -469,7 +469,7 @@
     async def _without_leader(self) -> None:
         """Does what a VM does whose leader was not heard just now."""
         silent = self._clock.now() - self._heard_at
-        leader = self._beliefs.leader
+        leader = self._cluster.leader
         if silent > self._grace():
             # Its own watch is all that it has, and may have fallen silent.
             self._follow_store(
@@ -487,26 +487,26 @@
         While VMs start, targets register as well; each VM that followed that by
         itself would read as much as all others.
         """
-        led = self._beliefs.leader is not None
+        led = self._cluster.leader is not None
         grace = self._start_spread * (_LED_START_GRACE if led else _START_GRACE)
         started = self._clock.now() - self._started_at > grace
-        return 0.0 if started and self._beliefs.seen else grace
+        return 0.0 if started and self._cluster.seen else grace
 
     def _make_report(self) -> messages.Report:
         keys, self._keys = dict(self._keys), collections.defaultdict(list)
         misses, self._misses = tuple(self._misses), []
         wanted, self._turned_away = self._turned_away, collections.Counter()
-        wanted.update(self._turns.waiting())
-        wanted.update(self._admitting.waiting())
+        wanted.update(self._queues.waiting())
+        wanted.update(self._admission.waiting())
         ended, self._ended = tuple(self._ended), []
         deaths, self._deaths = tuple(self._deaths), []
         alive, self._alive = tuple(self._alive), set()
-        leader = self._beliefs.leader
+        leader = self._cluster.leader
         return messages.Report(
             self.entry,
-            self._beliefs.store_ok,
+            self._cluster.store_ok,
             keys,
-            self._rooms.own(),
+            self._balancer.own(),
             wanted,
             self._works(),
             self._changed_factors(),
@@ -514,19 +514,19 @@
             deaths,
             ended,
             misses,
-            self._beliefs.versions(),
-            self._beliefs.seen,
-            self._beliefs.version,
-            self._beliefs.configuration_seen,
+            self._cluster.versions(),
+            self._cluster.seen,
+            self._cluster.version,
+            self._cluster.configuration_seen,
             self._own_news(),
-            self._admitting.stopping,
+            self._admission.stopping,
             self._leader.longer_grants(),
             leader.epoch if leader else -1,
             self._leader.witness.promised(),
-            self._beliefs.evacuations,
-            self._beliefs.limits.unknown_to_leader(self._clock.now()),
+            self._cluster.evacuations,
+            self._cluster.limits.unknown_to_leader(self._clock.now()),
             self._untold_leaving(),
-            self._beliefs.rests.long(self._clock.now()),
+            self._cluster.backoffs.long(self._clock.now()),
             *self._complete_at(),
         )
 
@@ -537,11 +537,11 @@
             Times of the leader's clock; None for those that it cannot name or
             has from the leader itself.
         """
-        stamp = self._stamp
-        same = self._told_leader == self._beliefs.leader
+        stamp = self._clock_offset
+        same = self._told_leader == self._cluster.leader
         if stamp is None or not same or not self._follows_store:
             return None, None
-        views = self._beliefs.registrations.at, self._beliefs.operated.at
+        views = self._cluster.registrations.at, self._cluster.operated.at
         seen, operated = (
             None if at is None else stamp.to_peer(at) for at in views
         )
@@ -552,7 +552,7 @@
 
         Its next answer shows that it has.
         """
-        self._reported_leaving = self._beliefs.leaving_news()
+        self._reported_leaving = self._cluster.leaving_news()
         return tuple(
             run
             for name, run in self._reported_leaving.items()
@@ -564,7 +564,7 @@
         told = self._told_factors
         changed = {
             target: factor
-            for target, factor in self._rooms.factors().items()
+            for target, factor in self._balancer.factors().items()
             if abs(factor - told.get(target, 1.0)) > _FACTOR_NEWS * factor
         }
         told.update(changed)
@@ -577,10 +577,10 @@
         has asked to follow the store as well. Until it has answered, this VM
         does not know what it lacks, and would tell it everything.
         """
-        answered = self._told_leader == self._beliefs.leader
+        answered = self._told_leader == self._cluster.leader
         if self._leader.leading or not answered or not self._follows_asked:
             return None
-        return self._beliefs.news_after(
+        return self._cluster.news_after(
             self._news_seen, self._news_version, self._news_evacuations
         )
 
@@ -589,7 +589,7 @@
         here = self._settings.vm.id
         chosen = here in reply.watchers or self._leader.leading
         asked = self._reported_at
-        self._beliefs.note_views(
+        self._cluster.note_views(
             reply.seen,
             None if reply.seen_age is None else asked - reply.seen_age,
             reply.configuration,
@@ -601,7 +601,7 @@
         self._news_seen = reply.seen
         self._news_version = reply.configuration
         self._news_evacuations = reply.evacuations
-        self._beliefs.confirm_configuration(
+        self._cluster.confirm_configuration(
             reply.configuration,
             reply.configuration_seen,
             reply.evacuations.zones,
@@ -621,7 +621,7 @@
     ) -> None:
         """Has this VM follow the store itself, or rely on its leader."""
         self._follows_store = follows
-        self._watching.rely_on_leader(
+        self._watcher.rely_on_leader(
             not follows,
             patience=patience,
             closely=closely or self._leader.leading,
@@ -629,13 +629,15 @@
 
     def _works(self) -> dict[str, float]:
         """Returns the mean work of each keyed service's own routes."""
-        configuration = self._beliefs.configuration
+        configuration = self._cluster.configuration
         if configuration is None:
             return {}
         return {
-            route.parts[0].service: round(self._rooms.work(route.name, 0.0), 4)
+            route.parts[0].service: round(
+                self._balancer.work(route.name, 0.0), 4
+            )
             for route in configuration.routes
-            if len(route.parts) == 1 and self._rooms.work(route.name, 0.0)
+            if len(route.parts) == 1 and self._balancer.work(route.name, 0.0)
         }
 
     async def _send_report(
@@ -667,9 +669,9 @@
         self._leader.hear(reply)
         self._vms = reply.vms
         for death in reply.deaths:
-            self._casualties.learn(death, now)
+            self._crashes.learn(death, now)
         if reply.stamp is not None:
-            self._stamp = freshness.ClockOffset(
+            self._clock_offset = freshness.ClockOffset(
                 reply.stamp, self._reported_at, now
             )
         if reply.leader != self._told_leader:
@@ -681,9 +683,9 @@
             self._told_leaving = {
                 name: run.born for name, run in self._reported_leaving.items()
             }
-        self._rooms.learn_others(reply.under_way, now)
-        self._rooms.learn_gates(reply.gates, now)
-        self._beliefs.limits.take_told(reply.limits, now)
+        self._balancer.learn_others(reply.under_way, now)
+        self._balancer.learn_gates(reply.gates, now)
+        self._cluster.limits.take_told(reply.limits, now)
         self._take_told(reply, self._reported_at)
         self._rely(reply)
         self._answered.set()
@@ -701,10 +703,10 @@
         """Takes assignments that a leader has sent without being asked."""
         if told.leader is not None:
             self._take_leader(told.leader)
-        leader = self._beliefs.leader
+        leader = self._cluster.leader
         if not told.leading or told.leader != leader:
             return
-        self._rooms.learn_new_gates(told.gates)
+        self._balancer.learn_new_gates(told.gates)
         self._take_told(told, self._made_at(told))
         if told.take_over:
             self._take_over_soon()
@@ -745,14 +747,14 @@
         if silent < limit + self._look_wait():
             await self._find_leader(silent)
             return
-        if self._beliefs.leader is None:
+        if self._cluster.leader is None:
             wait = self._turn_wait(None)
             if silent < limit + wait:
                 await self._find_leader(silent)
                 return
         if not await (self.read_store() if self._few else self._read_leader()):
             return
-        leader = self._beliefs.leader
+        leader = self._cluster.leader
         if leader is not None and leader.vm != self._settings.vm.id:
             if self._clock.now() - self._heard_at < limit:
                 # The store named another one just now.
@@ -770,7 +772,7 @@
             silent: Seconds for which none was heard.
         """
         now = self._clock.now()
-        if self._beliefs.leader is not None:
+        if self._cluster.leader is not None:
             return
         if silent < _FIND_SECONDS or now - self._found_at < _FIND_SECONDS:
             return
@@ -788,9 +790,9 @@
         """Reads who leads; returns whether the store answered."""
         read = await self._store.read(messages.LEADER_KEY)
         if isinstance(read, result.Err):
-            self._beliefs.note_store(ok=False, why=read.err_value.detail)
+            self._cluster.note_store(ok=False, why=read.err_value.detail)
             return False
-        self._beliefs.note_store(ok=True)
+        self._cluster.note_store(ok=True)
         if read.ok_value is not None:
             self._take_item(read.ok_value)
         return True
@@ -820,7 +822,7 @@
 
     def _lot(self) -> float:
         """Returns a number from 0 to 1, another one in each epoch."""
-        leader = self._beliefs.leader
+        leader = self._cluster.leader
         epoch = leader.epoch if leader else 0
         mixed = f"{self._settings.vm.id}/{self._boot}/{epoch}".encode()
         return zlib.crc32(mixed) / _LOTS
@@ -848,7 +850,7 @@
             mixed = f"{entry.id}/{epoch}".encode()
             return entry.id == former, entry.order, zlib.crc32(mixed)
 
-        everyone = {**self._beliefs.vms, here.id: self.entry}
+        everyone = {**self._cluster.vms, here.id: self.entry}
         ranked = sorted(everyone.values(), key=order)
         return [entry.id for entry in ranked].index(here.id)
 
@@ -860,7 +862,7 @@
         """
         others = [
             entry
-            for entry in self._fellows or self._beliefs.vms.values()
+            for entry in self._peers or self._cluster.vms.values()
             if entry.id not in (leader.vm, self._settings.vm.id)
         ]
         others.sort(key=lambda _: self._clock.random())
@@ -891,7 +893,7 @@
         fresh = heard.seconds < self._settings.leader.suspect
         if fresh:
             for assignment in heard.assignments:
-                self._beliefs.take_assignment(assignment)
+                self._cluster.take_assignment(assignment)
         return fresh
 
     async def _take_over(self, why: str) -> None:
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/planning.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/planning.py
@@ -61,7 +61,7 @@
         "_lone_at",
         "_lone_key",
         "fast",
-        "granting",
+        "reconciler",
         "revision",
         "slow",
         "table",
@@ -71,13 +71,13 @@
         self,
         table: ranges.RangeTable,
         revision: int,
-        grants: grant_reconciliation.GrantReconciler,
+        reconciler: grant_reconciliation.GrantReconciler,
         fast: key_rates.KeyRates,
         slow: key_rates.KeyRates,
     ) -> None:
         self.table = table
         self.revision = revision
-        self.granting = grants
+        self.reconciler = reconciler
         self.fast = fast
         self.slow = slow
         self._lone_key: int | None = None
@@ -100,7 +100,7 @@
     """Chooses the next table of a service."""
 
     __slots__ = (
-        "_beliefs",
+        "_cluster",
         "_clock",
         "_events",
         "_factors_of",
@@ -109,21 +109,21 @@
         "_resting",
         "_settings",
         "_settled_at",
-        "_telling",
+        "_disseminator",
     )
 
     def __init__(
         self,
         configured: settings.GatewaySettings,
-        reports: dissemination.Disseminator,
+        disseminator: dissemination.Disseminator,
         known: cluster_state.ClusterState,
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
         """Makes one that has heard of no load yet."""
         self._settings = configured
-        self._telling = reports
-        self._beliefs = known
+        self._disseminator = disseminator
+        self._cluster = known
         self._clock = timer
         self._events = log
         self._factors_of: dict[str, dict[str, float]] = {}
@@ -161,7 +161,8 @@
             for owner in keyed.table.holders()
             if owner.id in present
             and (
-                present[owner.id] != owner or keyed.granting.needs_fence(owner)
+                present[owner.id] != owner
+                or keyed.reconciler.needs_fence(owner)
             )
         }
         if not renewed:
@@ -226,8 +227,8 @@
 
     def _hears_others(self) -> bool:
         """Whether reports are complete enough to judge load by them."""
-        fresh = self._telling.fresh()
-        known = len(self._beliefs.vms)
+        fresh = self._disseminator.fresh()
+        known = len(self._cluster.vms)
         return len(fresh) * 2 >= known
 
     def _capacity(
@@ -253,7 +254,7 @@
         self, capacity: Mapping[ranges.Holder, float], service: str
     ) -> dict[ranges.Holder, float]:
         """Returns capacities in requests a second."""
-        reports = self._telling.fresh().values()
+        reports = self._disseminator.fresh().values()
         works = [r.work[service] for r in reports if service in r.work]
         work = sum(works) / len(works) if works else _WORK_GUESS
         limits = self._limits(capacity, self._clock.now())
@@ -266,7 +267,7 @@
         self, holders: Iterable[ranges.Holder], now: float
     ) -> dict[ranges.Holder, float]:
         """Returns the limits that targets have named lately."""
-        named = self._beliefs.limits
+        named = self._cluster.limits
         earliest = now - _LIMIT_SECONDS
         found = {
             holder: named.rate_since(holder.id, holder.born, earliest)
@@ -314,7 +315,7 @@
         """Returns targets that want nothing from several VMs for long."""
         resting = collections.Counter(
             target
-            for vm in self._telling.fresh()
+            for vm in self._disseminator.fresh()
             for target, ends in self._resting.get(vm, {}).items()
             if now < ends
         )
@@ -322,7 +323,7 @@
 
     def _factors(self) -> dict[str, float]:
         """Returns the mean of what VMs say of each target's speed."""
-        fresh = self._telling.fresh()
+        fresh = self._disseminator.fresh()
         sums: dict[str, list[float]] = {}
         for vm, factors in self._factors_of.items():
             if vm in fresh:
@@ -338,7 +339,7 @@
     ) -> list[ranges.Holder]:
         """Returns owners that need to be relieved of all keys."""
         owners = keyed.table.holders()
-        silent = {o for o in owners if keyed.granting.silent(o)}
+        silent = {o for o in owners if keyed.reconciler.silent(o)}
         if len(silent) * 2 > len(owners) and len(owners) > 1:
             # It is this VM that is cut off, not most of the targets.
             self._events.write(
@@ -355,7 +356,7 @@
 
     def _settled(self, keyed: KeyedService) -> ranges.RangeTable | None:
         now = self._clock.now()
-        settled = keyed.granting.settled()
+        settled = keyed.reconciler.settled()
         if not settled or now - self._settled_at < _SETTLE_PAUSE:
             return None
         self._settled_at = now
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/store_watching.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/store_watching.py
@@ -45,7 +45,7 @@
 
     __slots__ = (
         "_anew",
-        "_beliefs",
+        "_cluster",
         "_clock",
         "_closely",
         "_events",
@@ -70,7 +70,7 @@
         self._settings = configured
         self._store = store
         self._records = records
-        self._beliefs = known
+        self._cluster = known
         self._clock = timer
         self._events = log
         self._patience = 0.0
@@ -119,8 +119,8 @@
             asyncio.create_task(
                 self._follow(
                     self._records.operator_prefix,
-                    lambda: self._beliefs.configuration_seen,
-                    self._beliefs.operated,
+                    lambda: self._cluster.configuration_seen,
+                    self._cluster.operated,
                     self._configuration_listed,
                     self._configuration_changed,
                 ),
@@ -129,8 +129,8 @@
             asyncio.create_task(
                 self._follow(
                     self._records.targets_prefix,
-                    lambda: self._beliefs.seen,
-                    self._beliefs.registrations,
+                    lambda: self._cluster.seen,
+                    self._cluster.registrations,
                     self._targets_listed,
                     self._targets_changed,
                 ),
@@ -191,9 +191,9 @@
             if found is None:
                 return None
             if isinstance(found, result.Ok):
-                self._beliefs.note_store(ok=True)
+                self._cluster.note_store(ok=True)
                 return found.ok_value, asked
-            self._beliefs.note_store(ok=False, why=found.err_value.detail)
+            self._cluster.note_store(ok=False, why=found.err_value.detail)
             await self._unless(
                 self._resting, asyncio.sleep(self._pause(failures))
             )
@@ -233,7 +233,7 @@
                 continue
             if isinstance(brought, result.Ok):
                 failures = 0
-                self._beliefs.note_store(ok=True)
+                self._cluster.note_store(ok=True)
                 at_once = self._clock.now() - asked < _AT_ONCE
                 # What came after a wait happened at its end.
                 since = view.at if at_once else None
@@ -265,7 +265,7 @@
             failures += 1
             if failures > 1:
                 # One that waits may be cut; the next one should not be.
-                self._beliefs.note_store(ok=False, why=why)
+                self._cluster.note_store(ok=False, why=why)
             await asyncio.sleep(self._pause(failures))
 
     def _wait(self, failures: int) -> float:
@@ -325,7 +325,7 @@
                 continue
             read = self._records.configuration(item.value)
             if isinstance(read, result.Ok):
-                self._beliefs.take_configuration(read.ok_value, "store")
+                self._cluster.take_configuration(read.ok_value, "store")
             else:
                 self._refuse("configuration", item, read.err_value)
 
@@ -342,7 +342,7 @@
         begun = self._evacuated(item.key for item in changes.items)
         ended = self._evacuated(key for key, _ in changes.removed)
         if begun or ended:
-            zones = set(self._beliefs.evacuations.zones)
+            zones = set(self._cluster.evacuations.zones)
             self._take_evacuated((zones | begun) - ended, changes.revision)
         self._seen_configuration(changes.revision)
 
@@ -352,26 +352,26 @@
         return {zone for zone in zones if zone is not None}
 
     def _take_evacuated(self, zones: Iterable[str], revision: int) -> None:
-        self._beliefs.take_evacuations(
+        self._cluster.take_evacuations(
             eligibility.Evacuations(tuple(sorted(zones)), revision)
         )
 
     def _seen_configuration(self, revision: int) -> None:
-        known = self._beliefs
+        known = self._cluster
         known.confirm_configuration(
             known.version, revision, known.evacuations.zones
         )
 
     def _targets_listed(self, listing: ports.Listing) -> None:
-        self._beliefs.take_targets(self._read(listing.items), listing.revision)
+        self._cluster.take_targets(self._read(listing.items), listing.revision)
 
     def _targets_changed(
         self, changes: ports.Changes, since: float | None
     ) -> None:
         self._targets_written(changes.items, since)
-        gone_since = self._beliefs.vanished_since(since)
+        gone_since = self._cluster.vanished_since(since)
         self._targets_removed(changes.removed, gone_since)
-        self._beliefs.seen = max(self._beliefs.seen, changes.revision)
+        self._cluster.seen = max(self._cluster.seen, changes.revision)
 
     def _targets_written(
         self, items: Iterable[ports.Item], since: float | None
@@ -404,7 +404,7 @@
         names = [target.id for target in targets]
         names += [name for name, _ in vanished]
         times = {} if since is None else dict.fromkeys(names, since)
-        self._beliefs.take_registrations(targets, vanished, times)
+        self._cluster.take_registrations(targets, vanished, times)
 
     def _read(self, items: Iterable[ports.Item]) -> list[directory.Target]:
         found = []
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/witnessing.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/witnessing.py
@@ -32,7 +32,7 @@
     """
 
     __slots__ = (
-        "_beliefs",
+        "_cluster",
         "_boot",
         "_clock",
         "_events",
@@ -63,7 +63,7 @@
         self._settings = configured
         self._boot = boot
         self._store = store
-        self._beliefs = known
+        self._cluster = known
         self._clock = timer
         self._events = log
         self._promises = lease_extension.Promises()
@@ -102,7 +102,7 @@
 
     def _may_follow(self, epoch: int) -> bool:
         """Whether no later leader is known than one of an epoch."""
-        known = self._beliefs.leader
+        known = self._cluster.leader
         return known is None or known.epoch <= epoch
 
     async def _reaches_store(self) -> bool:
@@ -110,12 +110,12 @@
             async with asyncio.timeout(self._settings.leader.extension_after):
                 read = await self._store.read(messages.LEADER_KEY)
         except TimeoutError:
-            self._beliefs.note_store(ok=False, why="no answer to a look")
+            self._cluster.note_store(ok=False, why="no answer to a look")
             return False
         if isinstance(read, result.Err):
-            self._beliefs.note_store(ok=False, why=read.err_value.detail)
+            self._cluster.note_store(ok=False, why=read.err_value.detail)
             return False
-        self._beliefs.note_store(ok=True)
+        self._cluster.note_store(ok=True)
         return True
 
 
@@ -124,7 +124,7 @@
 
     __slots__ = (
         "_asking",
-        "_authority",
+        "_lease",
         "_calls",
         "_clock",
         "_entry",
@@ -135,7 +135,7 @@
         "_revision",
         "_settings",
         "_store",
-        "_telling",
+        "_disseminator",
     )
 
     def __init__(
@@ -143,10 +143,10 @@
         configured: settings.GatewaySettings,
         entry: leadership.LeaderEntry,
         revision: int,
-        authority: leadership.LeaderLease,
+        lease: leadership.LeaderLease,
         store: ports.StorePort,
         calls: peer_calls.PeerCalls,
-        reports: dissemination.Disseminator,
+        disseminator: dissemination.Disseminator,
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
@@ -156,20 +156,20 @@
             configured: Settings of this VM.
             entry: The leader's entry.
             revision: Revision of the record in the store, 0 if there is none.
-            authority: What promises extend.
+            lease: What promises extend.
             store: The platform's store.
             calls: The way to peers.
-            reports: What VMs report.
+            disseminator: What VMs report.
             timer: The clock.
             log: Where it logs.
         """
         self._settings = configured
         self._entry = entry
         self._revision = revision
-        self._authority = authority
+        self._lease = lease
         self._store = store
         self._calls = calls
-        self._telling = reports
+        self._disseminator = disseminator
         self._clock = timer
         self._events = log
         self._record: lease_extension.Record | None = None
@@ -200,7 +200,7 @@
         now = self._clock.boot()
         if now - self._named_at < _NAME_SECONDS:
             return
-        if now < max(clear_at, self._authority.extended_until):
+        if now < max(clear_at, self._lease.extended_until):
             return
         able = self._able()
         present = {_identity(vm) for vm in able}
@@ -227,7 +227,7 @@
     ) -> None:
         """Writes a record; it counts once the store has acknowledged it."""
         # It may be in force from now on, and the one before as well.
-        self._authority.need_witnesses()
+        self._lease.need_witnesses()
         self._record = None
         self._named = ()
         key = messages.WITNESSES_KEY
@@ -273,7 +273,7 @@
         """Returns other VMs that report and are not stopping, best first."""
         able = [
             report.vm
-            for report in self._telling.fresh().values()
+            for report in self._disseminator.fresh().values()
             if report.vm.id != self._settings.vm.id and not report.stopping
         ]
         return sorted(able, key=lambda vm: (vm.order, vm.id))
@@ -283,12 +283,12 @@
     def ask(self) -> None:
         """Asks all witnesses for a promise, unless that is under way."""
         asked = self._asking is not None and not self._asking.done()
-        if self._record is None or asked or self._authority.extended:
+        if self._record is None or asked or self._lease.extended:
             return
         self._asking = asyncio.create_task(self._ask(), name="ask-witnesses")
 
     async def _ask(self) -> None:
-        confirmed = self._authority.confirmed
+        confirmed = self._lease.confirmed
         span = self._settings.leader.authority
         seconds = confirmed + span - self._clock.boot()
         if seconds <= 0:
@@ -298,7 +298,7 @@
             *(self._promised(vm, seconds) for vm in named)
         )
         if named == self._named and all(promised):
-            self._authority.extend(confirmed)
+            self._lease.extend(confirmed)
         self._events.write(
             "leader",
             "extension_asked",
--- a/tests/gateway/fleet.py
+++ b/tests/gateway/fleet.py
@@ -194,7 +194,7 @@
         vm = self._fleet.reaches(self._here, address)
         if vm is not None:
             loop = asyncio.get_running_loop()
-            loop.call_later(_WAY, vm.admitting.receive, self._here, message)
+            loop.call_later(_WAY, vm.admission.receive, self._here, message)
 
     async def call(self, address, path, body, timeout, *, fresh=False):
         """Makes a call."""
@@ -247,13 +247,13 @@
         timer, self.log = fleet.clock, fakes.Lines()
         self.name = name
         self.zone = zone
-        self.beliefs = cluster_state.ClusterState(configured, timer, self.log)
+        self.cluster = cluster_state.ClusterState(configured, timer, self.log)
         if not fleet.watched:
-            self.beliefs.take_configuration(fleet.configuration)
-            self.beliefs.take_targets(
+            self.cluster.take_configuration(fleet.configuration)
+            self.cluster.take_targets(
                 [target.registration for target in fleet.targets.values()]
             )
-        self.rooms = load_balancing.LoadBalancer(
+        self.balancer = load_balancing.LoadBalancer(
             place, base.vm.regions, configured.rooms
         )
         store = fakes.Cut(fleet.store)
@@ -269,48 +269,55 @@
             store,
             fleet.orders,
             channel,
-            self.beliefs,
+            self.cluster,
             timer,
             self.log,
         )
-        self.watching = store_watching.StoreWatcher(
+        self.watcher = store_watching.StoreWatcher(
             configured.store,
             store,
             records.Records(),
-            self.beliefs,
+            self.cluster,
             timer,
             self.log,
         )
-        queues, dead = wait_queues.WaitQueues(), crash_detection.CrashDetector()
-        self.admitting = admission_service.AdmissionService(
-            configured, channel, self.beliefs, timer
+        queues, crashes = (
+            wait_queues.WaitQueues(),
+            crash_detection.CrashDetector(),
+        )
+        self.admission = admission_service.AdmissionService(
+            configured, channel, self.cluster, timer
         )
         self.peers = membership.Membership(
             configured,
             boot,
             store,
             channel,
-            self.beliefs,
-            self.rooms,
+            self.cluster,
+            self.balancer,
             self.leading,
             queues,
-            self.admitting,
-            self.watching,
-            dead,
+            self.admission,
+            self.watcher,
+            crashes,
             timer,
             self.log,
         )
         pool = _Pool(fleet, name)
-        self.placing = dispatching.Dispatcher(
+        self.dispatcher = dispatching.Dispatcher(
             configured,
-            self.beliefs,
-            self.rooms,
+            self.cluster,
+            self.balancer,
             self.peers,
             queues,
-            self.admitting,
+            self.admission,
             timer,
             load_probing.LoadProber(
-                health.Health(pool), self.beliefs, self.rooms, timer, self.log
+                health.Health(pool),
+                self.cluster,
+                self.balancer,
+                timer,
+                self.log,
             ),
         )
         self.forwarding = forwarding.Forwarder(
@@ -318,18 +325,18 @@
             headers.NAMES,
             headers.read_notice,
             pool,
-            self.beliefs,
-            self.rooms,
+            self.cluster,
+            self.balancer,
             self.peers,
-            self.placing,
-            dead,
+            self.dispatcher,
+            crashes,
             metrics.Metrics({}),
             timer,
             self.log,
         )
         self.peers.listens_on(name)
         if fleet.watched:
-            self.watching.start()
+            self.watcher.start()
         self.peers.start()
 
     async def answer(self, path, body):
@@ -353,7 +360,7 @@
     def end(self):
         """Ends it as a kill would."""
         self.leading.step_down("end")
-        self.watching.stop()
+        self.watcher.stop()
         self.peers.abort()
 
 
@@ -488,7 +495,7 @@
     def take_target(self, registration):
         """Has all VMs hear of a registration."""
         for vm in self.vms.values():
-            vm.beliefs.take_target(registration)
+            vm.cluster.take_target(registration)
 
     def leader(self):
         """Returns the VM that leads."""
@@ -507,14 +514,14 @@
 
     def _serving(self):
         return all(
-            vm.beliefs.owner(KEYED, key)
+            vm.cluster.owner(KEYED, key)
             for vm in self.vms.values()
             for key in range(0, 65536, 4096)
         )
 
     def owner(self, key=0):
         """Returns the target that owns a key."""
-        return self.targets[self.leader().beliefs.owner(KEYED, key)]
+        return self.targets[self.leader().cluster.owner(KEYED, key)]
 
     async def call(self, seconds, rate, path, key=None, vms=()):
         """Has callers send requests at random times.
--- a/tests/gateway/test_bounded_targets.py
+++ b/tests/gateway/test_bounded_targets.py
@@ -157,7 +157,7 @@
             )
             for _ in range(3):
                 await asyncio.sleep(4.0)
-                gates = made.leader().rooms._gates
+                gates = made.leader().balancer._gates
                 gate = made.vms.get(gates.get(target.id))
                 for lost in {made.leader(), gate or made.leader()}:
                     made.vms.pop(lost.name).end()
@@ -247,7 +247,7 @@
                 limit=3.1, names_limit=True
             )
             await asyncio.sleep(2.0)
-            known = [vm.beliefs.limits.dump() for vm in made.vms.values()]
+            known = [vm.cluster.limits.dump() for vm in made.vms.values()]
             assert all(limits == {target.id: 3.1} for limits in known)
 
         _play(scenario, 10)
@@ -286,7 +286,7 @@
             lifted = virtual.now()
             await made.call(20.0, 120.0, path, key)
             assert _share(target, lifted + 12.0, lifted + 20.0) > 10.0
-            known = [vm.beliefs.limits.dump() for vm in made.vms.values()]
+            known = [vm.cluster.limits.dump() for vm in made.vms.values()]
             assert not any(known)
 
         _play(scenario, 10)
--- a/tests/gateway/test_candidates.py
+++ b/tests/gateway/test_candidates.py
@@ -26,24 +26,24 @@
 
     def __init__(self, *, keyed=False, rate=3.3):
         self.clock = fakes.VirtualClock()
-        self.beliefs = fakes.known(self.clock, fakes.Lines())
+        self.cluster = fakes.known(self.clock, fakes.Lines())
         self.service = routes.Service(
             "s", keyed=keyed, cold_seconds=3.0, cold_rate=rate
         )
-        self.beliefs.take_configuration(
+        self.cluster.take_configuration(
             routes.Configuration(2, services={"s": self.service})
         )
         for name, zone in (("a", "z"), ("b", "z"), ("c", "far")):
-            self.beliefs.take_target(fakes.target(name, zone=zone))
-        self.rooms = load_balancing.LoadBalancer(
+            self.cluster.take_target(fakes.target(name, zone=zone))
+        self.balancer = load_balancing.LoadBalancer(
             load_balancing.Location("z", "r"),
             {"z": "r"},
             load_balancing.Policy(),
         )
         self.candidates = candidates.Candidates(
             fakes.configured(),
-            self.beliefs,
-            self.rooms,
+            self.cluster,
+            self.balancer,
             Places(),
             self.clock,
             lambda: 3,
@@ -60,13 +60,13 @@
 
     def own(self, name):
         """Gives all keys to a target."""
-        self.beliefs.take_assignment(
+        self.cluster.take_assignment(
             assignments.Assignment("s", (1, 1), (0,), (name,))
         )
 
     def evacuate(self, *zones, revision=9):
         """Evacuates zones."""
-        self.beliefs.take_evacuations(
+        self.cluster.take_evacuations(
             eligibility.Evacuations(tuple(sorted(zones)), revision)
         )
 
@@ -170,10 +170,10 @@
         """Guards against a cold target that all VMs send to."""
 
         def check(world):
-            known = world.beliefs.directory
+            known = world.cluster.directory
             known.note_cold("a", 3.0, virtual.now())
             if sender:
-                world.rooms.learn_gates({"a": sender}, virtual.now())
+                world.balancer.learn_gates({"a": sender}, virtual.now())
             target = known.get("a").target
             for _ in range(sent):
                 world.candidates.sent(target, admitted=False)
--- a/tests/gateway/test_dispatching.py
+++ b/tests/gateway/test_dispatching.py
@@ -71,19 +71,19 @@
 
     def __init__(self):
         self.clock, self.log = fakes.VirtualClock(), fakes.Lines()
-        self.beliefs = fakes.known(
+        self.cluster = fakes.known(
             self.clock, self.log, fakes.target("a"), fakes.target("b")
         )
-        self.rooms = load_balancing.LoadBalancer(
+        self.balancer = load_balancing.LoadBalancer(
             load_balancing.Location("z", "r"),
             {"z": "r"},
             load_balancing.Policy(),
         )
         self.gate = Gate()
-        self.placing = dispatching.Dispatcher(
+        self.dispatcher = dispatching.Dispatcher(
             fakes.configured(),
-            self.beliefs,
-            self.rooms,
+            self.cluster,
+            self.balancer,
             Peers(),
             wait_queues.WaitQueues(),
             self.gate,
@@ -96,7 +96,7 @@
     def assign(self, owner):
         """Gives all keys to a target, or to none."""
         self._serial += 1
-        self.beliefs.take_assignment(
+        self.cluster.take_assignment(
             assignments.Assignment("s", (1, self._serial), (0,), (owner,))
         )
 
@@ -112,12 +112,12 @@
             now + seconds,
         )
         made.key = 7
-        made.ticket = self.placing.ticket(1)
+        made.ticket = self.dispatcher.ticket(1)
         return made
 
     def name_gate(self):
         """Has the leader name the target's gate."""
-        self.rooms.learn_gates({"a": GATE}, virtual.now())
+        self.balancer.learn_gates({"a": GATE}, virtual.now())
 
 
 def _play(scenario):
@@ -136,11 +136,11 @@
         async def scenario(world):
             world.name_gate()
             call = world.call()
-            target = (await world.placing.find(call)).ok_value
-            assert (target.id, world.rooms.load("a").own) == ("a", 1)
+            target = (await world.dispatcher.find(call)).ok_value
+            assert (target.id, world.balancer.load("a").own) == ("a", 1)
             call.answered = True
-            world.placing.leave(call, target)
-            assert world.rooms.load("a").own == 0
+            world.dispatcher.leave(call, target)
+            assert world.balancer.load("a").own == 0
             assert world.gate.given_back == [(world.gate.answer, True)]
 
         _play(scenario)
@@ -151,7 +151,7 @@
         async def scenario(world):
             world.name_gate()
             world.gate.answer = admission.Refusal(2.5)
-            failure = (await world.placing.find(world.call())).err_value
+            failure = (await world.dispatcher.find(world.call())).err_value
             assert failure.kind is errors.ErrorKind.OVERLOADED
             assert failure.retry_after == 2.5
 
@@ -163,7 +163,7 @@
         async def scenario(world):
             world.name_gate()
             world.gate.answer = None
-            target = (await world.placing.find(world.call())).ok_value
+            target = (await world.dispatcher.find(world.call())).ok_value
             assert target.id == "a"
             assert len(world.gate.asked) == 1
 
@@ -178,7 +178,7 @@
         async def scenario(world):
             world.name_gate()
             world.gate.seconds = 5.0
-            finding = asyncio.create_task(world.placing.find(world.call()))
+            finding = asyncio.create_task(world.dispatcher.find(world.call()))
             await asyncio.sleep(0.1)
             world.assign("b")
             target = (await finding).ok_value
@@ -199,8 +199,8 @@
             world.name_gate()
             world.gate.seconds = 2.5
             call = world.call(seconds=4.0)
-            finding = asyncio.create_task(world.placing.find(call))
-            world.beliefs.take_target(fakes.target("a", leaving=True))
+            finding = asyncio.create_task(world.dispatcher.find(call))
+            world.cluster.take_target(fakes.target("a", leaving=True))
             found = await finding
             assert found.is_err()
             assert len(world.gate.given_back) == 1
@@ -216,13 +216,13 @@
 
         async def scenario(world):
             world.name_gate()
-            finding = asyncio.create_task(world.placing.find(world.call()))
+            finding = asyncio.create_task(world.dispatcher.find(world.call()))
             await asyncio.sleep(seconds)
             finding.cancel()
             await asyncio.gather(finding, return_exceptions=True)
             await asyncio.sleep(0)
             assert world.gate.left + len(world.gate.given_back) == 1
-            assert world.rooms.load("a").own == 0
+            assert world.balancer.load("a").own == 0
 
         _play(scenario)
 
@@ -231,7 +231,7 @@
 
         async def scenario(world):
             world.name_gate()
-            await world.placing.find(world.call(latency=0.0))
+            await world.dispatcher.find(world.call(latency=0.0))
             assert world.gate.asked[0][3] == pytest.approx(1.5)
 
         _play(scenario)
@@ -245,7 +245,7 @@
 
         async def scenario(world):
             world.assign("")
-            finding = asyncio.create_task(world.placing.find(world.call()))
+            finding = asyncio.create_task(world.dispatcher.find(world.call()))
             await asyncio.sleep(0.3)
             world.assign("b")
             assert (await finding).ok_value.id == "b"
@@ -262,12 +262,12 @@
             world.assign("")
             await asyncio.sleep(0.8)
             began = virtual.now()
-            found = await world.placing.find(world.call(seconds=0.8))
+            found = await world.dispatcher.find(world.call(seconds=0.8))
             assert found.err_value.kind is errors.ErrorKind.NO_OWNER
             assert found.err_value.retry_after == pytest.approx(1.34, abs=0.01)
             assert virtual.now() == began
             patient = asyncio.create_task(
-                world.placing.find(world.call(seconds=3.0))
+                world.dispatcher.find(world.call(seconds=3.0))
             )
             await asyncio.sleep(1.3)
             world.assign("b")
@@ -286,10 +286,10 @@
             await asyncio.sleep(15.0)
             world.assign("")
             call = world.call()
-            call.deadline -= world.placing.latest_start(call) - virtual.now()
-            while world.placing.latest_start(call) <= virtual.now():
+            call.deadline -= world.dispatcher.latest_start(call) - virtual.now()
+            while world.dispatcher.latest_start(call) <= virtual.now():
                 call.deadline = math.nextafter(call.deadline, math.inf)
-            assert (await world.placing.find(call)).is_err()
+            assert (await world.dispatcher.find(call)).is_err()
 
         _play(scenario)
 
@@ -304,9 +304,9 @@
             world = World()
             call = world.call(seconds=4.0)
             began = virtual.now()
-            target = world.beliefs.directory.get("a").target
+            target = world.cluster.directory.get("a").target
             for _ in range(8):
-                await world.placing.await_reachable(call, target)
+                await world.dispatcher.await_reachable(call, target)
             assert 2.0 < virtual.now() - began < 3.0
 
         virtual.run(main())
@@ -317,12 +317,12 @@
         async def main():
             world = World()
             call = world.call(seconds=4.0)
-            target = world.beliefs.directory.get("a").target
+            target = world.cluster.directory.get("a").target
             call.unreachable = 8
             began = virtual.now()
             loop = asyncio.get_running_loop()
             loop.call_later(0.1, world.assign, "b")
-            await world.placing.await_reachable(call, target)
+            await world.dispatcher.await_reachable(call, target)
             assert virtual.now() - began < 0.2
 
         virtual.run(main())
@@ -333,9 +333,9 @@
         async def main():
             world = World()
             call = world.call(seconds=0.3)
-            target = world.beliefs.directory.get("a").target
+            target = world.cluster.directory.get("a").target
             call.unreachable = 8
-            await world.placing.await_reachable(call, target)
-            assert virtual.now() <= world.placing.latest_start(call) + 0.01
+            await world.dispatcher.await_reachable(call, target)
+            assert virtual.now() <= world.dispatcher.latest_start(call) + 0.01
 
         virtual.run(main())
--- a/tests/gateway/test_grant_reconciliation.py
+++ b/tests/gateway/test_grant_reconciliation.py
@@ -23,7 +23,7 @@
         self.clock = fakes.VirtualClock()
         self.log = fakes.Lines()
         self.orders = fakes.Orders()
-        self.beliefs = fakes.known(
+        self.cluster = fakes.known(
             self.clock,
             self.log,
             fakes.target("a", zone=zone),
@@ -32,10 +32,10 @@
         self.alive_at = {}
         self.authority = leadership.LeaderLease(1e9)
         self.authority.confirm(0.0)
-        self.granting = grant_reconciliation.GrantReconciler(
+        self.reconciler = grant_reconciliation.GrantReconciler(
             fakes.configured(trouble_after=1e9),
             self.orders,
-            self.beliefs,
+            self.cluster,
             self.clock,
             self.log,
             self.authority,
@@ -44,19 +44,19 @@
             lambda: None,
         )
         self.table = ranges.initial("s", {A: 1.0, B: 1.0}, "c1")
-        self.granting.follow(self.table)
+        self.reconciler.follow(self.table)
 
     def move(self, first, last, to):
         """Moves keys, as a commit would."""
         moves = [ranges.Move(first, last, to)]
         self.table = ranges.move(self.table, moves, "c")
-        self.granting.follow(self.table)
+        self.reconciler.follow(self.table)
 
     async def served(self, key, seconds=20.0):
         """Waits until the owner of a key has it; returns how long."""
         began = virtual.now()
         async with asyncio.timeout(seconds):
-            while self.table.find(key).piece not in self.granting.ready():
+            while self.table.find(key).piece not in self.reconciler.ready():
                 await asyncio.sleep(0.01)
         return virtual.now() - began
 
@@ -78,7 +78,7 @@
                 await asyncio.sleep(0.1)
                 assert rig.orders.holders(5) == {"a"}
                 assert rig.orders.holders(HALF) == {"b"}
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _play(main())
 
@@ -101,7 +101,7 @@
             assert rig.orders.holders(50) == {"b"}
             assert rig.orders.holders(100) == {"a"}
             assert rig.orders.clashes == []
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _play(main())
 
@@ -112,13 +112,13 @@
             rig = Rig()
             await rig.served(0)
             rig.move(1000, 1100, B)
-            assert rig.table.find(0).piece in rig.granting.ready()
+            assert rig.table.find(0).piece in rig.reconciler.ready()
             for _ in range(50):
                 await asyncio.sleep(0.1)
                 assert rig.orders.holders(5) == {"a"}
                 assert rig.orders.holders(2000) == {"a"}
             assert rig.orders.clashes == []
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _play(main())
 
@@ -135,10 +135,10 @@
             await asyncio.sleep(0.3)
             rig.orders._cut("a", 0, 9)
             assert rig.orders.holders(5) == set()
-            rig.granting.missed(5, "a")
+            rig.reconciler.missed(5, "a")
             await asyncio.sleep(0.02)
             assert rig.orders.holders(5) == {"a"}
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _play(main())
 
@@ -152,13 +152,13 @@
         async def main():
             rig = Rig()
             rig.table = msgspec.structs.replace(rig.table, hold=4.0)
-            rig.granting.follow(rig.table)
+            rig.reconciler.follow(rig.table)
             await asyncio.sleep(10.0)
             grants = [o for kind, n, o in rig.orders.log if kind == "grant"]
             assert {order.hold for order in grants[3:]} == {4.0}
             by_target = len(grants) / len(rig.table.holders())
             assert 9 <= by_target <= 13
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _play(main())
 
@@ -168,7 +168,7 @@
         async def main():
             rig = Rig()
             rig.table = msgspec.structs.replace(rig.table, hold=4.0)
-            rig.granting.follow(rig.table)
+            rig.reconciler.follow(rig.table)
             await asyncio.sleep(3.0)
             rig.orders.dead.add("a")
             rig.move(0, HALF - 1, B)
@@ -176,7 +176,7 @@
             await rig.served(0)
             assert virtual.now() - began > 2.9
             assert rig.orders.clashes == []
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _play(main())
 
@@ -198,13 +198,13 @@
             await rig.served(0)
             await asyncio.sleep(1.0)
             getattr(rig.orders, how).add("a")
-            while not rig.granting.silent(A):
+            while not rig.reconciler.silent(A):
                 await asyncio.sleep(0.01)
             rig.move(0, HALF - 1, B)
             gap = await rig.served(0)
             assert gap < 2.4
             assert rig.orders.clashes == []
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _play(main())
 
@@ -221,7 +221,7 @@
             rig.orders.work = 60.0
             rig.move(0, 99, B)
             assert await rig.served(0) < 2.4
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _play(main())
 
@@ -242,12 +242,12 @@
             rig.orders.log.clear()
             await asyncio.sleep(1.0)
             assert not [x for x in rig.orders.log if x[1] == "a"]
-            assert rig.granting.needs_fence(A)
+            assert rig.reconciler.needs_fence(A)
             again = ranges.Holder("a", 2, "a:80")
             rig.table = ranges.refence(rig.table, {A: again}, "c2")
-            rig.granting.follow(rig.table)
+            rig.reconciler.follow(rig.table)
             assert await rig.served(0) < 0.1
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _play(main())
 
@@ -263,9 +263,9 @@
             await rig.served(0)
             rig.orders.dead.add("a")
             rig.move(0, HALF - 1, B)
-            rig.beliefs.take_target(fakes.target("a", born=2))
+            rig.cluster.take_target(fakes.target("a", born=2))
             assert await rig.served(0) < 0.6
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _play(main())
 
@@ -280,8 +280,8 @@
             await rig.served(0)
             rig.orders._fences["a"].append((0, 9, 99))
             await asyncio.sleep(1.0)
-            assert rig.granting.needs_fence(A)
-            rig.granting.stop()
+            assert rig.reconciler.needs_fence(A)
+            rig.reconciler.stop()
 
         _play(main())
 
@@ -307,7 +307,7 @@
             await rig.served(0)
             await asyncio.sleep(4.0)
             assert rig.orders.clashes == []
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _play(main())
 
@@ -327,7 +327,7 @@
             rig.orders.delay = 0.0
             assert await rig.served(0) < 3.0
             assert rig.orders.clashes == []
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _play(main())
 
@@ -353,7 +353,7 @@
             await rig.served(0)
             await asyncio.sleep(3.0)
             assert rig.orders.clashes == []
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _play(main())
 
@@ -376,11 +376,11 @@
             for _ in range(11):
                 await asyncio.sleep(0.1)
                 rig.alive_at["a"] = rig.clock.boot()
-                assert not rig.granting.silent(A)
+                assert not rig.reconciler.silent(A)
             rig.orders.silent.clear()
             await asyncio.sleep(0.5)
-            assert not rig.granting.needs_fence(A)
-            rig.granting.stop()
+            assert not rig.reconciler.needs_fence(A)
+            rig.reconciler.stop()
 
         _play(main())
 
@@ -392,8 +392,8 @@
             await rig.served(0)
             rig.orders.silent.add("a")
             await asyncio.sleep(1.3)
-            assert rig.granting.silent(A)
-            rig.granting.stop()
+            assert rig.reconciler.silent(A)
+            rig.reconciler.stop()
 
         _play(main())
 
@@ -411,7 +411,7 @@
             await asyncio.sleep(0.2)
             rig.orders.silent.clear()
             assert await rig.served(0) < 0.8
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _play(main())
 
@@ -435,7 +435,7 @@
             rig.orders.log.clear()
             await asyncio.sleep(3.0)
             assert rig.orders.log == []
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _play(main())
 
@@ -475,6 +475,6 @@
             rig.move(0, HALF - 1, B)
             await rig.served(0)
             assert virtual.now() >= 6.04
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _play(main())
--- a/tests/gateway/test_leader_role.py
+++ b/tests/gateway/test_leader_role.py
@@ -24,7 +24,7 @@
         self.name = name
         self.clock = clock or fakes.VirtualClock()
         self.log = fakes.Lines()
-        self.beliefs = fakes.known(self.clock, self.log, *targets)
+        self.cluster = fakes.known(self.clock, self.log, *targets)
         configured = fakes.configured(settle=0.1, settle_most=0.2)
         vm = msgspec.structs.replace(configured.vm, id=name)
         self.leading = leader_role.LeaderRole(
@@ -33,7 +33,7 @@
             store,
             orders,
             peer_calls.PeerCalls(http_client.Pool(1.0), self.log),
-            self.beliefs,
+            self.cluster,
             self.clock,
             self.log,
         )
@@ -110,7 +110,7 @@
             assert await two.leading.take_over("test")
             version = _stored(store).version
             # The old leader sees a target leave and would move its keys.
-            one.beliefs.lose_target("a")
+            one.cluster.lose_target("a")
             await _until(lambda: not one.leading.leading)
             assert _stored(store).version == version
             await asyncio.sleep(3.0)
@@ -135,7 +135,7 @@
             store.slow_claims = 1.0
             taking = asyncio.create_task(two.leading.take_over("test"))
             await asyncio.sleep(0.2)
-            one.beliefs.lose_target("a")
+            one.cluster.lose_target("a")
             version = _stored(store).version
             await _until(lambda: _stored(store).version > version)
             assert await taking
@@ -236,7 +236,7 @@
         async def main():
             store, _, (one, two) = _world("vm-1", "vm-2")
             calls = Announced()
-            one.leading._telling._calls = calls
+            one.leading._disseminator._calls = calls
             await one.leading.take_over("test")
             await asyncio.sleep(0.2)
             assert calls.told == []
@@ -266,7 +266,7 @@
             await _until(lambda: len(orders.log) >= 400)
             await asyncio.sleep(0.5)
             assert all(_owned(orders, key) for key in (0, 30000, 65535))
-            known = one.beliefs.assignments["s"]
+            known = one.cluster.assignments["s"]
             assert all(known.owners)
             assert known.version[1] < 40
             one.leading.step_down("end")
@@ -289,7 +289,7 @@
             targets = [fakes.target(n) for n in ("a", "b", "c")]
             one = Vm("vm-1", store, orders, targets)
             calls = Announced()
-            one.leading._telling._calls = calls
+            one.leading._disseminator._calls = calls
             await one.leading.take_over("test")
             await asyncio.sleep(0.5)
             names = [f"vm-{n}" for n in range(2, 12)]
@@ -621,7 +621,7 @@
             await one.leading.take_over("test")
             await _until(lambda: _owned(orders, 0))
             store.loses = True
-            one.beliefs.take_target(fakes.target("a", leaving=True))
+            one.cluster.take_target(fakes.target("a", leaving=True))
             await _until(
                 lambda: "a" not in {h.id for h in _stored(store).holders()}
             )
@@ -695,7 +695,7 @@
 
         async def main():
             _, _, (one,) = _world("vm-1")
-            one.beliefs.take_leader(entry)
+            one.cluster.take_leader(entry)
             reply = one.leading.take_report(one.report())
             assert (reply.leading, reply.leader) == (False, entry)
 
@@ -795,7 +795,7 @@
             await one.leading.take_over("test")
             await _until(lambda: len(self._holders(orders)) >= per_zone)
             await asyncio.sleep(2.0)
-            one.beliefs.take_evacuations(eligibility.Evacuations(("z",), 9))
+            one.cluster.take_evacuations(eligibility.Evacuations(("z",), 9))
             await asyncio.sleep(1.0)
             assert all(n.startswith("far") for n in self._holders(orders))
             assert all(_owned(orders, k) for k in (0, 30000, 65535))
@@ -813,17 +813,17 @@
             await _until(lambda: _owned(orders, 0))
             await asyncio.sleep(1.0)
             evacuated = eligibility.Evacuations(("z",), 9)
-            one.beliefs.take_evacuations(evacuated)
+            one.cluster.take_evacuations(evacuated)
             await asyncio.sleep(0.3)
             one.leading.step_down("killed")
-            two.beliefs.take_evacuations(evacuated)
+            two.cluster.take_evacuations(evacuated)
             await two.leading.take_over("test")
             await asyncio.sleep(8.0)
             assert all(n.startswith("far") for n in self._holders(orders))
             assert orders.clashes == []
-            two.beliefs.take_evacuations(eligibility.Evacuations((), 11))
+            two.cluster.take_evacuations(eligibility.Evacuations((), 11))
             await asyncio.sleep(1.0)
-            two.beliefs.take_evacuations(eligibility.Evacuations(("far",), 12))
+            two.cluster.take_evacuations(eligibility.Evacuations(("far",), 12))
             await asyncio.sleep(4.0)
             assert all(n.startswith("z-") for n in self._holders(orders))
             assert orders.clashes == []
@@ -838,7 +838,7 @@
             orders, (one, _) = self._world(2)
             await one.leading.take_over("test")
             await _until(lambda: _owned(orders, 0))
-            one.beliefs.take_evacuations(
+            one.cluster.take_evacuations(
                 eligibility.Evacuations(("far", "z"), 9)
             )
             await asyncio.sleep(4.0)
--- a/tests/gateway/test_leaving_targets.py
+++ b/tests/gateway/test_leaving_targets.py
@@ -195,7 +195,7 @@
                     continue
                 made.revision += 1
                 for vm in made.vms.values():
-                    vm.beliefs.lose_target(target.id, made.revision)
+                    vm.cluster.lose_target(target.id, made.revision)
             if first:
                 _leave(target)
             await calling
--- a/tests/gateway/test_load_balancing.py
+++ b/tests/gateway/test_load_balancing.py
@@ -18,14 +18,14 @@
     )
 
 
-def _rooms():
+def _balancer():
     return load_balancing.LoadBalancer(
         load_balancing.Location("a1", "a"), REGIONS, load_balancing.Policy()
     )
 
 
-def _choose(rooms, targets, now=10.0):
-    return rooms.choose(targets, "r", 0.1, 100, 1, now, 0.0)
+def _choose(balancer, targets, now=10.0):
+    return balancer.choose(targets, "r", 0.1, 100, 1, now, 0.0)
 
 
 class TestChoose:
@@ -34,19 +34,19 @@
     def test_near_before_far(self):
         """With equal load the zone goes before the region and the link."""
         targets = [_target("x", "b1"), _target("y", "a2"), _target("z", "a1")]
-        assert _choose(_rooms(), targets).target.id == "z"
+        assert _choose(_balancer(), targets).target.id == "z"
 
     def test_large_answers_stay_near(self):
         """Downloads fill the link between regions and are paid for there.
 
         A short wait in the zone is better than a hundred kilobytes across.
         """
-        rooms = _rooms()
+        balancer = _balancer()
         for _ in range(200):
-            rooms.answered("r", "near", 0.1, 90_000, 10.0)
-        rooms.load("near").own = 6
+            balancer.answered("r", "near", 0.1, 90_000, 10.0)
+        balancer.load("near").own = 6
         targets = [_target("near"), _target("far", "b1")]
-        assert _choose(rooms, targets).target.id == "near"
+        assert _choose(balancer, targets).target.id == "near"
 
     @pytest.mark.parametrize(("under_way", "chosen"), [(5, "near"), (7, "far")])
     def test_near_only_within_the_target_latency(self, under_way, chosen):
@@ -55,73 +55,75 @@
         All targets of a zone are busy. Going to the next zone at once pays for
         bytes and gains callers nothing; staying for ever makes them wait.
         """
-        rooms = _rooms()
+        balancer = _balancer()
         for _ in range(30):
-            rooms.answered("r", "near", 0.1, 500_000, 10.0)
-        rooms.load("near").own = under_way
+            balancer.answered("r", "near", 0.1, 500_000, 10.0)
+        balancer.load("near").own = under_way
         targets = [_target("near"), _target("far", "a2")]
-        choice = rooms.choose(targets, "r", 0.1, 100, 1, 10.0, 0.0, latency=0.2)
+        choice = balancer.choose(
+            targets, "r", 0.1, 100, 1, 10.0, 0.0, latency=0.2
+        )
         assert choice.target.id == chosen
 
     def test_free_before_busy(self):
         """A target whose slots are taken loses to one in the next zone."""
-        rooms = _rooms()
-        rooms.load("x").own = 8
+        balancer = _balancer()
+        balancer.load("x").own = 8
         targets = [_target("x"), _target("y", "a2")]
-        assert _choose(rooms, targets).target.id == "y"
+        assert _choose(balancer, targets).target.id == "y"
 
     def test_others_requests_count(self):
         """What other VMs have under way fills a target as well."""
-        rooms = _rooms()
-        rooms.learn_others({"x": 9}, 10.0)
+        balancer = _balancer()
+        balancer.learn_others({"x": 9}, 10.0)
         targets = [_target("x"), _target("y", "a2")]
-        assert _choose(rooms, targets).target.id == "y"
+        assert _choose(balancer, targets).target.id == "y"
         # Old news count for nothing.
-        assert _choose(rooms, targets, now=20.0).target.id == "x"
+        assert _choose(balancer, targets, now=20.0).target.id == "x"
 
     def test_slow_target_gets_less(self):
         """A target turns slow; its answers show it."""
-        rooms = _rooms()
+        balancer = _balancer()
         for _ in range(30):
-            rooms.answered("r", "y", 0.1, 100, 10.0)
-            rooms.answered("r", "x", 0.6, 100, 10.0)
+            balancer.answered("r", "y", 0.1, 100, 10.0)
+            balancer.answered("r", "x", 0.6, 100, 10.0)
         targets = [_target("x"), _target("y", "a2")]
-        assert _choose(rooms, targets).target.id == "y"
+        assert _choose(balancer, targets).target.id == "y"
 
     def test_failing_target_gets_less_and_comes_back(self):
         """A target sheds half of its requests though its health is good."""
-        rooms = _rooms()
+        balancer = _balancer()
         for _ in range(10):
-            rooms.load("x").failed(10.0)
+            balancer.load("x").failed(10.0)
         targets = [_target("x"), _target("y", "a2")]
-        assert _choose(rooms, targets).target.id == "y"
-        assert _choose(rooms, targets, now=25.0).target.id == "x"
+        assert _choose(balancer, targets).target.id == "y"
+        assert _choose(balancer, targets, now=25.0).target.id == "x"
 
     def test_unreachable_target_rests(self):
         """A target that cannot be reached is left alone, not forgotten."""
-        rooms = _rooms()
-        rooms.load("x").unreachable(10.0)
+        balancer = _balancer()
+        balancer.load("x").unreachable(10.0)
         targets = [_target("x"), _target("y", "b1")]
-        assert _choose(rooms, targets).target.id == "y"
-        assert _choose(rooms, targets[:1]).target.id == "x"
+        assert _choose(balancer, targets).target.id == "y"
+        assert _choose(balancer, targets[:1]).target.id == "x"
 
     def test_full_targets_get_nothing(self):
         """Targets that never answer what they cannot queue are not filled.
 
         A request beyond the queue would hang with its connection.
         """
-        rooms = _rooms()
-        rooms.learn_others({"x": 12}, 10.0)
-        choice = _choose(rooms, [_target("x")])
+        balancer = _balancer()
+        balancer.learn_others({"x": 12}, 10.0)
+        choice = _choose(balancer, [_target("x")])
         assert choice.target is None
         assert 0 < choice.seconds < 1
 
     @pytest.mark.parametrize(("most", "full"), [(3, True), (4, False)])
     def test_own_share_of_connections(self, most, full):
         """One VM does not take all connections of a target."""
-        rooms = _rooms()
-        rooms.load("x").own = 3
-        assert rooms.full(_target("x"), most, 10.0) is full
+        balancer = _balancer()
+        balancer.load("x").own = 3
+        assert balancer.full(_target("x"), most, 10.0) is full
 
 
 class TestLoad:
@@ -148,14 +150,14 @@
 
     def test_forgets_targets_that_are_gone(self):
         """Targets come and go all day; what was learned of them goes too."""
-        rooms = _rooms()
-        rooms.load("x").own = 1
-        rooms.load("y")
-        rooms.forget_except([])
-        assert rooms.own() == {"x": 1}
-        rooms.load("x").own = 0
-        rooms.forget_except([])
-        assert rooms.factors() == {}
+        balancer = _balancer()
+        balancer.load("x").own = 1
+        balancer.load("y")
+        balancer.forget_except([])
+        assert balancer.own() == {"x": 1}
+        balancer.load("x").own = 0
+        balancer.forget_except([])
+        assert balancer.factors() == {}
 
 
 class TestOldCounts:
@@ -166,16 +168,16 @@
         targets = [_target(f"t{n}") for n in range(8)]
         got = collections.Counter()
         for vm in range(vms):
-            rooms = _rooms()
+            balancer = _balancer()
             # All were told the same: one target is empty.
             counts = {target.id: 4 for target in targets[1:]}
-            rooms.learn_others(counts, 10.0)
+            balancer.learn_others(counts, 10.0)
             for n in range(3):
                 jitter = ((vm * 3 + n) * 0.37) % 1
-                choice = rooms.choose(
+                choice = balancer.choose(
                     targets, "r", 0.1, 100, reckons_for, 10.0, jitter
                 )
-                rooms.load(choice.target.id).begin()
+                balancer.load(choice.target.id).begin()
                 got[choice.target.id] += 1
         return max(got.values())
 
@@ -192,13 +194,13 @@
 
         Others may have too; that is no reason to cross into another region.
         """
-        rooms = _rooms()
+        balancer = _balancer()
         near = [_target(f"n{n}") for n in range(2)]
         far = _target("f", zone="c")
-        rooms.learn_others({t.id: 0 for t in (*near, far)}, 10.0)
+        balancer.learn_others({t.id: 0 for t in (*near, far)}, 10.0)
         for target in near:
-            rooms.load(target.id).begin()
-        choice = rooms.choose([*near, far], "r", 0.1, 100, 67, 10.0, 0.0)
+            balancer.load(target.id).begin()
+        choice = balancer.choose([*near, far], "r", 0.1, 100, 67, 10.0, 0.0)
         assert choice.target.id != "f"
 
 
@@ -213,18 +215,18 @@
         get more than it can queue and never answer the rest; their callers
         would wait until their deadlines for nothing.
         """
-        rooms = _rooms()
-        rooms.learn_others({"x": 4 if vms > 1 else 0}, 10.0)
-        rooms.load("x").own = own
-        assert rooms.full_owner(_target("x"), vms, 10.0)
-        rooms.load("x").own = own - 1
-        assert not rooms.full_owner(_target("x"), vms, 10.0)
+        balancer = _balancer()
+        balancer.learn_others({"x": 4 if vms > 1 else 0}, 10.0)
+        balancer.load("x").own = own
+        assert balancer.full_owner(_target("x"), vms, 10.0)
+        balancer.load("x").own = own - 1
+        assert not balancer.full_owner(_target("x"), vms, 10.0)
 
     def test_free_slots_are_used(self):
         """Two requests for one key at once wait for nothing."""
-        rooms = _rooms()
-        rooms.load("x").own = 3
-        assert not rooms.full_owner(_target("x"), 75, 10.0)
+        balancer = _balancer()
+        balancer.load("x").own = 3
+        assert not balancer.full_owner(_target("x"), 75, 10.0)
 
 
 class TestGates:
@@ -232,16 +234,16 @@
 
     def test_named_by_the_leader(self):
         """A contended target has a gate, any other none."""
-        rooms = _rooms()
-        rooms.learn_gates({"x": "vm-2:1"}, 10.0)
-        assert rooms.gate("x", 10.1) == "vm-2:1"
-        assert rooms.gate("y", 10.1) is None
+        balancer = _balancer()
+        balancer.learn_gates({"x": "vm-2:1"}, 10.0)
+        assert balancer.gate("x", 10.1) == "vm-2:1"
+        assert balancer.gate("y", 10.1) is None
 
     def test_old_word_of_a_lost_leader(self):
         """The leader falls silent; gates may have changed since."""
-        rooms = _rooms()
-        rooms.learn_gates({"x": "vm-2:1"}, 10.0)
-        assert rooms.gate("x", 20.0) is None
+        balancer = _balancer()
+        balancer.learn_gates({"x": "vm-2:1"}, 10.0)
+        assert balancer.gate("x", 20.0) is None
 
     def test_silent_gate(self):
         """A gate is cut off from this VM.
@@ -249,12 +251,12 @@
         Its callers would wait for its word with each request; they are served
         without it, and it is asked again later.
         """
-        rooms = _rooms()
-        rooms.learn_gates({"x": "vm-2:1"}, 10.0)
-        rooms.gate_silent("vm-2:1", 10.0)
-        assert rooms.gate("x", 10.5) is None
-        rooms.learn_gates({"x": "vm-2:1"}, 11.5)
-        assert rooms.gate("x", 11.5) == "vm-2:1"
+        balancer = _balancer()
+        balancer.learn_gates({"x": "vm-2:1"}, 10.0)
+        balancer.gate_silent("vm-2:1", 10.0)
+        assert balancer.gate("x", 10.5) is None
+        balancer.learn_gates({"x": "vm-2:1"}, 11.5)
+        assert balancer.gate("x", 11.5) == "vm-2:1"
 
 
 class TestCompare:
@@ -262,12 +264,12 @@
 
     @staticmethod
     def _compare(loads, on_time=1.0, left=2.0):
-        rooms = _rooms()
+        balancer = _balancer()
         targets = []
         for name, said in loads.items():
             targets.append(_target(name, slots=2))
-            rooms.learn_load(targets[-1], target_feedback.TargetLoad(*said))
-        return rooms.compare(targets, "r", 0.2, 100, 10.0, on_time, left)
+            balancer.learn_load(targets[-1], target_feedback.TargetLoad(*said))
+        return balancer.compare(targets, "r", 0.2, 100, 10.0, on_time, left)
 
     @pytest.mark.parametrize(
         ("loads", "chosen"),
@@ -313,16 +315,16 @@
         The first guess of a route's work is too long, and every request waits
         at its target: without their answers it would stay so for ever.
         """
-        rooms = _rooms()
+        balancer = _balancer()
         target = _target("x", slots=2)
         guess, work = 0.5, 0.2
         loads = itertools.cycle([(2, 0, 2), (2, 1, 2)])
         for said in itertools.islice(loads, 200):
-            rooms.learn_load(target, target_feedback.TargetLoad(*said))
-            found = rooms.compare([target], "r", guess, 100, 10.0, 5.0, 5.0)
+            balancer.learn_load(target, target_feedback.TargetLoad(*said))
+            found = balancer.compare([target], "r", guess, 100, 10.0, 5.0, 5.0)
             seconds = work * found.runs
-            rooms.answered("r", "x", seconds / found.runs, 100, 10.0)
-        assert rooms.work("r", guess) == pytest.approx(work)
-        rooms.learn_load(target, target_feedback.TargetLoad(2, 3, 2))
-        found = rooms.compare([target], "r", guess, 100, 10.0, 1.0, 2.0)
+            balancer.answered("r", "x", seconds / found.runs, 100, 10.0)
+        assert balancer.work("r", guess) == pytest.approx(work)
+        balancer.learn_load(target, target_feedback.TargetLoad(2, 3, 2))
+        found = balancer.compare([target], "r", guess, 100, 10.0, 1.0, 2.0)
         assert found.target is target
--- a/tests/gateway/test_membership.py
+++ b/tests/gateway/test_membership.py
@@ -331,7 +331,7 @@
                 ENTRY, leading=True, gates={"a": "gate:1"}
             )
             made.take_push(told)
-            assert made._rooms.gate("a", virtual.now()) == "gate:1"
+            assert made._balancer.gate("a", virtual.now()) == "gate:1"
 
         _play(scenario)
 
@@ -396,7 +396,7 @@
             for vm in crowd.vms.values():
                 vm.start()
             await asyncio.sleep(4.0)
-            leaders = {vm._beliefs.leader for vm in crowd.vms.values()}
+            leaders = {vm._cluster.leader for vm in crowd.vms.values()}
             assert len(leaders) == 1
             whole = store.lists[messages.VM_PREFIX]
             whole += store.lists[messages.STORE_PREFIX]
@@ -416,13 +416,13 @@
             for vm in crowd.vms.values():
                 vm.start()
             await asyncio.sleep(4.0)
-            first = crowd.vms["vm-000"]._beliefs.leader
+            first = crowd.vms["vm-000"]._cluster.leader
             lost = crowd.vms.pop(first.vm)
             lost._leader.step_down("killed")
             lost.abort()
             store.lists.clear()
             await asyncio.sleep(4.0)
-            epochs = {vm._beliefs.leader.epoch for vm in crowd.vms.values()}
+            epochs = {vm._cluster.leader.epoch for vm in crowd.vms.values()}
             assert epochs == {first.epoch + 1}
             assert store.lists[messages.VM_PREFIX] < 40
             for vm in crowd.vms.values():
--- a/tests/gateway/test_news_histories.py
+++ b/tests/gateway/test_news_histories.py
@@ -111,8 +111,8 @@
         while virtual.now() < self._ends + 4.0:
             for name, vm in self.fleet.vms.items():
                 known = self._known[name]
-                if not known or known[-1][1] != vm.beliefs.version:
-                    known.append((virtual.now(), vm.beliefs.version))
+                if not known or known[-1][1] != vm.cluster.version:
+                    known.append((virtual.now(), vm.cluster.version))
             await asyncio.sleep(_LOOK_SECONDS)
 
     # The verdict.
--- a/tests/gateway/test_proofs.py
+++ b/tests/gateway/test_proofs.py
@@ -39,7 +39,7 @@
         self.orders = fakes.Orders()
         self.born = BORN
         self._revision = 10
-        self.beliefs = fakes.known(
+        self.cluster = fakes.known(
             self.clock,
             self.log,
             fakes.target("a", born=BORN),
@@ -47,10 +47,10 @@
         )
         authority = leadership.LeaderLease(1e9)
         authority.confirm(0.0)
-        self.granting = grant_reconciliation.GrantReconciler(
+        self.reconciler = grant_reconciliation.GrantReconciler(
             fakes.configured(trouble_after=1e9),
             self.orders,
-            self.beliefs,
+            self.cluster,
             self.clock,
             self.log,
             authority,
@@ -59,12 +59,12 @@
             lambda: None,
         )
         self.table = ranges.initial("s", {_run(BORN): 1.0, B: 1.0}, "c")
-        self.granting.follow(self.table)
+        self.reconciler.follow(self.table)
 
     def register(self, name="a", **changes):
         """Has the store show a registration."""
         self._revision += 1
-        self.beliefs.take_target(
+        self.cluster.take_target(
             fakes.target(name, revision=self._revision, **changes)
         )
 
@@ -91,7 +91,7 @@
     def vanishes(self):
         """Its registration lapses; it lives behind a cut, or leaves."""
         self._revision += 1
-        self.beliefs.lose_target("a", self._revision)
+        self.cluster.lose_target("a", self._revision)
 
     def starts_again(self):
         """It dies, and its next run registers."""
@@ -100,8 +100,8 @@
         self.registers()
         renewed = {_run(former): _run(self.born)}
         self.table = ranges.refence(self.table, renewed, "c")
-        self.granting.follow(self.table)
-        self.granting.refenced(renewed.values())
+        self.reconciler.follow(self.table)
+        self.reconciler.refenced(renewed.values())
 
     def starts_again_unseen(self):
         """It dies, and its next run has not registered yet."""
@@ -110,11 +110,11 @@
 
     def gets_new_fences(self):
         """It was silent, and the leader knows its former run only."""
-        known = self.beliefs.directory.get("a").target.born
+        known = self.cluster.directory.get("a").target.born
         renewed = {_run(known): _run(known)}
         self.table = ranges.refence(self.table, renewed, "c")
-        self.granting.follow(self.table)
-        self.granting.refenced(renewed)
+        self.reconciler.follow(self.table)
+        self.reconciler.refenced(renewed)
 
     def orders_lost(self):
         """Orders do not reach it any more."""
@@ -149,7 +149,7 @@
     def _move(self, first, last, to):
         moves = [ranges.Move(first, last, to)]
         self.table = ranges.move(self.table, moves, "c")
-        self.granting.follow(self.table)
+        self.reconciler.follow(self.table)
 
 
 _EVENTS = (
@@ -185,7 +185,7 @@
             event(world)
             await asyncio.sleep(pause)
         await asyncio.sleep(_GRANT_SECONDS + 0.5)
-        world.granting.stop()
+        world.reconciler.stop()
         return list(world.orders.clashes)
 
     return virtual.run(main())
@@ -221,7 +221,7 @@
                 grant_reconciliation.GrantReconciler,
                 "_run_ended",
                 lambda made, holder: (
-                    (entry := made._beliefs.directory.get(holder.id)) is None
+                    (entry := made._cluster.directory.get(holder.id)) is None
                     or entry.target.born != holder.born
                     or entry.standing is not directory.TargetStatus.READY
                 ),
@@ -294,7 +294,7 @@
 
         async def main():
             world = World()
-            known = world.beliefs.directory
+            known = world.cluster.directory
             known.end("a", BORN, 0.0)
             known.learn_run("a", BORN + 5, "a:81", 0.0)
             found = known.get("a").target
@@ -305,7 +305,7 @@
             assert known.get("a").target.born == BORN + 5
             known.learn_run("a", BORN, "a:80", 0.0)
             assert known.get("a").target.born == BORN + 5
-            world.granting.stop()
+            world.reconciler.stop()
 
         virtual.run(main())
 
@@ -315,10 +315,10 @@
         async def main():
             world = World()
             world.late_write_of_former_run()
-            assert world.beliefs.directory.get("a").target.born == BORN
+            assert world.cluster.directory.get("a").target.born == BORN
             assert world.log.named("older_run_registered") == [
                 {"target": "a", "born": BORN - 1, "known": BORN}
             ]
-            world.granting.stop()
+            world.reconciler.stop()
 
         virtual.run(main())
--- a/tests/gateway/test_reload.py
+++ b/tests/gateway/test_reload.py
@@ -33,7 +33,7 @@
         async def main():
             log = fakes.Lines()
             made = _daemon(log)
-            known = made._beliefs
+            known = made._cluster
             new = fakes.configured()
             new.bounds = settings.BoundSettings(drain=1.0, retry_fixed=9.0)
             made.take_settings(new)
@@ -42,7 +42,7 @@
             entry = known.directory.get("a")
             assert entry.standing is directory.TargetStatus.LEAVING
             assert entry.until == pytest.approx(entry.since + 0.9)
-            assert made._forwarding._settings.bounds.retry_fixed == 9.0
+            assert made._forwarder._settings.bounds.retry_fixed == 9.0
             assert log.named("settings_read")[0]["at_next_start"] == []
 
         virtual.run(main())
--- a/tests/gateway/test_store_watching.py
+++ b/tests/gateway/test_store_watching.py
@@ -46,7 +46,7 @@
         return await super().watch(prefix, after, wait)
 
 
-def _watching(store, *targets):
+def _watcher(store, *targets):
     """Makes a VM's view of the store; returns it with its beliefs and log."""
     timer, log = fakes.VirtualClock(), fakes.Lines()
     known = fakes.known(timer, log, *targets)
@@ -63,7 +63,7 @@
 
 def _play(scenario, store, known_up_to=0):
     async def main():
-        made, known, log = _watching(store, fakes.target("a"))
+        made, known, log = _watcher(store, fakes.target("a"))
         known.seen = known_up_to
         made.rely_on_leader(False)
         made.start()
@@ -189,7 +189,7 @@
         store = Slow()
 
         async def main():
-            made, _, log = _watching(store)
+            made, _, log = _watcher(store)
             made.rely_on_leader(False)
             made.start()
             await asyncio.sleep(1.0)
@@ -207,7 +207,7 @@
         store = Store()
 
         async def main():
-            made, _, _ = _watching(store)
+            made, _, _ = _watcher(store)
             made.rely_on_leader(False, patience=1.2)
             made.start()
             await asyncio.sleep(0.5)
@@ -274,7 +274,7 @@
         drain = fakes.configured().bounds.drain
 
         async def main():
-            made, known, _ = _watching(
+            made, known, _ = _watcher(
                 Changing(leaves_at), fakes.target("a", address="10.1.0.1:80")
             )
             known.seen = 40
@@ -308,7 +308,7 @@
             store.moods.append(ports.HistoryLost())
 
         async def main():
-            made, known, _ = _watching(store, fakes.target("a"))
+            made, known, _ = _watcher(store, fakes.target("a"))
             known.seen = 40
             made.start()
             known.registrations.note(virtual.now())
@@ -359,7 +359,7 @@
                 return brought
 
         async def main():
-            made, known, _ = _watching(HeldUp(), fakes.target("a"))
+            made, known, _ = _watcher(HeldUp(), fakes.target("a"))
             known.seen = known.configuration_seen = 40
             made.rely_on_leader(False)
             made.start()
@@ -381,7 +381,7 @@
         contact = 3.0
 
         async def main():
-            made, known, _ = _watching(store, fakes.target("a"))
+            made, known, _ = _watcher(store, fakes.target("a"))
             made.rely_on_leader(False)
             made.start()
             await asyncio.sleep(leads_at)
--- a/tests/gateway/test_witnessing.py
+++ b/tests/gateway/test_witnessing.py
@@ -51,7 +51,7 @@
         self.boot = boot
         self.store = fakes.Cut(fleet.store)
         self.log = fakes.Lines()
-        self.beliefs = fakes.known(
+        self.cluster = fakes.known(
             fleet.clock, self.log, *(fakes.target(n) for n in "abc")
         )
         configured = fakes.configured(settle=0.1, settle_most=0.2)
@@ -62,7 +62,7 @@
             self.store,
             fleet.orders,
             Calls(fleet, name),
-            self.beliefs,
+            self.cluster,
             fleet.clock,
             self.log,
         )
@@ -70,7 +70,7 @@
 
     def report(self):
         """Returns this VM's report."""
-        known = self.beliefs.leader
+        known = self.cluster.leader
         return messages.Report(
             messages.VmEntry(self.name, self.boot, self.name, self.name),
             store=self.store.failing is None,
@@ -112,7 +112,7 @@
         """The VM of the latest epoch that leads, None if none does."""
         leading_now = [v for v in self.vms.values() if v.leading.leading]
         return max(
-            leading_now, key=lambda v: v.beliefs.leader.epoch, default=None
+            leading_now, key=lambda v: v.cluster.leader.epoch, default=None
         )
 
     async def _report_on(self):
@@ -122,7 +122,7 @@
                 self._report(vm)
 
     def _report(self, vm):
-        known = vm.beliefs.leader
+        known = vm.cluster.leader
         other = self.vms.get(known.vm) if known else None
         if (
             other is None
@@ -131,7 +131,7 @@
         ):
             return
         reply = other.leading.take_report(vm.report())
-        if reply.leader is not None and vm.beliefs.take_leader(reply.leader):
+        if reply.leader is not None and vm.cluster.take_leader(reply.leader):
             vm.leading.outranked_by(reply.leader)
         if reply.leading:
             vm.leading.hear(reply)
@@ -143,8 +143,8 @@
             return
         for other in self.vms.values():
             apart = {name, other.name} & self.alone
-            if not apart and other.beliefs.take_leader(vm.beliefs.leader):
-                other.leading.outranked_by(vm.beliefs.leader)
+            if not apart and other.cluster.take_leader(vm.cluster.leader):
+                other.leading.outranked_by(vm.cluster.leader)
 
 
 async def _served(fleet, key, besides, seconds=30.0):
@@ -356,7 +356,7 @@
             request = messages.ExtensionRequest(1, vm.boot, 7.0)
             asked = asyncio.create_task(vm.leading.witness.answer(request))
             await asyncio.sleep(0.001)
-            vm.beliefs.take_leader(leadership.LeaderEntry("vm-3", "x", 2, ""))
+            vm.cluster.take_leader(leadership.LeaderEntry("vm-3", "x", 2, ""))
             assert not (await asked).promised
             fleet.stop()
 
@@ -372,8 +372,8 @@
         async def main():
             fleet = await _begun()
             fleet.start("vm-2")
-            known = fleet.vms["vm-1"].beliefs.leader
-            fleet.vms["vm-2"].beliefs.take_leader(known)
+            known = fleet.vms["vm-1"].cluster.leader
+            fleet.vms["vm-2"].cluster.take_leader(known)
             await asyncio.sleep(3.0)
             stored, _ = fleet.store.items[messages.WITNESSES_KEY]
             record = msgspec.json.decode(stored, type=lease_extension.Record)
@@ -451,7 +451,7 @@
     def target_leaves(self):
         """A target's registration vanishes; it lives behind a cut."""
         for vm in self.fleet.vms.values():
-            vm.beliefs.lose_target("a", 100)
+            vm.cluster.lose_target("a", 100)
 
     def target_dead(self):
         """No order reaches a target any more."""
