--- a/packages/mimosastile-core/src/mimosastile_core/gateway/directory.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/directory.py
@@ -129,7 +129,7 @@
         """Returns the entry of a target, None if it is unknown."""
         return self._entries.get(target)
 
-    def newer_run(self, target: Target) -> Target | None:
+    def newer_incarnation(self, target: Target) -> Target | None:
         """Returns the run that came after the one that registers, if any.
 
         A write to the store that got no answer may be carried out seconds
@@ -299,7 +299,7 @@
             and entry.standing is TargetStatus.ENDED
         )
 
-    def has_started_again(self, target: str, born: int) -> bool:
+    def has_restarted(self, target: str, born: int) -> bool:
         """Whether a later run of a target has registered than a given one.
 
         Args:
@@ -309,7 +309,7 @@
         entry = self._entries.get(target)
         return entry is not None and entry.target.born > born
 
-    def learn_run(
+    def record_incarnation(
         self, target: str, born: int, address: str, now: float
     ) -> None:
         """Takes the word of a table that a later run than the known one exists.
@@ -414,7 +414,7 @@
         entry = self._entries.get(target)
         return entry.warm_in(now) if entry else 0.0
 
-    def take_for_cold(
+    def mark_zone_cold(
         self, zone: str, seconds: Mapping[str, float], now: float
     ) -> None:
         """Takes the targets of a zone for cold for some time.
@@ -429,7 +429,7 @@
                 lasts = seconds.get(entry.target.service, 0.0)
                 entry.cold_until = max(entry.cold_until, now + lasts)
 
-    def note_cold(self, target: str, seconds: float, now: float) -> None:
+    def record_cold(self, target: str, seconds: float, now: float) -> None:
         """Notes that a target itself has said how long it stays cold."""
         entry = self._entries.get(target)
         if entry is not None:
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/former_leaders.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/former_leaders.py
@@ -96,7 +96,7 @@
             if not self._silent:
                 self.stopped(now)
 
-    def testify(
+    def record_promise(
         self,
         witness: lease_extension.Witness,
         promised: float | None,
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/leadership.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/leadership.py
@@ -110,7 +110,7 @@
         """
         return self._longer_until
 
-    def note_longer(self, until: float) -> None:
+    def record_extended_grant(self, until: float) -> None:
         """Notes when a longer grant will have run out."""
         self._longer_until = max(self._longer_until, until)
 
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/limits.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/limits.py
@@ -96,7 +96,7 @@
         self._refill(now)
         self._tokens -= 1.0
 
-    def own_wait(self, vms: int, now: float, *, alone: bool = False) -> float:
+    def share_wait(self, vms: int, now: float, *, alone: bool = False) -> float:
         """Returns the seconds until this VM may send one if it is not named.
 
         Args:
@@ -109,7 +109,7 @@
             return 0.0
         return period - since
 
-    def take_own(self, vms: int, now: float, *, alone: bool = False) -> None:
+    def take_share(self, vms: int, now: float, *, alone: bool = False) -> None:
         """Notes a request that this VM sends without being named."""
         self._used, _, _ = self._turn(vms, now, alone)
 
@@ -290,7 +290,9 @@
             if known.rate is not None or now - known.at < _LIFTED_SECONDS
         }
 
-    def take_told(self, told: Mapping[str, LimitUpdate], now: float) -> None:
+    def record_leader_view(
+        self, told: Mapping[str, LimitUpdate], now: float
+    ) -> None:
         """Notes what the leader knows, whether or not it is news here."""
         self._told = dict(told)
         self._known_at = now
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/load_balancing.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/load_balancing.py
@@ -139,7 +139,7 @@
         """Notes that a request is over."""
         self.own -= 1
 
-    def reckoned(
+    def estimated_requests(
         self, least_sent: int, slots: int, vms: int, now: float
     ) -> float:
         """Returns the requests under way there, as they may be by now.
@@ -296,7 +296,7 @@
         """Whether targets of a service have said what their load is."""
         return service in self._reporting
 
-    def learn_load(
+    def record_load(
         self,
         target: directory.Target,
         said: target_feedback.TargetLoad,
@@ -376,7 +376,7 @@
                 best = (cost, Choice(target, seconds, said.runs))
         return best[1] if best else Choice(None, soonest)
 
-    def learn_others(self, totals: dict[str, int], now: float) -> None:
+    def record_other_requests(self, totals: dict[str, int], now: float) -> None:
         """Takes the other VMs' counts; targets that are not named have 0."""
         for name, load in self._loads.items():
             load.others = totals.get(name, 0)
@@ -388,12 +388,12 @@
                 load.others = count
                 load.others_at = now
 
-    def learn_gates(self, gates: dict[str, str], now: float) -> None:
+    def replace_gates(self, gates: dict[str, str], now: float) -> None:
         """Takes the addresses of VMs that admit to contended targets."""
         self._gates = gates
         self._gates_at = now
 
-    def learn_new_gates(self, gates: dict[str, str]) -> None:
+    def add_gates(self, gates: dict[str, str]) -> None:
         """Takes gates beside the known ones, of targets just contended."""
         self._gates = {**self._gates, **gates}
 
@@ -406,7 +406,7 @@
             return None
         return found
 
-    def gate_silent(self, gate: str, now: float) -> None:
+    def record_silent_gate(self, gate: str, now: float) -> None:
         """Notes that a gate did not answer."""
         self._silent_gates[gate] = now + _GATE_REST
 
@@ -477,8 +477,10 @@
         work = self.work(route, guess) * load.factor
         if now < target.warm_at and load.samples < 5:
             work *= 2
-        reckoned = load.reckoned(least_sent, target.slots, vms, now)
-        ahead = reckoned + 1 - target.slots
+        estimated_requests = load.estimated_requests(
+            least_sent, target.slots, vms, now
+        )
+        ahead = estimated_requests + 1 - target.slots
         wait = max(ahead, 0) / target.slots * work
         return (work + wait) * (1 + _TROUBLE_WEIGHT * load.trouble(now))
 
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/admission_service.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/admission_service.py
@@ -296,13 +296,13 @@
             # Waits pass even if no place is given back.
             self._turn(asked.target)
 
-    def take_decision(self, decision: datagrams.Decision) -> None:
+    def receive_decision(self, decision: datagrams.Decision) -> None:
         """Takes a gate's word."""
         pending = self._pending.get(decision.number)
         if pending is not None and not pending.done():
             pending.set_result(decision)
 
-    def take_done(self, sender: str, done: datagrams.Done) -> None:
+    def receive_done(self, sender: str, done: datagrams.Done) -> None:
         """Takes places back."""
         now = self._clock.now()
         for places, answered in ((done.answered, True), (done.others, False)):
@@ -390,9 +390,9 @@
 def _(
     message: datagrams.Decision, service: AdmissionService, sender: str
 ) -> None:
-    service.take_decision(message)
+    service.receive_decision(message)
 
 
 @_receive.register
 def _(message: datagrams.Done, service: AdmissionService, sender: str) -> None:
-    service.take_done(sender, message)
+    service.receive_done(sender, message)
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/candidates.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/candidates.py
@@ -95,7 +95,7 @@
         if gate == self._admission.address:
             pace.take(now)
         else:
-            pace.take_own(self._count(), now, alone=gate is None)
+            pace.take_share(self._count(), now, alone=gate is None)
 
     def only_limited(self, call: pending.Call) -> directory.Target | None:
         """Returns a target if all that may run a request have named a limit.
@@ -226,7 +226,7 @@
         if vms == 1:
             # It leads and is the sender, or knows nobody yet.
             return _NOBODY_SECONDS
-        return pace.own_wait(vms, now, alone=gate is None)
+        return pace.share_wait(vms, now, alone=gate is None)
 
     def _cold_wait(self, target: directory.Target, call: pending.Call) -> float:
         """Returns the seconds until this VM may send to a cold target.
@@ -311,7 +311,7 @@
         if why is None:
             return None
         evacuated = why is eligibility.Exclusion.EVACUATED
-        if evacuated and self._cluster.able_owners(call.service):
+        if evacuated and self._cluster.eligible_owners(call.service):
             return None
         return _no_place(f"{owner.id} in {owner.zone} is {why.value}")
 
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/cluster_state.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/cluster_state.py
@@ -180,7 +180,7 @@
         for callback in self._subscribers:
             callback()
 
-    def take_configuration(
+    def apply_configuration(
         self, new: routes.Configuration, source: str = ""
     ) -> bool:
         """Takes a configuration unless a newer one is in force.
@@ -205,7 +205,7 @@
         self.signal()
         return True
 
-    def take_evacuations(self, new: eligibility.Evacuations) -> None:
+    def apply_evacuations(self, new: eligibility.Evacuations) -> None:
         """Takes the evacuated zones unless newer ones are known."""
         known = self.evacuations
         if new.revision <= known.revision:
@@ -224,7 +224,7 @@
         cold = self._cold_seconds()
         for zone in ended:
             # Its targets may be cold, and say so in a heartbeat or two.
-            self.directory.take_for_cold(zone, cold, now)
+            self.directory.mark_zone_cold(zone, cold, now)
         self._events.write(
             "targets",
             "evacuations_taken",
@@ -287,7 +287,9 @@
             if entry.warm_in(now) > 0 and entry.target.service in bounded
         ]
 
-    def able_owners(self, service: routes.Service) -> list[directory.Target]:
+    def eligible_owners(
+        self, service: routes.Service
+    ) -> list[directory.Target]:
         """Returns the targets of a service that should own its keys.
 
         Cold ones do so only if there is no other: each would serve a few
@@ -307,7 +309,7 @@
         warm = [t for t in placed if not self.directory.warm_in(t.id, now)]
         return warm or placed
 
-    def take_vms(self, items: Iterable[ports.Item]) -> None:
+    def replace_vms(self, items: Iterable[ports.Item]) -> None:
         """Takes the list of registered VMs."""
         self.vms = {entry.id: entry for entry in self.read_vms(items)}
 
@@ -325,11 +327,11 @@
                 )
         return vms
 
-    def take_target(self, target: directory.Target) -> None:
+    def apply_target(self, target: directory.Target) -> None:
         """Takes a target's registration."""
-        self.take_registrations((target,))
+        self.apply_registrations((target,))
 
-    def take_registrations(
+    def apply_registrations(
         self,
         targets: Iterable[directory.Target],
         vanished: Iterable[tuple[str, int]] = (),
@@ -347,7 +349,7 @@
         now = self._clock.now()
         written = []
         for target in targets:
-            self._note_older_run(target)
+            self._log_older_incarnation(target)
             if self.directory.put(target, now, since.get(target.id)):
                 written.append(target)
         gone = [
@@ -397,9 +399,9 @@
         entry = self.directory.get(target)
         return round(self._clock.now() - entry.since, 3) if entry else 0.0
 
-    def _note_older_run(self, target: directory.Target) -> None:
+    def _log_older_incarnation(self, target: directory.Target) -> None:
         """Logs a registration of a run that is known to be over."""
-        newer = self.directory.newer_run(target)
+        newer = self.directory.newer_incarnation(target)
         if newer is not None:
             self._events.write(
                 "targets",
@@ -409,7 +411,7 @@
                 known=newer.born,
             )
 
-    def hear_notice(
+    def apply_feedback(
         self,
         target: directory.Target,
         notice: target_feedback.TargetFeedback,
@@ -429,12 +431,12 @@
         news = False
         lifts = not notice.names_limit and sent_at > -math.inf
         if notice.limit is not None or lifts:
-            news = self.hear_limit(target, notice.limit, sent_at)
+            news = self.record_limit(target, notice.limit, sent_at)
         if notice.leaving:
-            news = self.hear_leaving(target) or news
+            news = self.record_leaving(target) or news
         return news
 
-    def hear_limit(
+    def record_limit(
         self, target: directory.Target, rate: float | None, sent_at: float
     ) -> bool:
         """Takes what a target has said of its limit in an answer.
@@ -455,7 +457,7 @@
         self.signal()
         return True
 
-    def learn_limits(self, told: Mapping[str, limits.LimitUpdate]) -> None:
+    def apply_limits(self, told: Mapping[str, limits.LimitUpdate]) -> None:
         """Takes what other VMs have heard of targets' limits."""
         now = self._clock.now()
         changed = [
@@ -486,7 +488,7 @@
             if entry and self.limits.pace(entry.target.id, entry.target.born)
         ]
 
-    def hear_leaving(self, target: directory.Target) -> bool:
+    def record_leaving(self, target: directory.Target) -> bool:
         """Takes a target's word in an answer that it is about to end.
 
         Returns:
@@ -499,7 +501,7 @@
         self.signal()
         return True
 
-    def learn_leaving(self, told: Iterable[messages.LeavingTarget]) -> None:
+    def apply_leaving(self, told: Iterable[messages.LeavingTarget]) -> None:
         """Takes what targets have said to other VMs of their leaving."""
         now = self._clock.now()
         news = [
@@ -523,7 +525,7 @@
             source=source,
         )
 
-    def leaving_news(self) -> dict[str, messages.LeavingTarget]:
+    def leaving_updates(self) -> dict[str, messages.LeavingTarget]:
         """Returns what targets have said of their leaving, by target."""
         now = self._clock.now()
         return {
@@ -536,7 +538,7 @@
             if entry.announced_at is not None
         }
 
-    def hear_rest(self, target: directory.Target, seconds: float) -> None:
+    def record_backoff(self, target: directory.Target, seconds: float) -> None:
         """Takes a target's word that it wants nothing from this VM.
 
         Args:
@@ -549,9 +551,9 @@
             "targets", "rest_asked", target=target.id, seconds=seconds
         )
 
-    def lose_target(self, target: str, revision: int = 0) -> None:
+    def remove_target(self, target: str, revision: int = 0) -> None:
         """Notes that a target's registration has vanished."""
-        self.take_registrations((), ((target, revision),))
+        self.apply_registrations((), ((target, revision),))
 
     def end_target(self, target: str, born: int) -> None:
         """Notes proof that a run of a target is over."""
@@ -561,13 +563,13 @@
             )
             self.signal()
 
-    def take_targets(
+    def replace_targets(
         self, targets: list[directory.Target], revision: int = 0
     ) -> None:
         """Takes the whole list of targets, as of a revision of the store."""
         now = self._clock.now()
         for target in targets:
-            self._note_older_run(target)
+            self._log_older_incarnation(target)
         changed = self.directory.replace(
             targets,
             now,
@@ -589,7 +591,7 @@
             )
             self.signal()
 
-    def take_assignment(self, new: assignments.Assignment) -> bool:
+    def apply_assignment(self, new: assignments.Assignment) -> bool:
         """Takes an assignment of keys unless a newer one is known."""
         known = self.assignments.get(new.service)
         if known is not None and new.version <= known.version:
@@ -599,16 +601,16 @@
         self.signal()
         return True
 
-    def take_difference(self, told: assignments.Difference) -> None:
+    def apply_difference(self, told: assignments.Difference) -> None:
         """Takes a change of an assignment if it is for the known one."""
         known = self.assignments.get(told.service)
         if known is None or told.version <= known.version:
             return
         made = assignments.apply(known, told)
         if made is not None:
-            self.take_assignment(made)
+            self.apply_assignment(made)
 
-    def news_after(
+    def updates_since(
         self,
         seen: int,
         configuration: int,
@@ -652,7 +654,7 @@
             present if moved else None,
         )
 
-    def take_news(
+    def apply_update(
         self, news: messages.StateUpdate, made_at: float | None = None
     ) -> None:
         """Takes what another VM has learned from the store.
@@ -665,16 +667,16 @@
         now = self._clock.now()
         made_at = now if made_at is None else min(made_at, now)
         if news.evacuations is not None:
-            self.take_evacuations(news.evacuations)
+            self.apply_evacuations(news.evacuations)
         if news.configuration is not None:
-            self.take_configuration(news.configuration, "leader")
+            self.apply_configuration(news.configuration, "leader")
         if news.change is not None and self.configuration is not None:
             # A change of another version than the known one is left out; the
             # next report says which one that is.
             made = configurations.apply(self.configuration, news.change)
             if made is not None:
-                self.take_configuration(made, "leader")
-        self.take_registrations(
+                self.apply_configuration(made, "leader")
+        self.apply_registrations(
             (
                 msgspec.structs.replace(
                     item.target, warm_at=now + item.warm_left
@@ -695,7 +697,7 @@
             # know all up to their end.
             self.seen = max(self.seen, news.revision)
 
-    def note_views(
+    def record_view_ages(
         self,
         seen: int,
         seen_at: float | None,
@@ -764,7 +766,7 @@
         if version == self.version and zones == self.evacuations.zones:
             self.configuration_seen = max(self.configuration_seen, revision)
 
-    def take_leader(self, new: leadership.LeaderEntry) -> bool:
+    def record_leader(self, new: leadership.LeaderEntry) -> bool:
         """Takes the leader unless one of a later epoch is known."""
         known = self.leader
         if known is not None and new.epoch <= known.epoch:
@@ -780,7 +782,7 @@
         )
         return True
 
-    def note_store(self, *, ok: bool, why: str = "") -> None:
+    def record_store_status(self, *, ok: bool, why: str = "") -> None:
         """Notes whether a call to the store was answered."""
         now = self._clock.now()
         if not ok:
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/daemon.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/daemon.py
@@ -481,14 +481,14 @@
             return self._leader_role.take_report(report)
         if path == messages.ASSIGN_PATH:
             told = messages.decode(body, messages.ReportReply)
-            self._membership.take_push(told)
+            self._membership.apply_push(told)
             return messages.UpdateAck()
         if path == messages.RELAY_PATH:
             return await self._membership.relay(
                 messages.decode(body, messages.Relay)
             )
         if path == messages.HEARD_PATH:
-            return self._membership.heard()
+            return self._membership.leader_contact()
         if path == messages.EXTEND_PATH:
             return await self._leader_role.witness.answer(
                 messages.decode(body, messages.ExtensionRequest)
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/dispatching.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/dispatching.py
@@ -343,7 +343,7 @@
             return None
         entered = entering.result()
         if entered is None:
-            self._balancer.gate_silent(gate, self._clock.now())
+            self._balancer.record_silent_gate(gate, self._clock.now())
             return None
         if isinstance(entered, admission_service.Permit):
             if not self._may_get(call, target) or self._closed(target):
@@ -353,7 +353,7 @@
                 return None
             call.place = entered
             return result.Ok(self._begin(call, target))
-        self._membership.turned_away(target.id)
+        self._membership.report_full_target(target.id)
         wait = self._relieved(call, target, entered.seconds)
         wait = max(wait, self._settings.requests.retry_after_least)
         kind = errors.ErrorKind.OVERLOADED
@@ -460,7 +460,7 @@
         kind = errors.ErrorKind.OVERLOADED
         owner = self._candidates.owner(call) if call.key is not None else None
         if owner is not None:
-            self._membership.turned_away(owner.id)
+            self._membership.report_full_target(owner.id)
         wait = min(choice.seconds * (ahead + 1), _LATEST_SECONDS)
         if owner is not None:
             wait = self._relieved(call, owner, wait)
@@ -482,7 +482,7 @@
             if wait:
                 return target.id, load_balancing.Choice(None, wait)
             if self._balancer.full_owner(target, self._membership.count, now):
-                self._membership.hurry()
+                self._membership.report_soon()
                 seconds = self._balancer.turn_seconds(
                     target, call.route.name, call.guess
                 )
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/dissemination.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/dissemination.py
@@ -223,7 +223,7 @@
             if vm.id != self._here:
                 self._start(self._announce(vm, body))
 
-    def ask_to_lead(self, vms: Iterable[messages.VmEntry]) -> None:
+    def request_takeover(self, vms: Iterable[messages.VmEntry]) -> None:
         """Asks VMs at once to take over.
 
         Args:
@@ -323,7 +323,7 @@
         known = self._cluster.assignments.get(present.service)
         if known is not None and assignments.same(known, present):
             return
-        self._cluster.take_assignment(present)
+        self._cluster.apply_assignment(present)
         self._told[present.service, present.version] = present
         while len(self._told) > _KEPT:
             del self._told[next(iter(self._told))]
@@ -340,17 +340,17 @@
             return nothing
         if vm.missed:
             vm.answered = True
-            return self.lacking(report)
+            return self.missing_updates(report)
         if vm.sending and self._clock.now() - vm.since > _SLOW_SECONDS:
             # Its connection may have fallen silent; that a target leaves or a
             # route has changed cannot wait until this is known.
-            return self.lacking(report).urgent()
+            return self.missing_updates(report).urgent()
         return nothing
 
-    def lacking(self, report: messages.Report) -> MissingUpdates:
+    def missing_updates(self, report: messages.Report) -> MissingUpdates:
         """Returns what a VM does not know by its report."""
         whole, changed = self._newer_than(report.versions)
-        news = self._cluster.news_after(
+        news = self._cluster.updates_since(
             report.seen, report.configuration, report.evacuations
         )
         return MissingUpdates(whole, changed, news)
@@ -406,7 +406,7 @@
             )
             if known not in bodies:
                 # Most VMs know the same; what they lack is worked out once.
-                bodies[known] = self._message(self.lacking(report))
+                bodies[known] = self._message(self.missing_updates(report))
             if bodies[known]:
                 batch = batches.setdefault(
                     (report.vm.zone, known), _Batch(bodies[known])
@@ -562,17 +562,17 @@
         # More may have happened meanwhile.
         self._wanted.set()
 
-    def _message(self, lacking: MissingUpdates) -> bytes:
+    def _message(self, missing_updates: MissingUpdates) -> bytes:
         """Returns the message with what VMs lack, empty for nothing."""
-        if lacking.nothing:
+        if missing_updates.nothing:
             return b""
         return messages.encode(
             messages.ReportReply(
                 self._entry,
                 leading=True,
-                assignments=lacking.assignments,
-                differences=lacking.differences,
-                news=lacking.news,
+                assignments=missing_updates.assignments,
+                differences=missing_updates.differences,
+                news=missing_updates.news,
                 stamp=self._clock.now(),
             )
         )
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
@@ -359,7 +359,7 @@
         self._balancer.load(target.id).unreachable(now)
         deaths = self._crashes.unreachable(target.id, now, self._clock.new_id())
         if deaths:
-            self._membership.died(deaths)
+            self._membership.report_crashes(deaths)
             self._events.write(
                 "requests",
                 "target_died",
@@ -477,14 +477,14 @@
             return
         notice = self._read_notice(reply.headers)
         if notice.load is not None:
-            self._balancer.learn_load(target, notice.load)
+            self._balancer.record_load(target, notice.load)
         sealed = reply.header(self._names.seal) is not None
         # Only an answer of the target's own work shows that it has no limit.
         sent_at = sent_at if sealed else -math.inf
-        if self._cluster.hear_notice(target, notice, sent_at):
-            self._membership.hurry()
+        if self._cluster.apply_feedback(target, notice, sent_at):
+            self._membership.report_soon()
         if reply.status == _TURNED_AWAY and notice.rest:
-            self._cluster.hear_rest(target, notice.rest)
+            self._cluster.record_backoff(target, notice.rest)
         for name, value in notice.unreadable:
             self._events.write(
                 "targets",
@@ -555,13 +555,15 @@
         elif failure.kind is errors.ErrorKind.WRONG_FENCE:
             call.rejects += 1
             if call.key is not None:
-                self._membership.missed(call.service.name, call.key, target.id)
+                self._membership.report_miss(
+                    call.service.name, call.key, target.id
+                )
             else:
                 load.failed(now)
         elif failure.kind is not errors.ErrorKind.UNREACHABLE:
             load.failed(now)
         if call.key is not None and failure.kind in _CROWDED:
-            self._membership.turned_away(target.id)
+            self._membership.report_full_target(target.id)
         if failure.kind is errors.ErrorKind.ANSWER_LOST:
             self._crashes.lost(target.id, call.fingerprint, now)
         self._events.write(
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/grant_reconciliation.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/grant_reconciliation.py
@@ -216,7 +216,7 @@
         at = self._alive_at.get(holder.id, float("-inf"))
         return self._clock.boot() - at < _ALIVE_SECONDS
 
-    def missed(self, key: int, target: str) -> None:
+    def record_miss(self, key: int, target: str) -> None:
         """Notes that a target has rejected a key that it should own."""
         if self._table is None:
             return
@@ -381,7 +381,7 @@
         """Takes what an owner says of itself; callers may ask it nothing."""
         entry = self._cluster.directory.get(holder.id)
         if entry is not None and entry.target.born == holder.born:
-            self._cluster.hear_notice(entry.target, notice)
+            self._cluster.apply_feedback(entry.target, notice)
 
     async def _grant(
         self, holder: ranges.Holder, owner: _Owner, state: _State
@@ -404,7 +404,9 @@
         if hold > self._hold:
             # Before it can arrive: a leader that is replaced meanwhile is
             # asked how long its grants last.
-            self._lease.note_longer(leadership.lapsed_at(latest, hold))
+            self._lease.record_extended_grant(
+                leadership.lapsed_at(latest, hold)
+            )
         self._exposures.setdefault(holder, []).append(exposure)
         order = ports.GrantOrder(
             item.first, item.last, item.fence, hold, state.handover
@@ -419,7 +421,7 @@
             exposure.until = leadership.lapsed_at(now, hold)
             exposure.until += self._held_up(holder)
             if hold > self._hold:
-                self._lease.note_longer(exposure.until)
+                self._lease.record_extended_grant(exposure.until)
         current = self._states.get(item.piece) is state
         if isinstance(answer, result.Ok):
             exposure.until = leadership.lapsed_at(now, hold)
@@ -581,7 +583,7 @@
             return False
         if self._clock.boot() < self._formers_lapse:
             return False
-        return known.has_started_again(holder.id, holder.born)
+        return known.has_restarted(holder.id, holder.born)
 
     def _prune(self) -> None:
         now = self._clock.boot()
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/leader_role.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/leader_role.py
@@ -224,14 +224,16 @@
         read = await self._store.read(messages.LEADER_KEY)
         if isinstance(read, result.Err):
             # A leader that is cut off as well then asks another VM.
-            self._cluster.note_store(ok=False, why=read.err_value.detail)
+            self._cluster.record_store_status(
+                ok=False, why=read.err_value.detail
+            )
             return False
         former = read.ok_value
         known = self._decoded(former, leadership.LeaderEntry)
         believed = self._cluster.leader
         if known and believed and known.epoch > believed.epoch:
             # Somebody was faster.
-            self._cluster.take_leader(known)
+            self._cluster.record_leader(known)
             return False
         epoch = max(
             known.epoch if known else 0, believed.epoch if believed else 0
@@ -348,7 +350,7 @@
             # There was none, or it was an earlier run of this daemon, whose
             # longer grants may still last.
             self._formers.stopped(now)
-        self._formers.testify(
+        self._formers.record_promise(
             self._witness.identity, self._witness.promised(), now
         )
         self._witnesses = witnessing.Witnesses(
@@ -365,7 +367,7 @@
         for key, item in items.items():
             if key.startswith(messages.TABLE_PREFIX):
                 self._load(item)
-        self._cluster.take_leader(entry)
+        self._cluster.record_leader(entry)
         self._tasks = [
             asyncio.create_task(self._plan_on(), name="plan"),
             asyncio.create_task(self._confirm_on(), name="confirm"),
@@ -384,7 +386,7 @@
             await asyncio.sleep(pause)
             listed = await self._store.list(messages.VM_PREFIX, stale=True)
             if isinstance(listed, result.Ok):
-                self._cluster.take_vms(listed.ok_value.items)
+                self._cluster.replace_vms(listed.ok_value.items)
                 fresh = self._disseminator.fresh()
                 self._disseminator.announce(
                     vm
@@ -425,7 +427,7 @@
         keyed = self._new_keyed(table, item.revision)
         self._services[table.service] = keyed
         for owner in table.holders():
-            self._cluster.directory.learn_run(
+            self._cluster.directory.record_incarnation(
                 owner.id, owner.born, owner.address, self._clock.now()
             )
         keyed.reconciler.follow(table)
@@ -489,23 +491,23 @@
         self._formers.follows(vm.id, boot, report.longer)
         if report.epoch >= self._entry.epoch:
             witness = lease_extension.Witness(vm.id, vm.boot)
-            self._formers.testify(witness, report.promised, boot)
+            self._formers.record_promise(witness, report.promised, boot)
         if report.news is not None:
-            self._cluster.take_news(report.news)
+            self._cluster.apply_update(report.news)
         self._cluster.confirm_configuration(
             report.configuration,
             report.configuration_seen,
             report.evacuations.zones,
         )
-        self._cluster.note_views(
+        self._cluster.record_view_ages(
             report.seen,
             report.seen_at,
             report.configuration,
             report.evacuations,
             report.configuration_at,
         )
-        self._cluster.learn_limits(report.limits)
-        self._cluster.learn_leaving(report.leaving)
+        self._cluster.apply_limits(report.limits)
+        self._cluster.apply_leaving(report.leaving)
         self._planner.learn(report)
         for service, keys in report.keys.items():
             keyed = self._services.get(service)
@@ -521,12 +523,12 @@
         for miss in report.misses:
             keyed = self._services.get(miss.service)
             if keyed is not None:
-                keyed.reconciler.missed(miss.key, miss.target)
+                keyed.reconciler.record_miss(miss.key, miss.target)
         self._disseminator.take(report)
         self._demand.take(vm.id, report.under_way, report.waiting, now)
         known = self._cluster.directory
         fresh = self._disseminator.fresh()
-        lacking = self._disseminator.answer(report)
+        missing_updates = self._disseminator.answer(report)
         return messages.ReportReply(
             self._entry,
             leading=True,
@@ -534,9 +536,9 @@
             longer=self._longer_seconds(),
             under_way=self._demand.busy(vm.id, vm.zone, known),
             gates=self._gates(fresh, now),
-            assignments=lacking.assignments,
-            differences=lacking.differences,
-            news=lacking.news,
+            assignments=missing_updates.assignments,
+            differences=missing_updates.differences,
+            news=missing_updates.news,
             seen=self._cluster.seen,
             configuration=self._cluster.version,
             configuration_seen=self._cluster.configuration_seen,
@@ -549,7 +551,7 @@
             limits=self._cluster.limits.news(now),
             leaving=tuple(
                 run
-                for run in self._cluster.leaving_news().values()
+                for run in self._cluster.leaving_updates().values()
                 if run.age < _LEAVING_TOLD
             ),
             stamp=now,
@@ -714,14 +716,14 @@
         if isinstance(read, result.Err):
             self._store_failed(read.err_value, asked)
             return
-        self._cluster.note_store(ok=True)
+        self._cluster.record_store_status(ok=True)
         self._store_failing_since = None
         self._successors.clear()
         self._lease.replaceable = False
         entry = self._decoded(read.ok_value, leadership.LeaderEntry)
         if entry is None or entry != self._entry:
             if entry is not None:
-                self._cluster.take_leader(entry)
+                self._cluster.record_leader(entry)
             self.step_down("the store names another leader")
             return
         self._lease.confirm(asked)
@@ -729,7 +731,7 @@
     def _store_failed(self, failure: errors.Failure, asked: float) -> None:
         """Notes that a call to the store that began at `asked` has failed."""
         now = self._clock.boot()
-        self._cluster.note_store(ok=False, why=failure.detail)
+        self._cluster.record_store_status(ok=False, why=failure.detail)
         if self._store_failing_since is None:
             self._store_failing_since = asked
         self._ask_witnesses()
@@ -755,7 +757,7 @@
         asked = self._successors.next(
             [vm.id for vm in able], self._clock.boot()
         )
-        self._disseminator.ask_to_lead(vm for vm in able if vm.id in asked)
+        self._disseminator.request_takeover(vm for vm in able if vm.id in asked)
         return asked
 
     def _able(self) -> list[messages.VmEntry]:
@@ -788,7 +790,7 @@
 
     async def _plan_service(self, service: routes.Service) -> None:
         now = self._clock.now()
-        targets = self._cluster.able_owners(service)
+        targets = self._cluster.eligible_owners(service)
         keyed = self._services.get(service.name)
         if keyed is None:
             await self._first_table(service.name, targets, now)
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/load_probing.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/load_probing.py
@@ -107,14 +107,14 @@
         self, target: directory.Target, report: target_feedback.HealthReport
     ) -> bool:
         if report.cold_seconds:
-            self._cluster.directory.note_cold(
+            self._cluster.directory.record_cold(
                 target.id, report.cold_seconds, self._clock.now()
             )
         notice = report.notice
-        self._cluster.hear_notice(target, notice)
+        self._cluster.apply_feedback(target, notice)
         if notice.load is None:
             return False
-        self._balancer.learn_load(target, notice.load)
+        self._balancer.record_load(target, notice.load)
         return True
 
     def _failed(
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
@@ -117,7 +117,7 @@
         "_store",
         "_store_seconds",
         "_tasks",
-        "_turned_away",
+        "_full_target_requests",
         "_queues",
         "_told_factors",
         "_told_leader",
@@ -171,7 +171,9 @@
         self._deaths: list[quarantine.Death] = []
         self._ended: list[messages.EndedTarget] = []
         self._misses: list[messages.OwnershipMiss] = []
-        self._turned_away: collections.Counter[str] = collections.Counter()
+        self._full_target_requests: collections.Counter[str] = (
+            collections.Counter()
+        )
         self._vms = 1
         self._vms_read_at = float("-inf")
         self._peers: tuple[messages.VmEntry, ...] = ()
@@ -241,7 +243,7 @@
         """Notes that a target answers."""
         self._alive.add(target)
 
-    def died(self, deaths: list[quarantine.Death]) -> None:
+    def report_crashes(self, deaths: list[quarantine.Death]) -> None:
         """Notes confirmed deaths of targets."""
         self._deaths.extend(deaths)
 
@@ -250,16 +252,16 @@
         self._ended.append(messages.EndedTarget(target.id, target.born))
         self._cluster.end_target(target.id, target.born)
 
-    def turned_away(self, target: str) -> None:
+    def report_full_target(self, target: str) -> None:
         """Notes a request for which a target had no room.
 
         Requests that are refused at once do not wait anywhere; the leader
         would not see that more is wanted of the target.
         """
-        self._turned_away[target] += 1
-        self.hurry()
+        self._full_target_requests[target] += 1
+        self.report_soon()
 
-    def hurry(self) -> None:
+    def report_soon(self) -> None:
         """Reports soon, since a target is full that has no gate yet."""
         if self._clock.now() - self._reported_at > _HURRIED_SECONDS:
             self._report_due.set()
@@ -270,15 +272,15 @@
         Args:
             seconds: Longest wait.
         """
-        self.hurry()
+        self.report_soon()
         await clock.wait(self._answered, seconds)
 
-    def missed(self, service: str, key: int, target: str) -> None:
+    def report_miss(self, service: str, key: int, target: str) -> None:
         """Notes that a target rejected a key that it should own."""
         if len(self._misses) < _KEYS_PER_REPORT:
             self._misses.append(messages.OwnershipMiss(service, key, target))
 
-    def heard(self) -> messages.LeaderContact:
+    def leader_contact(self) -> messages.LeaderContact:
         """Returns what this VM knows of the leader."""
         seconds = self._clock.now() - self._heard_at
         if self._leader.leading:
@@ -310,14 +312,14 @@
             reply: What it has told.
             made_at: When it has made that, or earlier; None if unknown.
         """
-        self._cluster.learn_limits(reply.limits)
-        self._cluster.learn_leaving(reply.leaving)
+        self._cluster.apply_limits(reply.limits)
+        self._cluster.apply_leaving(reply.leaving)
         for assignment in reply.assignments:
-            self._cluster.take_assignment(assignment)
+            self._cluster.apply_assignment(assignment)
         for difference in reply.differences:
-            self._cluster.take_difference(difference)
+            self._cluster.apply_difference(difference)
         if reply.news is not None:
-            self._cluster.take_news(reply.news, made_at)
+            self._cluster.apply_update(reply.news, made_at)
 
     # Registration.
 
@@ -340,7 +342,7 @@
         if self._session:
             kept = await self._store.keep_session(self._session)
             if isinstance(kept, result.Ok):
-                self._cluster.note_store(ok=True)
+                self._cluster.record_store_status(ok=True)
                 return True
             if isinstance(kept.err_value, ports.SessionLost):
                 self._events.write(
@@ -348,7 +350,9 @@
                 )
                 self._session = 0
             else:
-                self._cluster.note_store(ok=False, why=kept.err_value.detail)
+                self._cluster.record_store_status(
+                    ok=False, why=kept.err_value.detail
+                )
             return False
         asked = self._clock.now()
         opened = await self._store.open_session(self._settings.store.session)
@@ -378,9 +382,11 @@
         """Reads leader and tables from the store."""
         listed = await self._store.list(messages.STORE_PREFIX)
         if isinstance(listed, result.Err):
-            self._cluster.note_store(ok=False, why=listed.err_value.detail)
+            self._cluster.record_store_status(
+                ok=False, why=listed.err_value.detail
+            )
             return False
-        self._cluster.note_store(ok=True)
+        self._cluster.record_store_status(ok=True)
         for item in listed.ok_value.items:
             self._take_item(item)
         return True
@@ -406,7 +412,7 @@
                 return
         listed = await self._store.list(messages.VM_PREFIX, stale=True)
         if isinstance(listed, result.Ok):
-            self._cluster.take_vms(listed.ok_value.items)
+            self._cluster.replace_vms(listed.ok_value.items)
             everyone = self._cluster.vms.values()
             self._peers = tuple(vm for vm in everyone if vm.id != here)
 
@@ -419,7 +425,7 @@
             elif item.key.startswith(messages.TABLE_PREFIX):
                 table = messages.decode(item.value, ranges.RangeTable)
                 every = {part.piece for part in table.ranges}
-                self._cluster.take_assignment(
+                self._cluster.apply_assignment(
                     assignments.of_table(table, (0, table.version), every)
                 )
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -428,7 +434,7 @@
             )
 
     def _take_leader(self, entry: leadership.LeaderEntry) -> None:
-        if self._cluster.take_leader(entry):
+        if self._cluster.record_leader(entry):
             self._heard_at = self._clock.now()
             self._leader.outranked_by(entry)
             self._report_due.set()
@@ -495,7 +501,10 @@
     def _make_report(self) -> messages.Report:
         keys, self._keys = dict(self._keys), collections.defaultdict(list)
         misses, self._misses = tuple(self._misses), []
-        wanted, self._turned_away = self._turned_away, collections.Counter()
+        wanted, self._full_target_requests = (
+            self._full_target_requests,
+            collections.Counter(),
+        )
         wanted.update(self._queues.waiting())
         wanted.update(self._admission.waiting())
         ended, self._ended = tuple(self._ended), []
@@ -552,7 +561,7 @@
 
         Its next answer shows that it has.
         """
-        self._reported_leaving = self._cluster.leaving_news()
+        self._reported_leaving = self._cluster.leaving_updates()
         return tuple(
             run
             for name, run in self._reported_leaving.items()
@@ -580,7 +589,7 @@
         answered = self._told_leader == self._cluster.leader
         if self._leader.leading or not answered or not self._follows_asked:
             return None
-        return self._cluster.news_after(
+        return self._cluster.updates_since(
             self._news_seen, self._news_version, self._news_evacuations
         )
 
@@ -589,7 +598,7 @@
         here = self._settings.vm.id
         chosen = here in reply.watchers or self._leader.leading
         asked = self._reported_at
-        self._cluster.note_views(
+        self._cluster.record_view_ages(
             reply.seen,
             None if reply.seen_age is None else asked - reply.seen_age,
             reply.configuration,
@@ -621,7 +630,7 @@
     ) -> None:
         """Has this VM follow the store itself, or rely on its leader."""
         self._follows_store = follows
-        self._watcher.rely_on_leader(
+        self._watcher.set_leader_reliable(
             not follows,
             patience=patience,
             closely=closely or self._leader.leading,
@@ -683,9 +692,9 @@
             self._told_leaving = {
                 name: run.born for name, run in self._reported_leaving.items()
             }
-        self._balancer.learn_others(reply.under_way, now)
-        self._balancer.learn_gates(reply.gates, now)
-        self._cluster.limits.take_told(reply.limits, now)
+        self._balancer.record_other_requests(reply.under_way, now)
+        self._balancer.replace_gates(reply.gates, now)
+        self._cluster.limits.record_leader_view(reply.limits, now)
         self._take_told(reply, self._reported_at)
         self._rely(reply)
         self._answered.set()
@@ -699,14 +708,14 @@
         self._tasks.append(task)
         task.add_done_callback(self._tasks.remove)
 
-    def take_push(self, told: messages.ReportReply) -> None:
+    def apply_push(self, told: messages.ReportReply) -> None:
         """Takes assignments that a leader has sent without being asked."""
         if told.leader is not None:
             self._take_leader(told.leader)
         leader = self._cluster.leader
         if not told.leading or told.leader != leader:
             return
-        self._balancer.learn_new_gates(told.gates)
+        self._balancer.add_gates(told.gates)
         self._take_told(told, self._made_at(told))
         if told.take_over:
             self._take_over_soon()
@@ -723,7 +732,7 @@
         )
         # Others need not wait until this VM has taken it.
         await asyncio.sleep(0)
-        self.take_push(messages.decode(relay.told, messages.ReportReply))
+        self.apply_push(messages.decode(relay.told, messages.ReportReply))
         answers = await passing
         return messages.Relayed(
             tuple(
@@ -790,9 +799,11 @@
         """Reads who leads; returns whether the store answered."""
         read = await self._store.read(messages.LEADER_KEY)
         if isinstance(read, result.Err):
-            self._cluster.note_store(ok=False, why=read.err_value.detail)
+            self._cluster.record_store_status(
+                ok=False, why=read.err_value.detail
+            )
             return False
-        self._cluster.note_store(ok=True)
+        self._cluster.record_store_status(ok=True)
         if read.ok_value is not None:
             self._take_item(read.ok_value)
         return True
@@ -893,7 +904,7 @@
         fresh = heard.seconds < self._settings.leader.suspect
         if fresh:
             for assignment in heard.assignments:
-                self._cluster.take_assignment(assignment)
+                self._cluster.apply_assignment(assignment)
         return fresh
 
     async def _take_over(self, why: str) -> None:
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/planning.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/planning.py
@@ -83,7 +83,7 @@
         self._lone_key: int | None = None
         self._lone_at = 0.0
 
-    def note_moves(self, moves: Iterable[ranges.Move], now: float) -> None:
+    def record_moves(self, moves: Iterable[ranges.Move], now: float) -> None:
         """Remembers a single key that has just moved."""
         for move in moves:
             if move.first == move.last:
@@ -213,7 +213,7 @@
                 )
         if not moves:
             return None
-        keyed.note_moves(moves, now)
+        keyed.record_moves(moves, now)
         self._events.write(
             "leader",
             "moves",
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/store_watching.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/store_watching.py
@@ -81,7 +81,7 @@
         self._resting.set()
         self._tasks: list[asyncio.Task[None]] = []
 
-    def rely_on_leader(
+    def set_leader_reliable(
         self, relies: bool, *, patience: float = 0.0, closely: bool = False
     ) -> None:
         """Rests while a leader tells what the store holds, or goes on.
@@ -191,9 +191,11 @@
             if found is None:
                 return None
             if isinstance(found, result.Ok):
-                self._cluster.note_store(ok=True)
+                self._cluster.record_store_status(ok=True)
                 return found.ok_value, asked
-            self._cluster.note_store(ok=False, why=found.err_value.detail)
+            self._cluster.record_store_status(
+                ok=False, why=found.err_value.detail
+            )
             await self._unless(
                 self._resting, asyncio.sleep(self._pause(failures))
             )
@@ -233,7 +235,7 @@
                 continue
             if isinstance(brought, result.Ok):
                 failures = 0
-                self._cluster.note_store(ok=True)
+                self._cluster.record_store_status(ok=True)
                 at_once = self._clock.now() - asked < _AT_ONCE
                 # What came after a wait happened at its end.
                 since = view.at if at_once else None
@@ -265,7 +267,7 @@
             failures += 1
             if failures > 1:
                 # One that waits may be cut; the next one should not be.
-                self._cluster.note_store(ok=False, why=why)
+                self._cluster.record_store_status(ok=False, why=why)
             await asyncio.sleep(self._pause(failures))
 
     def _wait(self, failures: int) -> float:
@@ -325,7 +327,7 @@
                 continue
             read = self._records.configuration(item.value)
             if isinstance(read, result.Ok):
-                self._cluster.take_configuration(read.ok_value, "store")
+                self._cluster.apply_configuration(read.ok_value, "store")
             else:
                 self._refuse("configuration", item, read.err_value)
 
@@ -352,7 +354,7 @@
         return {zone for zone in zones if zone is not None}
 
     def _take_evacuated(self, zones: Iterable[str], revision: int) -> None:
-        self._cluster.take_evacuations(
+        self._cluster.apply_evacuations(
             eligibility.Evacuations(tuple(sorted(zones)), revision)
         )
 
@@ -363,7 +365,9 @@
         )
 
     def _targets_listed(self, listing: ports.Listing) -> None:
-        self._cluster.take_targets(self._read(listing.items), listing.revision)
+        self._cluster.replace_targets(
+            self._read(listing.items), listing.revision
+        )
 
     def _targets_changed(
         self, changes: ports.Changes, since: float | None
@@ -404,7 +408,7 @@
         names = [target.id for target in targets]
         names += [name for name, _ in vanished]
         times = {} if since is None else dict.fromkeys(names, since)
-        self._cluster.take_registrations(targets, vanished, times)
+        self._cluster.apply_registrations(targets, vanished, times)
 
     def _read(self, items: Iterable[ports.Item]) -> list[directory.Target]:
         found = []
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/witnessing.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/witnessing.py
@@ -110,12 +110,16 @@
             async with asyncio.timeout(self._settings.leader.extension_after):
                 read = await self._store.read(messages.LEADER_KEY)
         except TimeoutError:
-            self._cluster.note_store(ok=False, why="no answer to a look")
+            self._cluster.record_store_status(
+                ok=False, why="no answer to a look"
+            )
             return False
         if isinstance(read, result.Err):
-            self._cluster.note_store(ok=False, why=read.err_value.detail)
+            self._cluster.record_store_status(
+                ok=False, why=read.err_value.detail
+            )
             return False
-        self._cluster.note_store(ok=True)
+        self._cluster.record_store_status(ok=True)
         return True
 
 
--- a/tests/gateway/fleet.py
+++ b/tests/gateway/fleet.py
@@ -249,8 +249,8 @@
         self.zone = zone
         self.cluster = cluster_state.ClusterState(configured, timer, self.log)
         if not fleet.watched:
-            self.cluster.take_configuration(fleet.configuration)
-            self.cluster.take_targets(
+            self.cluster.apply_configuration(fleet.configuration)
+            self.cluster.replace_targets(
                 [target.registration for target in fleet.targets.values()]
             )
         self.balancer = load_balancing.LoadBalancer(
@@ -342,13 +342,13 @@
     async def answer(self, path, body):
         """Answers a peer's call."""
         if path == messages.ASSIGN_PATH:
-            self.peers.take_push(messages.decode(body, messages.ReportReply))
+            self.peers.apply_push(messages.decode(body, messages.ReportReply))
             return messages.encode(messages.UpdateAck())
         if path == messages.REPORT_PATH:
             report = messages.decode(body, messages.Report)
             return messages.encode(self.leading.take_report(report))
         if path == messages.HEARD_PATH:
-            return messages.encode(self.peers.heard())
+            return messages.encode(self.peers.leader_contact())
         if path == messages.RELAY_PATH:
             relay = messages.decode(body, messages.Relay)
             return messages.encode(await self.peers.relay(relay))
@@ -492,10 +492,10 @@
             self.vms[name].store.failing = None
             self.cut -= {(name, other) for other in self.vms}
 
-    def take_target(self, registration):
+    def apply_target(self, registration):
         """Has all VMs hear of a registration."""
         for vm in self.vms.values():
-            vm.cluster.take_target(registration)
+            vm.cluster.apply_target(registration)
 
     def leader(self):
         """Returns the VM that leads."""
--- a/tests/gateway/test_bounded_targets.py
+++ b/tests/gateway/test_bounded_targets.py
@@ -301,7 +301,7 @@
             await made.call(5.0, 120.0, "/p")
             del target.says["server-limit"]
             target.born = 2
-            made.take_target(target.registration)
+            made.apply_target(target.registration)
             began = virtual.now()
             await made.call(4.0, 120.0, "/p")
             assert _share(target, began, began + 4.0) > 10.0
--- a/tests/gateway/test_candidates.py
+++ b/tests/gateway/test_candidates.py
@@ -30,11 +30,11 @@
         self.service = routes.Service(
             "s", keyed=keyed, cold_seconds=3.0, cold_rate=rate
         )
-        self.cluster.take_configuration(
+        self.cluster.apply_configuration(
             routes.Configuration(2, services={"s": self.service})
         )
         for name, zone in (("a", "z"), ("b", "z"), ("c", "far")):
-            self.cluster.take_target(fakes.target(name, zone=zone))
+            self.cluster.apply_target(fakes.target(name, zone=zone))
         self.balancer = load_balancing.LoadBalancer(
             load_balancing.Location("z", "r"),
             {"z": "r"},
@@ -60,13 +60,13 @@
 
     def own(self, name):
         """Gives all keys to a target."""
-        self.cluster.take_assignment(
+        self.cluster.apply_assignment(
             assignments.Assignment("s", (1, 1), (0,), (name,))
         )
 
     def evacuate(self, *zones, revision=9):
         """Evacuates zones."""
-        self.cluster.take_evacuations(
+        self.cluster.apply_evacuations(
             eligibility.Evacuations(tuple(sorted(zones)), revision)
         )
 
@@ -171,9 +171,9 @@
 
         def check(world):
             known = world.cluster.directory
-            known.note_cold("a", 3.0, virtual.now())
+            known.record_cold("a", 3.0, virtual.now())
             if sender:
-                world.balancer.learn_gates({"a": sender}, virtual.now())
+                world.balancer.replace_gates({"a": sender}, virtual.now())
             target = known.get("a").target
             for _ in range(sent):
                 world.candidates.sent(target, admitted=False)
--- a/tests/gateway/test_cluster_state.py
+++ b/tests/gateway/test_cluster_state.py
@@ -46,12 +46,12 @@
         """
 
         def check(known):
-            known.take_news(_news(0, 5))
-            known.take_news(_news(7, 9, fakes.target("b", revision=9)))
+            known.apply_update(_news(0, 5))
+            known.apply_update(_news(7, 9, fakes.target("b", revision=9)))
             assert known.seen == 5
             assert known.directory.get("b")
             leaving = fakes.target("a", leaving=True, revision=6)
-            known.take_news(_news(5, 9, leaving))
+            known.apply_update(_news(5, 9, leaving))
             assert known.seen == 9
             standing = known.directory.get("a").standing
             assert standing is directory.TargetStatus.LEAVING
@@ -66,10 +66,10 @@
 
         def check(known):
             told = configurations.Change(5, 6)
-            known.take_news(messages.StateUpdate(0, 1, change=told))
+            known.apply_update(messages.StateUpdate(0, 1, change=told))
             assert known.version == 1
             told = configurations.Change(1, 6)
-            known.take_news(messages.StateUpdate(0, 1, change=told))
+            known.apply_update(messages.StateUpdate(0, 1, change=told))
             assert known.version == 6
 
         _play(check)
@@ -79,10 +79,10 @@
 
         def check(known):
             former = known.configuration
-            known.take_configuration(routes.Configuration(2, former.routes))
-            assert known.news_after(0, 1).change.base == 1
-            assert known.news_after(0, -1).configuration.version == 2
-            assert known.news_after(0, 2) is None
+            known.apply_configuration(routes.Configuration(2, former.routes))
+            assert known.updates_since(0, 1).change.base == 1
+            assert known.updates_since(0, -1).configuration.version == 2
+            assert known.updates_since(0, 2) is None
 
         _play(check)
 
@@ -118,7 +118,9 @@
 
         def check(known):
             for zones, revision in changes:
-                known.take_evacuations(eligibility.Evacuations(zones, revision))
+                known.apply_evacuations(
+                    eligibility.Evacuations(zones, revision)
+                )
             assert known.evacuations.zones == expected
 
         _play(check)
@@ -129,13 +131,13 @@
 
         def check(known):
             service = routes.Service("s", cold_seconds=3.0, cold_rate=rate)
-            known.take_configuration(
+            known.apply_configuration(
                 routes.Configuration(2, services={"s": service})
             )
-            known.take_target(fakes.target("x"))
-            known.take_evacuations(eligibility.Evacuations(("z",), 3))
+            known.apply_target(fakes.target("x"))
+            known.apply_evacuations(eligibility.Evacuations(("z",), 3))
             assert not known.cold_targets()
-            known.take_evacuations(eligibility.Evacuations((), 4))
+            known.apply_evacuations(eligibility.Evacuations((), 4))
             assert ("x" in known.cold_targets()) is cold
 
         _play(check)
@@ -145,7 +147,7 @@
 
         async def main():
             known = _known()
-            known.take_evacuations(eligibility.Evacuations(("z",), 3))
+            known.apply_evacuations(eligibility.Evacuations(("z",), 3))
             assert known.owner_excluded("z", ()) is None
             assert known.owner_excluded("z", ("q",)) is not None
             await asyncio.sleep(1.6)
@@ -159,7 +161,7 @@
         def check(known):
             known.confirm_configuration(known.version, 7, ("z",))
             assert known.configuration_seen == 0
-            known.take_evacuations(eligibility.Evacuations(("z",), 6))
+            known.apply_evacuations(eligibility.Evacuations(("z",), 6))
             known.confirm_configuration(known.version, 7, ("z",))
             assert known.configuration_seen == 7
 
@@ -190,16 +192,16 @@
                 "s", keyed=True, cold_seconds=3.0, cold_rate=3.3
             )
             route = fakes.route(regions=regions)
-            known.take_configuration(
+            known.apply_configuration(
                 routes.Configuration(2, (route,), {"s": service})
             )
             for name, zone in (("a", "z"), ("b", "z"), ("c", "far")):
                 warm_at = 3.0 if name in cold else 0.0
-                known.take_target(
+                known.apply_target(
                     fakes.target(name, zone=zone, warm_at=warm_at)
                 )
-            known.take_evacuations(eligibility.Evacuations(evacuated, 3))
-            assert {t.id for t in known.able_owners(service)} == expected
+            known.apply_evacuations(eligibility.Evacuations(evacuated, 3))
+            assert {t.id for t in known.eligible_owners(service)} == expected
 
         _play(check)
 
@@ -228,7 +230,7 @@
             known.seen = 5
             await asyncio.sleep(10.0)
             evacuations = eligibility.Evacuations(zones, 9 if zones else 0)
-            known.note_views(seen, 8.0, version, evacuations, 7.0)
+            known.record_view_ages(seen, 8.0, version, evacuations, 7.0)
             assert fakes.ages(known) == ages
 
         virtual.run(main())
--- a/tests/gateway/test_dispatching.py
+++ b/tests/gateway/test_dispatching.py
@@ -59,10 +59,10 @@
 
     count = 67
 
-    def turned_away(self, target):
+    def report_full_target(self, target):
         """Takes a refusal."""
 
-    def hurry(self):
+    def report_soon(self):
         """Takes word of a full target."""
 
 
@@ -96,7 +96,7 @@
     def assign(self, owner):
         """Gives all keys to a target, or to none."""
         self._serial += 1
-        self.cluster.take_assignment(
+        self.cluster.apply_assignment(
             assignments.Assignment("s", (1, self._serial), (0,), (owner,))
         )
 
@@ -117,7 +117,7 @@
 
     def name_gate(self):
         """Has the leader name the target's gate."""
-        self.balancer.learn_gates({"a": GATE}, virtual.now())
+        self.balancer.replace_gates({"a": GATE}, virtual.now())
 
 
 def _play(scenario):
@@ -200,7 +200,7 @@
             world.gate.seconds = 2.5
             call = world.call(seconds=4.0)
             finding = asyncio.create_task(world.dispatcher.find(call))
-            world.cluster.take_target(fakes.target("a", leaving=True))
+            world.cluster.apply_target(fakes.target("a", leaving=True))
             found = await finding
             assert found.is_err()
             assert len(world.gate.given_back) == 1
--- a/tests/gateway/test_dissemination.py
+++ b/tests/gateway/test_dissemination.py
@@ -103,7 +103,7 @@
             )
             made.take(report)
             calls.sent.clear()
-            known.take_configuration(routes.Configuration(2))
+            known.apply_configuration(routes.Configuration(2))
             await asyncio.sleep(0.1)
             ((address, told),) = calls.sent
             assert address == "vm-2:1"
@@ -130,7 +130,7 @@
             made.take(report)
             await asyncio.sleep(0.1)
             calls.sent.clear()
-            known.take_evacuations(eligibility.Evacuations(("east",), 9))
+            known.apply_evacuations(eligibility.Evacuations(("east",), 9))
             await asyncio.sleep(0.1)
             sent = [
                 reply.news.evacuations
@@ -149,7 +149,7 @@
             made.take(messages.Report(_vm("vm-2"), True))
             await asyncio.sleep(0.1)
             calls.sent.clear()
-            known.take_configuration(routes.Configuration(2))
+            known.apply_configuration(routes.Configuration(2))
             await asyncio.sleep(0.1)
             known.signal()
             await asyncio.sleep(0.1)
@@ -163,16 +163,18 @@
         async def scenario(made, known, calls):
             old = assignments.Assignment("s", (1, 1), (0, 9), ("a", "b"))
             made.publish(old)
-            lacking = made.lacking(messages.Report(_vm("vm-2"), True))
-            assert lacking.assignments == (old,)
+            missing_updates = made.missing_updates(
+                messages.Report(_vm("vm-2"), True)
+            )
+            assert missing_updates.assignments == (old,)
             new = assignments.Assignment("s", (1, 2), (0, 9), ("a", "a"))
             made.publish(new)
-            lacking = made.lacking(
+            missing_updates = made.missing_updates(
                 messages.Report(_vm("vm-2"), True, versions={"s": (1, 1)})
             )
-            (told,) = lacking.differences
+            (told,) = missing_updates.differences
             assert assignments.apply(old, told).owner(10) == "a"
-            assert not lacking.assignments
+            assert not missing_updates.assignments
 
         _play(scenario)
 
@@ -289,7 +291,7 @@
             made.take(messages.Report(_vm("vm-2"), True))
             for version in range(2, 12):
                 await asyncio.sleep(0.05)
-                known.take_configuration(routes.Configuration(version))
+                known.apply_configuration(routes.Configuration(version))
             await asyncio.sleep(3.0)
             told = [told for _, told in calls.sent]
             assert len(told) == 2
@@ -322,7 +324,7 @@
                 )
                 for n in range(routes_more)
             )
-            known.take_configuration(
+            known.apply_configuration(
                 routes.Configuration(2, more, known.configuration.services)
             )
             await asyncio.sleep(0.3)
--- a/tests/gateway/test_former_leaders.py
+++ b/tests/gateway/test_former_leaders.py
@@ -46,7 +46,7 @@
         """Guards against keys given away while a silent leader renews them."""
         former = _formers()
         for witness, promised in words:
-            former.testify(witness, promised, 0.0)
+            former.record_promise(witness, promised, 0.0)
         assert former.lapse() == pytest.approx(lapse, abs=0.01)
 
     def test_ended_promise(self):
@@ -57,14 +57,14 @@
         """
         former = _formers()
         former.stopped(1.0)
-        former.testify(W1, 3.0, 0.0)
-        former.testify(W1, -2.0, 5.0)
+        former.record_promise(W1, 3.0, 0.0)
+        former.record_promise(W1, -2.0, 5.0)
         assert former.lapse() == pytest.approx(5.3, abs=0.01)
 
     def test_leader_and_witness_speak(self):
         """The leader follows its successor: its grants are usual ones."""
         former = _formers()
-        former.testify(W1, None, 0.5)
+        former.record_promise(W1, None, 0.5)
         former.follows("vm-0", 1.0, None)
         assert former.lapse() == pytest.approx(3.14, abs=0.01)
 
--- a/tests/gateway/test_grant_reconciliation.py
+++ b/tests/gateway/test_grant_reconciliation.py
@@ -135,7 +135,7 @@
             await asyncio.sleep(0.3)
             rig.orders._cut("a", 0, 9)
             assert rig.orders.holders(5) == set()
-            rig.reconciler.missed(5, "a")
+            rig.reconciler.record_miss(5, "a")
             await asyncio.sleep(0.02)
             assert rig.orders.holders(5) == {"a"}
             rig.reconciler.stop()
@@ -263,7 +263,7 @@
             await rig.served(0)
             rig.orders.dead.add("a")
             rig.move(0, HALF - 1, B)
-            rig.cluster.take_target(fakes.target("a", born=2))
+            rig.cluster.apply_target(fakes.target("a", born=2))
             assert await rig.served(0) < 0.6
             rig.reconciler.stop()
 
--- a/tests/gateway/test_leaving_targets.py
+++ b/tests/gateway/test_leaving_targets.py
@@ -35,7 +35,7 @@
 
 def _register(made, target, **changes):
     made.revision += 1
-    made.take_target(
+    made.apply_target(
         msgspec.structs.replace(
             target.registration, revision=made.revision, **changes
         )
@@ -195,7 +195,7 @@
                     continue
                 made.revision += 1
                 for vm in made.vms.values():
-                    vm.cluster.lose_target(target.id, made.revision)
+                    vm.cluster.remove_target(target.id, made.revision)
             if first:
                 _leave(target)
             await calling
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -53,7 +53,7 @@
             known = cluster_state.ClusterState(fakes.configured(), timer, log)
             target = fakes.target("a")
             for rate in (6.1, 6.1, 3.0, None, None):
-                known.hear_limit(target, rate, virtual.now())
+                known.record_limit(target, rate, virtual.now())
             named = [line["rate"] for line in log.named("limit_named")]
             assert named == [6.1, 3.0]
             assert len(log.named("limit_lifted")) == 1
@@ -92,7 +92,7 @@
         one.hear("t", 1, 6.1, 0.0, 1.0)
         for name, news in one.unknown_to_leader(1.0).items():
             assert leader.learn(name, news, 1.1)
-        one.take_told(leader.news(1.2), 1.2)
+        one.record_leader_view(leader.news(1.2), 1.2)
         assert one.unknown_to_leader(2.0) == {}
         one.hear("t", 1, 6.1, 2.0, 8.0)
         assert list(one.unknown_to_leader(8.0)) == ["t"]
@@ -102,7 +102,7 @@
         assert leader.rate("t", 1) is None
         # A leader that knows nothing yet.
         one.hear("t", 1, 2.0, 9.5, 9.6)
-        one.take_told({}, 10.0)
+        one.record_leader_view({}, 10.0)
         assert list(one.unknown_to_leader(10.0)) == ["t"]
 
     def test_targets_that_are_gone_are_forgotten(self):
@@ -148,8 +148,8 @@
                     paces[sender].take(now)
                     sent.append(now)
             other = others[number % vms]
-            if not other.own_wait(vms, now):
-                other.take_own(vms, now)
+            if not other.share_wait(vms, now):
+                other.take_share(vms, now)
                 sent.append(now)
         most = max(
             (sum(end - 4.0 < at <= end for at in sent) for end in sent),
@@ -164,7 +164,7 @@
         paces = [limits.RateLimiter(rate, n / vms, 0.0) for n in range(vms)]
         for alone in (False, True):
             at_once = sum(
-                not pace.own_wait(vms, 1000.0, alone=alone) for pace in paces
+                not pace.share_wait(vms, 1000.0, alone=alone) for pace in paces
             )
             assert at_once <= 3
 
@@ -179,8 +179,8 @@
         for step in range(1000):
             now = step * 0.04
             for pace in paces:
-                if not pace.own_wait(vms, now, alone=True):
-                    pace.take_own(vms, now, alone=True)
+                if not pace.share_wait(vms, now, alone=True):
+                    pace.take_share(vms, now, alone=True)
                     sent.append(now)
         most = max(sum(end - 4.0 < at <= end for at in sent) for end in sent)
         assert most <= rate * 4.0 + 2
--- a/tests/gateway/test_load_balancing.py
+++ b/tests/gateway/test_load_balancing.py
@@ -75,7 +75,7 @@
     def test_others_requests_count(self):
         """What other VMs have under way fills a target as well."""
         balancer = _balancer()
-        balancer.learn_others({"x": 9}, 10.0)
+        balancer.record_other_requests({"x": 9}, 10.0)
         targets = [_target("x"), _target("y", "a2")]
         assert _choose(balancer, targets).target.id == "y"
         # Old news count for nothing.
@@ -113,7 +113,7 @@
         A request beyond the queue would hang with its connection.
         """
         balancer = _balancer()
-        balancer.learn_others({"x": 12}, 10.0)
+        balancer.record_other_requests({"x": 12}, 10.0)
         choice = _choose(balancer, [_target("x")])
         assert choice.target is None
         assert 0 < choice.seconds < 1
@@ -171,7 +171,7 @@
             balancer = _balancer()
             # All were told the same: one target is empty.
             counts = {target.id: 4 for target in targets[1:]}
-            balancer.learn_others(counts, 10.0)
+            balancer.record_other_requests(counts, 10.0)
             for n in range(3):
                 jitter = ((vm * 3 + n) * 0.37) % 1
                 choice = balancer.choose(
@@ -197,7 +197,7 @@
         balancer = _balancer()
         near = [_target(f"n{n}") for n in range(2)]
         far = _target("f", zone="c")
-        balancer.learn_others({t.id: 0 for t in (*near, far)}, 10.0)
+        balancer.record_other_requests({t.id: 0 for t in (*near, far)}, 10.0)
         for target in near:
             balancer.load(target.id).begin()
         choice = balancer.choose([*near, far], "r", 0.1, 100, 67, 10.0, 0.0)
@@ -216,7 +216,7 @@
         would wait until their deadlines for nothing.
         """
         balancer = _balancer()
-        balancer.learn_others({"x": 4 if vms > 1 else 0}, 10.0)
+        balancer.record_other_requests({"x": 4 if vms > 1 else 0}, 10.0)
         balancer.load("x").own = own
         assert balancer.full_owner(_target("x"), vms, 10.0)
         balancer.load("x").own = own - 1
@@ -235,14 +235,14 @@
     def test_named_by_the_leader(self):
         """A contended target has a gate, any other none."""
         balancer = _balancer()
-        balancer.learn_gates({"x": "vm-2:1"}, 10.0)
+        balancer.replace_gates({"x": "vm-2:1"}, 10.0)
         assert balancer.gate("x", 10.1) == "vm-2:1"
         assert balancer.gate("y", 10.1) is None
 
     def test_old_word_of_a_lost_leader(self):
         """The leader falls silent; gates may have changed since."""
         balancer = _balancer()
-        balancer.learn_gates({"x": "vm-2:1"}, 10.0)
+        balancer.replace_gates({"x": "vm-2:1"}, 10.0)
         assert balancer.gate("x", 20.0) is None
 
     def test_silent_gate(self):
@@ -252,10 +252,10 @@
         without it, and it is asked again later.
         """
         balancer = _balancer()
-        balancer.learn_gates({"x": "vm-2:1"}, 10.0)
-        balancer.gate_silent("vm-2:1", 10.0)
+        balancer.replace_gates({"x": "vm-2:1"}, 10.0)
+        balancer.record_silent_gate("vm-2:1", 10.0)
         assert balancer.gate("x", 10.5) is None
-        balancer.learn_gates({"x": "vm-2:1"}, 11.5)
+        balancer.replace_gates({"x": "vm-2:1"}, 11.5)
         assert balancer.gate("x", 11.5) == "vm-2:1"
 
 
@@ -268,7 +268,7 @@
         targets = []
         for name, said in loads.items():
             targets.append(_target(name, slots=2))
-            balancer.learn_load(targets[-1], target_feedback.TargetLoad(*said))
+            balancer.record_load(targets[-1], target_feedback.TargetLoad(*said))
         return balancer.compare(targets, "r", 0.2, 100, 10.0, on_time, left)
 
     @pytest.mark.parametrize(
@@ -320,11 +320,11 @@
         guess, work = 0.5, 0.2
         loads = itertools.cycle([(2, 0, 2), (2, 1, 2)])
         for said in itertools.islice(loads, 200):
-            balancer.learn_load(target, target_feedback.TargetLoad(*said))
+            balancer.record_load(target, target_feedback.TargetLoad(*said))
             found = balancer.compare([target], "r", guess, 100, 10.0, 5.0, 5.0)
             seconds = work * found.runs
             balancer.answered("r", "x", seconds / found.runs, 100, 10.0)
         assert balancer.work("r", guess) == pytest.approx(work)
-        balancer.learn_load(target, target_feedback.TargetLoad(2, 3, 2))
+        balancer.record_load(target, target_feedback.TargetLoad(2, 3, 2))
         found = balancer.compare([target], "r", guess, 100, 10.0, 1.0, 2.0)
         assert found.target is target
--- a/tests/gateway/test_membership.py
+++ b/tests/gateway/test_membership.py
@@ -128,7 +128,7 @@
             made.start()
             await asyncio.sleep(0.05)
             began = virtual.now()
-            made.take_push(_announced())
+            made.apply_push(_announced())
             await asyncio.sleep(0.05)
             assert calls.reports
             assert calls.reports[0][0] - began < 0.02
@@ -144,9 +144,9 @@
 
         async def scenario(made, known, store, calls):
             made.start()
-            made.take_push(_announced())
-            made.turned_away("a")
-            made.turned_away("a")
+            made.apply_push(_announced())
+            made.report_full_target("a")
+            made.report_full_target("a")
             await asyncio.sleep(0.1)
             assert calls.reports[0][1].waiting == {"a": 2}
             await asyncio.sleep(0.5)
@@ -172,7 +172,7 @@
                 seen_age=0.5,
                 configuration_age=0.7,
             )
-            made.take_push(_announced())
+            made.apply_push(_announced())
             made._reported_at = virtual.now()
             await asyncio.sleep(way)
             made._take_reply(reply)
@@ -188,7 +188,7 @@
         """Guards against a grace that begins when late news arrive."""
 
         async def scenario(made, known, store, calls):
-            made.take_push(_announced())
+            made.apply_push(_announced())
             made._reported_at = virtual.now()
             await asyncio.sleep(0.02)
             made._take_reply(
@@ -206,7 +206,7 @@
             )
             said_at = virtual.now() - 0.2
             await asyncio.sleep(way)
-            made.take_push(told)
+            made.apply_push(told)
             since = known.directory.get("a").since
             assert said_at - 0.05 < since <= said_at
 
@@ -219,7 +219,7 @@
         """
 
         async def scenario(made, known, store, calls):
-            made.take_push(_announced())
+            made.apply_push(_announced())
             made._take_reply(
                 messages.ReportReply(ENTRY, leading=True, stamp=100.0)
             )
@@ -245,7 +245,7 @@
 
         async def scenario(made, known, store, calls):
             if told:
-                made.take_push(_announced())
+                made.apply_push(_announced())
                 await made._report_once()
                 assert calls.reports
             assert await made._registered()
@@ -260,7 +260,7 @@
         async def scenario(made, known, store, calls):
             calls.missing = {"two:1"}
             made.start()
-            made.take_push(_announced())
+            made.apply_push(_announced())
             await asyncio.sleep(0.5)
             assert not store.lists[messages.VM_PREFIX]
             await asyncio.sleep(3.0)
@@ -305,16 +305,16 @@
         async def scenario(made, known, store, calls):
             known.vms = {f"vm-{n}": None for n in range(200)}
             made.start()
-            made.take_push(_announced())
+            made.apply_push(_announced())
             await asyncio.sleep(0.45)
             before = len(calls.reports)
-            made.turned_away("a")
+            made.report_full_target("a")
             await asyncio.sleep(0.05)
             assert len(calls.reports) == before + 1
             assert calls.reports[-1][1].waiting == {"a": 1}
             # Not with each request.
             for _ in range(20):
-                made.turned_away("a")
+                made.report_full_target("a")
                 await asyncio.sleep(0.01)
             assert len(calls.reports) == before + 1
 
@@ -325,12 +325,12 @@
 
         async def scenario(made, known, store, calls):
             made.start()
-            made.take_push(_announced())
+            made.apply_push(_announced())
             await asyncio.sleep(0.1)
             told = messages.ReportReply(
                 ENTRY, leading=True, gates={"a": "gate:1"}
             )
-            made.take_push(told)
+            made.apply_push(told)
             assert made._balancer.gate("a", virtual.now()) == "gate:1"
 
         _play(scenario)
@@ -369,13 +369,13 @@
         if other is None:
             return None
         if path == messages.ASSIGN_PATH:
-            other.take_push(messages.decode(body, messages.ReportReply))
+            other.apply_push(messages.decode(body, messages.ReportReply))
             return messages.encode(messages.UpdateAck())
         if path == messages.REPORT_PATH:
             report = messages.decode(body, messages.Report)
             return messages.encode(other._leader.take_report(report))
         if path == messages.HEARD_PATH:
-            return messages.encode(other.heard())
+            return messages.encode(other.leader_contact())
         return b"{}"
 
 
--- a/tests/gateway/test_proofs.py
+++ b/tests/gateway/test_proofs.py
@@ -64,7 +64,7 @@
     def register(self, name="a", **changes):
         """Has the store show a registration."""
         self._revision += 1
-        self.cluster.take_target(
+        self.cluster.apply_target(
             fakes.target(name, revision=self._revision, **changes)
         )
 
@@ -91,7 +91,7 @@
     def vanishes(self):
         """Its registration lapses; it lives behind a cut, or leaves."""
         self._revision += 1
-        self.cluster.lose_target("a", self._revision)
+        self.cluster.remove_target("a", self._revision)
 
     def starts_again(self):
         """It dies, and its next run registers."""
@@ -296,14 +296,14 @@
             world = World()
             known = world.cluster.directory
             known.end("a", BORN, 0.0)
-            known.learn_run("a", BORN + 5, "a:81", 0.0)
+            known.record_incarnation("a", BORN + 5, "a:81", 0.0)
             found = known.get("a").target
             assert (found.born, found.address) == (BORN + 5, "a:81")
             # Its earlier run has left its address; this one has not.
             assert not known.has_left_address("a", BORN + 5)
             world.registers()
             assert known.get("a").target.born == BORN + 5
-            known.learn_run("a", BORN, "a:80", 0.0)
+            known.record_incarnation("a", BORN, "a:80", 0.0)
             assert known.get("a").target.born == BORN + 5
             world.reconciler.stop()
 
--- a/tests/gateway/test_resting_targets.py
+++ b/tests/gateway/test_resting_targets.py
@@ -141,7 +141,7 @@
             target.rejects = False
             target.says.clear()
             target.born = 2
-            made.take_target(target.registration)
+            made.apply_target(target.registration)
             since = virtual.now()
             await made.call(4.0, 120.0, "/p")
             got = sum(a.at > since for a in target.arrivals)
--- a/tests/gateway/test_store_watching.py
+++ b/tests/gateway/test_store_watching.py
@@ -65,7 +65,7 @@
     async def main():
         made, known, log = _watcher(store, fakes.target("a"))
         known.seen = known_up_to
-        made.rely_on_leader(False)
+        made.set_leader_reliable(False)
         made.start()
         await asyncio.sleep(2.0)
         await scenario(known, log)
@@ -190,11 +190,11 @@
 
         async def main():
             made, _, log = _watcher(store)
-            made.rely_on_leader(False)
+            made.set_leader_reliable(False)
             made.start()
             await asyncio.sleep(1.0)
             assert store.lists["servers/"] == 1
-            made.rely_on_leader(True)
+            made.set_leader_reliable(True)
             await asyncio.sleep(20.0)
             assert store.lists["servers/"] == 1
             assert not log.named("targets_listed")
@@ -208,7 +208,7 @@
 
         async def main():
             made, _, _ = _watcher(store)
-            made.rely_on_leader(False, patience=1.2)
+            made.set_leader_reliable(False, patience=1.2)
             made.start()
             await asyncio.sleep(0.5)
             assert store.lists["servers/"] == 0
@@ -282,7 +282,7 @@
             await asyncio.sleep(current)
             known.registrations.note(virtual.now())
             await asyncio.sleep(followed - current)
-            made.rely_on_leader(False)
+            made.set_leader_reliable(False)
             await asyncio.sleep(max(leaves_at - followed, 0.0) + 0.1)
             entry = known.directory.get("a")
             assert entry.target.leaving
@@ -313,7 +313,7 @@
             made.start()
             known.registrations.note(virtual.now())
             await asyncio.sleep(8.0)
-            made.rely_on_leader(False)
+            made.set_leader_reliable(False)
             gone = ports.Changes((), (("servers/a", 41),), 41)
             if not listed:
                 store.moods.append(gone)
@@ -331,12 +331,12 @@
         async def main():
             timer, log = fakes.VirtualClock(), fakes.Lines()
             leader = fakes.known(timer, log, fakes.target("a"))
-            leader.take_target(fakes.target("a", leaving=True, revision=5))
+            leader.apply_target(fakes.target("a", leaving=True, revision=5))
             leader.seen = 5
             await asyncio.sleep(1.5)
-            news = leader.news_after(1, leader.version)
+            news = leader.updates_since(1, leader.version)
             behind = fakes.known(timer, log, fakes.target("a"))
-            behind.take_news(news)
+            behind.apply_update(news)
             ends = [k.directory.get("a").until for k in (leader, behind)]
             assert ends[0] == ends[1]
 
@@ -361,7 +361,7 @@
         async def main():
             made, known, _ = _watcher(HeldUp(), fakes.target("a"))
             known.seen = known.configuration_seen = 40
-            made.rely_on_leader(False)
+            made.set_leader_reliable(False)
             made.start()
             wait = settings.StoreSettings(address="").watch_wait
             await asyncio.sleep(wait + held_up + 0.01)
@@ -382,10 +382,10 @@
 
         async def main():
             made, known, _ = _watcher(store, fakes.target("a"))
-            made.rely_on_leader(False)
+            made.set_leader_reliable(False)
             made.start()
             await asyncio.sleep(leads_at)
-            made.rely_on_leader(False, closely=True)
+            made.set_leader_reliable(False, closely=True)
             await asyncio.sleep(0.5)
             store.silence()
             await asyncio.sleep(contact)
--- a/tests/gateway/test_warmup.py
+++ b/tests/gateway/test_warmup.py
@@ -139,10 +139,10 @@
         known = directory.Directory(1.0, 0.3)
         target = fakes.target("t", warm_at=registered)
         known.put(target, 0.0)
-        known.note_cold("t", said, 0.0)
-        known.take_for_cold("z", {"s": zone}, 0.0)
-        known.take_for_cold("y", {"s": 99.0}, 0.0)
-        known.take_for_cold("z", {"other": 99.0}, 0.0)
+        known.record_cold("t", said, 0.0)
+        known.mark_zone_cold("z", {"s": zone}, 0.0)
+        known.mark_zone_cold("y", {"s": 99.0}, 0.0)
+        known.mark_zone_cold("z", {"other": 99.0}, 0.0)
         assert known.warm_in("t", now) == expected
 
     def test_it_becomes_cold_again(self):
--- a/tests/gateway/test_witnessing.py
+++ b/tests/gateway/test_witnessing.py
@@ -131,7 +131,7 @@
         ):
             return
         reply = other.leading.take_report(vm.report())
-        if reply.leader is not None and vm.cluster.take_leader(reply.leader):
+        if reply.leader is not None and vm.cluster.record_leader(reply.leader):
             vm.leading.outranked_by(reply.leader)
         if reply.leading:
             vm.leading.hear(reply)
@@ -143,7 +143,7 @@
             return
         for other in self.vms.values():
             apart = {name, other.name} & self.alone
-            if not apart and other.cluster.take_leader(vm.cluster.leader):
+            if not apart and other.cluster.record_leader(vm.cluster.leader):
                 other.leading.outranked_by(vm.cluster.leader)
 
 
@@ -356,7 +356,7 @@
             request = messages.ExtensionRequest(1, vm.boot, 7.0)
             asked = asyncio.create_task(vm.leading.witness.answer(request))
             await asyncio.sleep(0.001)
-            vm.cluster.take_leader(leadership.LeaderEntry("vm-3", "x", 2, ""))
+            vm.cluster.record_leader(leadership.LeaderEntry("vm-3", "x", 2, ""))
             assert not (await asked).promised
             fleet.stop()
 
@@ -373,7 +373,7 @@
             fleet = await _begun()
             fleet.start("vm-2")
             known = fleet.vms["vm-1"].cluster.leader
-            fleet.vms["vm-2"].cluster.take_leader(known)
+            fleet.vms["vm-2"].cluster.record_leader(known)
             await asyncio.sleep(3.0)
             stored, _ = fleet.store.items[messages.WITNESSES_KEY]
             record = msgspec.json.decode(stored, type=lease_extension.Record)
@@ -451,7 +451,7 @@
     def target_leaves(self):
         """A target's registration vanishes; it lives behind a cut."""
         for vm in self.fleet.vms.values():
-            vm.cluster.lose_target("a", 100)
+            vm.cluster.remove_target("a", 100)
 
     def target_dead(self):
         """No order reaches a target any more."""
@@ -548,23 +548,23 @@
         ]
         restarted = [(History.outage, 2.5), *outage[1:2]]
         restarted += [(History.all_restart, 0.0), *outage[3:]]
-        testify = former_leaders.FormerLeaders.testify
+        record_promise = former_leaders.FormerLeaders.record_promise
 
         def any_run(former, witness, promised, now):
             for known in former._witnesses:
                 if known.vm == witness.vm:
-                    testify(former, known, promised, now)
+                    record_promise(former, known, promised, now)
 
         target, name, guess, history = {
             "promises": (
                 former_leaders.FormerLeaders,
-                "testify",
-                lambda f, w, _, now: testify(f, w, None, now),
+                "record_promise",
+                lambda f, w, _, now: record_promise(f, w, None, now),
                 outage,
             ),
             "runs": (
                 former_leaders.FormerLeaders,
-                "testify",
+                "record_promise",
                 any_run,
                 restarted,
             ),
