--- a/packages/mimosastile-core/src/mimosastile_core/gates.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gates.py
@@ -1,9 +1,11 @@
-"""The keeper's side for targets that do not check who gives them an order.
-
-Such a target runs whatever reaches it, so it is reached through its keeper
-alone, and the keeper checks in its place: it lets no request pass for a slice
-that the target does not own. The slice is released when the keeper has
-stopped sending and every request that it sent has been answered to its end.
+"""Admission checks at the keeper for targets that don't check fences.
+
+Such a target runs every request that it receives. Therefore all its requests
+go through its keeper, the entry VM through which alone the target gets
+requests and grants, and the keeper checks them instead: it refuses requests
+for slices that the target doesn't own. A slice is released when the keeper
+has stopped sending requests for it and has the complete responses to all
+requests that it sent.
 """
 
 import collections
@@ -13,20 +15,19 @@
 
 
 class GatedTarget:
-    """What a keeper knows of one target that checks nothing.
+    """Request counts at the keeper of one target that checks no fences.
 
-    It has the questions in common with `grants.KeptTarget` that a proof of
-    release is made from.
+    Shares with `grants.KeptTarget` the methods that a proof of release needs.
     """
 
     __slots__ = (
         "_block",
         "_keeper_fence",
-        "_orphaned",
+        "_former_keeper_lost",
         "_running",
-        "_silent",
+        "_former_keepers_silent",
         "_target",
-        "_unsure",
+        "_unconfirmed",
         "_wanted",
     )
 
@@ -37,23 +38,23 @@
         keeper_fence: int,
         silent: bool = True,
     ) -> None:
-        """Starts keeping a target.
+        """Initializes the state of a target without slices.
 
         Args:
             block: The block that the slices belong to.
             target: The target.
             keeper_fence: Fence under which this VM is the keeper.
-            silent: Whether all former keepers acknowledged that they send
-                nothing more and that nothing of theirs is running.
+            silent: Whether all former keepers acknowledged that they have
+                stopped sending and that none of their requests is running.
         """
         self._block = block
         self._target = target
         self._keeper_fence = keeper_fence
-        self._silent = silent
-        self._orphaned = False
+        self._former_keepers_silent = silent
+        self._former_keeper_lost = False
         self._wanted: tuple[grants.HeldSlice, ...] = ()
         self._running: collections.Counter[int] = collections.Counter()
-        self._unsure: set[int] = set()
+        self._unconfirmed: set[int] = set()
 
     @property
     def block(self) -> tables.BlockId:
@@ -62,56 +63,56 @@
 
     @property
     def target(self) -> str:
-        """The kept target."""
+        """The target that this VM keeps."""
         return self._target
 
     @property
     def keeper_fence(self) -> int:
-        """The fence that this VM was named keeper under."""
+        """The fence under which this VM became the keeper."""
         return self._keeper_fence
 
     @property
     def awaits_silence(self) -> bool:
-        """Whether something of a former keeper might still run."""
-        return not self._silent
+        """Whether a request of a former keeper might still run."""
+        return not self._former_keepers_silent
 
     @property
     def idle(self) -> bool:
-        """Whether nothing that was sent can be running any more."""
-        return not self._running and not self._unsure
+        """Whether no request that was sent can still be running."""
+        return not self._running and not self._unconfirmed
 
-    def want(self, slices: tuple[grants.HeldSlice, ...]) -> bool:
-        """Sets the slices that requests may pass for; True if they changed."""
+    def set_wanted(self, slices: tuple[grants.HeldSlice, ...]) -> bool:
+        """Sets the slices to admit requests for; True if they differ."""
         changed = slices != self._wanted
         self._wanted = slices
         return changed
 
-    def silenced(self, now: float) -> None:
-        """Notes that all former keepers have acknowledged their end."""
+    def former_keepers_stopped(self, now: float) -> None:
+        """Records that all former keepers acknowledged that they stopped."""
         del now
-        self._silent = True
+        self._former_keepers_silent = True
 
-    def orphaned(self) -> None:
-        """Notes that a former keeper ended without acknowledging anything."""
-        self._orphaned = True
+    def former_keeper_lost(self) -> None:
+        """Records that a former keeper ended without an acknowledgement."""
+        self._former_keeper_lost = True
 
-    def never_releases(self, piece: tables.Slice) -> bool:
-        """Whether a slice cannot be proved released while the VM exists.
+    def is_release_unprovable(self, piece: tables.Slice) -> bool:
+        """Whether the release of a slice can't be proved while the VM exists.
 
-        Something of it may lie in the target's buffers and run at any time,
-        sent by a former keeper that has ended or by this one, which has lost
-        the answer.
+        The target's buffers may contain a request for the slice that can run
+        at any time. Either a former keeper sent it and ended, or this keeper
+        sent it and lost the response.
         """
-        return self._orphaned or any(
-            piece.first <= p <= piece.last for p in self._unsure
+        return self._former_keeper_lost or any(
+            piece.first <= p <= piece.last for p in self._unconfirmed
         )
 
     def enter(self, position: int, fence: int) -> bool:
-        """Lets a request pass and counts it; False if it must not run.
+        """Admits and counts a request; False if it must not run.
 
         Args:
             position: Hash of the request's key.
-            fence: Fence of the slice according to the sender.
+            fence: Fence of the slice in the sender's table.
         """
         if not any(
             s.first <= position <= s.last and s.fence == fence
@@ -122,27 +123,28 @@
         return True
 
     def leave(self, position: int, answered: bool) -> None:
-        """Notes the end of a request that had passed.
+        """Records the end of an admitted request.
 
         Args:
             position: Hash of the request's key.
-            answered: Whether the whole answer came, or it never left. If
-                not, the target may run it at any later time, for example
-                when it thaws; its slice can then never be proved released.
+            answered: Whether the complete response was received or the
+                request was never sent. Otherwise the target may run the
+                request at any later time, for example when it resumes after
+                a freeze, and the release of its slice can't be proved.
         """
         self._running[position] -= 1
         if self._running[position] <= 0:
             del self._running[position]
         if not answered:
-            self._unsure.add(position)
+            self._unconfirmed.add(position)
 
     def has_released(self, piece: tables.Slice) -> bool:
-        """Whether no request on any key of a slice can be running."""
+        """Whether no request for any key of a slice can be running."""
         return (
-            self._silent
+            self._former_keepers_silent
             and not any(grants.overlaps(s, piece) for s in self._wanted)
             and not any(
                 piece.first <= p <= piece.last
-                for p in (*self._running, *self._unsure)
+                for p in (*self._running, *self._unconfirmed)
             )
         )
--- a/packages/mimosastile-core/src/mimosastile_core/grants.py
+++ b/packages/mimosastile-core/src/mimosastile_core/grants.py
@@ -1,10 +1,12 @@
-"""The keeper's side of a grant: what to send to one target and what it proves.
-
-A grant says which slices a target owns and until when. Its validity starts at
-a stamp that the *target* took with its own clock and put into its previous
-answer. A frozen target that thaws finds old renewals in its socket buffer; if
-validity began at their arrival it would think itself the owner while another
-target already is. Starting from its own earlier stamp, it finds them expired.
+"""The keeper's side of the grant protocol, a lease of slices to one target.
+
+A target's keeper is the entry VM through which alone the target gets requests
+and grants. A grant names the slices that a target owns and when the ownership
+expires. Its validity starts at a stamp that the *target* took from its own
+clock and put into its previous response. A frozen target that resumes reads
+old renewals from its socket buffer. If validity started at their arrival, the
+target would act as the owner while another target already owns the slices.
+Because validity starts at the target's own earlier stamp, they have expired.
 """
 
 import enum
@@ -15,7 +17,7 @@
 
 
 class HeldSlice(msgspec.Struct, frozen=True, array_like=True):
-    """A slice as a grant names it: range and fence."""
+    """A granted slice: an inclusive range of key hashes and its fence."""
 
     first: int
     last: int
@@ -23,20 +25,22 @@
 
 
 def overlaps(held: HeldSlice, piece: tables.Slice) -> bool:
-    """Whether a granted slice covers any key of a slice of the table.
+    """Whether a granted slice shares any key with a slice of the table.
 
-    The table may have split a slice since it was granted. Comparing first
-    hashes alone, the second part would seem released while the target still
-    serves it under the grant of the whole, and the key would get two owners.
+    The table may have split a slice since it was granted. If only the first
+    hashes were compared, the second part would count as released while the
+    target still serves it under the grant of the whole slice, and its keys
+    would have two owners.
     """
     return held.first <= piece.last and piece.first <= held.last
 
 
 class Stamp(msgspec.Struct, frozen=True):
-    """A moment on a target's own clock.
+    """A timestamp of a target's own clock.
 
     Attributes:
-        incarnation: Identifier of the target's run; changes when it restarts.
+        incarnation: Identifier of the target's process; changes when it
+            restarts.
         at: Seconds on the target's monotonic clock.
     """
 
@@ -50,13 +54,15 @@
     Attributes:
         block: The block that the slices belong to.
         target: The addressed target.
-        keeper_fence: The keeper's fence; lower ones are refused.
+        keeper_fence: The keeper's fencing token; the target refuses lower
+            ones.
         sequence: Number of the slice set under this keeper fence.
-        quoted: The target's own stamp from an earlier answer, None at first.
+        quoted: The target's own stamp from an earlier response, None before
+            the first response.
         ttl: Seconds from the quoted stamp for which the grant is valid.
-        slices: The whole set, or None for a renewal of the set with the same
+        slices: The full set of slices, or None to renew the set with the same
             sequence.
-        prepare: Slices that the target may soon get and can warm up.
+        prepare: Slices that the target may own soon and can warm up.
     """
 
     block: tables.BlockId
@@ -70,7 +76,7 @@
 
 
 class GrantStatus(enum.Enum):
-    """How a target took a grant."""
+    """Outcome of a grant at the target."""
 
     ACCEPTED = "accepted"
     STALE_KEEPER = "stale_keeper"
@@ -80,18 +86,19 @@
 
 
 class GrantReply(msgspec.Struct, frozen=True):
-    """A target's answer to a grant.
+    """A target's response to a grant.
 
     Attributes:
-        status: How the grant was taken.
-        stamp: The target's clock when it answered.
-        keeper_fence: Highest keeper fence that the target knows.
-        sequence: Sequence of the set that it holds under that fence.
-        releasing: Hashes of the keys of running requests that no granted
-            slice covers any more; the slices around them are not yet released.
-        in_flight: Requests running on the target.
-        valid_for: Seconds on the target's clock for which a grant that it
-            holds, perhaps of a former keeper, goes on to be valid.
+        status: Whether the target accepted the grant, or why not.
+        stamp: The target's clock when it responded.
+        keeper_fence: Highest keeper fence that the target has received.
+        sequence: Sequence of the slice set that the target holds under that
+            fence.
+        releasing: Key hashes of running requests that no granted slice covers
+            any more; the slices that contain them are not yet released.
+        in_flight: Number of requests running on the target.
+        valid_for: Seconds on the target's clock until its present grant,
+            which may come from a former keeper, expires.
     """
 
     status: GrantStatus
@@ -104,14 +111,14 @@
 
 
 class Timing(msgspec.Struct, frozen=True):
-    """Times of the grant protocol, in seconds.
+    """Durations of the grant protocol, in seconds.
 
     Attributes:
-        ttl: Validity of a grant from the quoted stamp on.
+        ttl: Validity of a grant, counted from the quoted stamp.
         renew: Interval between renewals.
-        timeout: How long the keeper waits for one answer.
-        drift: Largest share by which a target's clock may run slower than the
-            keeper's.
+        timeout: How long the keeper waits for one response.
+        drift: Maximum clock drift: the largest fraction by which a target's
+            clock may run slower than the keeper's.
     """
 
     ttl: float = 0.6
@@ -120,17 +127,17 @@
     drift: float = 0.01
 
     @property
-    def lapse(self) -> float:
-        """Seconds after the last quoted answer when no grant can be valid."""
+    def max_validity(self) -> float:
+        """Seconds after the last quoted response until all grants expired."""
         return self.ttl * (1 + self.drift)
 
 
 class KeptTarget:
-    """What a keeper knows of one target in one block.
+    """Grant state that a keeper maintains for one target in one block.
 
-    The object takes the wanted slices and the target's replies and yields
-    messages and proofs; sending is the caller's business. At most one message
-    is under way at a time.
+    Takes the wanted slices and the target's replies, and returns the messages
+    to send and the proofs of release. The caller sends the messages, at most
+    one at a time.
     """
 
     __slots__ = (
@@ -138,15 +145,15 @@
         "_acknowledged",
         "_block",
         "_confirmed",
-        "_heard_at",
+        "_last_reply_at",
         "_keeper_fence",
-        "_lapses_at",
-        "_met_at",
+        "_expires_at",
+        "_incarnation_seen_at",
         "_prepare",
         "_releasing",
         "_replaced",
         "_sequence",
-        "_silent",
+        "_former_keepers_silent",
         "_stamp",
         "_target",
         "_timing",
@@ -162,15 +169,16 @@
         now: float,
         silent: bool = True,
     ) -> None:
-        """Starts keeping a target.
+        """Initializes the state of a target without slices.
 
         Args:
-            block: The block that this grant is about.
+            block: The block that the granted slices belong to.
             target: The target.
             keeper_fence: Fence under which this VM is the keeper.
-            timing: Times of the protocol.
-            now: Present time; no message of this keeper was quoted before it.
-            silent: Whether all former keepers are known to send nothing more.
+            timing: Durations of the protocol.
+            now: Current time in seconds, before the first message of this
+                keeper.
+            silent: Whether all former keepers have stopped sending grants.
         """
         self._block = block
         self._target = target
@@ -183,71 +191,71 @@
         self._acknowledged = False
         self._releasing: frozenset[int] = frozenset()
         self._stamp: Stamp | None = None
-        self._heard_at: float | None = None
-        self._met_at = now
+        self._last_reply_at: float | None = None
+        self._incarnation_seen_at = now
         self._confirmed = False
-        self._silent = silent
-        self._lapses_at = now + timing.lapse
+        self._former_keepers_silent = silent
+        self._expires_at = now + timing.max_validity
         self._replaced = False
 
     @property
     def block(self) -> tables.BlockId:
-        """The block that the grants are about."""
+        """The block that the granted slices belong to."""
         return self._block
 
     @property
     def target(self) -> str:
-        """The kept target."""
+        """The target that this VM keeps."""
         return self._target
 
     @property
     def keeper_fence(self) -> int:
-        """The fence that this keeper speaks under."""
+        """The fence of this keeper, sent with each grant."""
         return self._keeper_fence
 
     @property
     def replaced(self) -> bool:
-        """Whether the target knows a newer keeper."""
+        """Whether the target has accepted a newer keeper."""
         return self._replaced
 
     @property
-    def heard_at(self) -> float | None:
-        """When the last answer came, None before the first."""
-        return self._heard_at
+    def last_reply_at(self) -> float | None:
+        """Time of the last response, None before the first."""
+        return self._last_reply_at
 
     @property
-    def settled(self) -> bool:
-        """Whether the target has acknowledged the wanted set."""
+    def synchronized(self) -> bool:
+        """Whether the target acknowledged the wanted slices."""
         return self._acked == self._sequence and not self._releasing
 
     @property
     def acknowledged(self) -> bool:
-        """Whether the target knows this keeper's fence and refuses lower."""
+        """Whether the target has this keeper's fence and refuses lower."""
         return self._acknowledged
 
     @property
     def awaits_silence(self) -> bool:
         """Whether a former keeper might still renew grants at the target."""
-        return not (self._silent or self._acknowledged)
+        return not (self._former_keepers_silent or self._acknowledged)
 
     @property
     def needs_confirmation(self) -> bool:
-        """Whether the target's present run is new to this keeper.
+        """Whether this VM must confirm its role to a new incarnation.
 
-        A run that has just begun knows no fence. A keeper that was replaced
-        without noticing would be obeyed by it, and a key that has moved on
-        would be served by two targets. So nothing is granted to a new run
-        before `confirm`.
+        A target that has just restarted has no keeper fence. It would accept
+        grants of a keeper that was replaced without noticing, and two targets
+        would serve a key that has moved. Therefore nothing is granted to a
+        new incarnation before `confirm`.
         """
         return self._stamp is not None and not self._confirmed
 
     @property
-    def lapses_at(self) -> float:
-        """When no grant is valid any more if no answer comes until then."""
-        return self._lapses_at
+    def expires_at(self) -> float:
+        """Time at which all grants have expired unless the target responds."""
+        return self._expires_at
 
-    def want(self, slices: tuple[HeldSlice, ...]) -> bool:
-        """Sets the slices that the target should own; True if they changed."""
+    def set_wanted(self, slices: tuple[HeldSlice, ...]) -> bool:
+        """Sets the slices that the target should own; True if they differ."""
         if slices == self._wanted:
             return False
         self._wanted = slices
@@ -255,18 +263,18 @@
         return True
 
     def prepare(self, slices: tuple[HeldSlice, ...]) -> None:
-        """Sets the slices that the target may soon get."""
+        """Sets the slices that the target may own soon and can warm up."""
         self._prepare = slices
 
-    def retime(self, timing: Timing) -> None:
-        """Takes times from a new configuration for what is sent from now on."""
+    def set_timing(self, timing: Timing) -> None:
+        """Sets the durations that apply to all further messages."""
         self._timing = timing
 
     def message(self) -> Grant:
-        """Returns the next message to send."""
+        """Returns the next grant to send."""
         full = self._acked != self._sequence
-        if self._heard_at is not None:
-            self._lapse_not_before(self._heard_at + self._timing.lapse)
+        if self._last_reply_at is not None:
+            self._extend_expiry(self._last_reply_at + self._timing.max_validity)
         return Grant(
             block=self._block,
             target=self._target,
@@ -279,18 +287,19 @@
         )
 
     def answered(self, sent: Grant, reply: GrantReply, now: float) -> None:
-        """Takes the target's reply to a message."""
+        """Processes the target's reply to a grant."""
         if reply.keeper_fence > self._keeper_fence:
             self._replaced = True
             return
-        self._heard_at = now
+        self._last_reply_at = now
         self._meet(reply.stamp, now)
-        # The answer that names this fence may come long after this keeper
-        # began, with a former keeper's grant accepted just before it. The
-        # lapse counts from here, or the target would serve on after it.
+        # The first response with this fence may come long after this keeper
+        # started, just after the target accepted a former keeper's grant.
+        # The expiry counts from this response; otherwise the target would
+        # still serve after the computed expiry.
         self._acknowledged |= reply.keeper_fence == self._keeper_fence
-        held_for = max(self._timing.ttl, reply.valid_for)
-        self._lapse_not_before(now + held_for * (1 + self._timing.drift))
+        valid_seconds = max(self._timing.ttl, reply.valid_for)
+        self._extend_expiry(now + valid_seconds * (1 + self._timing.drift))
         if reply.status is GrantStatus.ACCEPTED:
             self._acked = sent.sequence
             self._releasing = frozenset(reply.releasing)
@@ -298,34 +307,34 @@
             self._acked = 0
 
     def confirm(self, asked_at: float) -> None:
-        """Notes that this VM was still the keeper.
+        """Records that a request confirmed this VM as the keeper.
 
         Args:
-            asked_at: When the question was asked whose answer says so. One
-                that was asked before the target's run was met proves nothing.
+            asked_at: Time at which that request was sent. A request sent
+                before the target's incarnation was first seen proves nothing.
         """
-        if asked_at >= self._met_at:
+        if asked_at >= self._incarnation_seen_at:
             self._confirmed = True
 
-    def silenced(self, now: float) -> None:
-        """Notes that no former keeper sends anything from now on."""
-        if not self._silent:
-            self._silent = True
-            self._lapse_not_before(now + self._timing.lapse)
+    def former_keepers_stopped(self, now: float) -> None:
+        """Records that no former keeper sends grants any more."""
+        if not self._former_keepers_silent:
+            self._former_keepers_silent = True
+            self._extend_expiry(now + self._timing.max_validity)
 
-    def resumed(self, now: float) -> None:
-        """Gives the target time to answer after a pause of the keeper.
+    def extend_after_pause(self, now: float) -> None:
+        """Extends the expiry after a pause of this process.
 
-        Without this each pause of a keeper would end with its targets'
-        slices being moved, although every one of them would answer.
+        Otherwise each pause of a keeper would make it move all slices of its
+        targets, although the targets would respond.
         """
-        self._lapse_not_before(now + self._timing.lapse)
+        self._extend_expiry(now + self._timing.max_validity)
 
     def has_released(self, piece: tables.Slice) -> bool:
-        """Whether the target acknowledged that it let a slice go.
+        """Whether the target acknowledged the release of a slice.
 
-        True only if the acknowledged set lacks the slice and no request is
-        running on any key of it.
+        True only if the acknowledged set doesn't contain the slice and no
+        request for any of its keys is running.
         """
         return (
             not self._replaced
@@ -335,25 +344,25 @@
         )
 
     def has_lapsed(self, now: float) -> bool:
-        """Whether no grant of any keeper can be valid on the target.
+        """Whether all grants of all keepers have expired at the target.
 
-        Sound only for targets that check the expiry before each request.
-        False while a former keeper might still renew: one that is cut off
-        from this VM, but not from the target, keeps the target serving.
+        Valid only for targets that check the expiry before each request.
+        False while a former keeper might still renew: a former keeper that
+        can't reach this VM may still reach the target and extend its grant.
         """
         return (
             not self._replaced
             and not self.awaits_silence
-            and now > self._lapses_at
+            and now > self._expires_at
         )
 
     def _meet(self, stamp: Stamp, now: float) -> None:
-        known = self._stamp
-        if known is None or known.incarnation != stamp.incarnation:
-            self._met_at = now
+        previous = self._stamp
+        if previous is None or previous.incarnation != stamp.incarnation:
+            self._incarnation_seen_at = now
             self._confirmed = False
             self._acked = 0
         self._stamp = stamp
 
-    def _lapse_not_before(self, at: float) -> None:
-        self._lapses_at = max(self._lapses_at, at)
+    def _extend_expiry(self, at: float) -> None:
+        self._expires_at = max(self._expires_at, at)
--- a/packages/mimosastile-core/src/mimosastile_core/holder.py
+++ b/packages/mimosastile-core/src/mimosastile_core/holder.py
@@ -1,7 +1,7 @@
-"""The target's side of the grant protocol, as a target must implement it.
+"""The target's side of the grant protocol: the reference implementation.
 
-Back ends that check orders behave like this class. The stand-in targets use
-it as it is; a real back end's adapter is judged against it.
+Back ends that check orders must behave like `Holder`. The stand-in targets
+use it unchanged, and the adapter of a real back end is tested against it.
 """
 
 import collections
@@ -14,12 +14,12 @@
 
 
 class RequestFence(msgspec.Struct, frozen=True):
-    """What a request says about the owner that it was sent to.
+    """The fencing token of a request.
 
     Attributes:
         block: Block of the slice.
         position: Hash of the request's key.
-        fence: Fence of the slice according to the sender.
+        fence: Fence of the slice in the sender's table.
     """
 
     block: tables.BlockId
@@ -40,15 +40,15 @@
 
 
 class Holder:
-    """Grants that one run of a target holds."""
+    """Grants that one incarnation of a target holds."""
 
     __slots__ = ("_holdings", "_incarnation", "_running")
 
     def __init__(self, incarnation: str) -> None:
-        """Starts with no grant.
+        """Initializes a holder without grants.
 
         Args:
-            incarnation: Identifier of this run, never used before.
+            incarnation: Identifier of this incarnation, never reused.
         """
         self._incarnation = incarnation
         self._holdings: dict[tables.BlockId, _Holding] = {}
@@ -57,7 +57,7 @@
         )
 
     def receive(self, grant: grants.Grant, now: float) -> grants.GrantReply:
-        """Takes a grant and answers it.
+        """Applies a grant and returns the reply to it.
 
         Args:
             grant: The message.
@@ -66,7 +66,7 @@
         holding = self._holdings.setdefault(grant.block, _Holding())
         status = self._judge(holding, grant, now)
         if grant.keeper_fence > holding.keeper_fence:
-            # A new keeper counts its sequences from the start.
+            # Each keeper numbers its slice sets from the start.
             holding.keeper_fence = grant.keeper_fence
             holding.sequence = 0
         if status is grants.GrantStatus.ACCEPTED and grant.quoted is not None:
@@ -79,9 +79,9 @@
     def check(self, fence: RequestFence, now: float) -> errors.ErrorKind | None:
         """Returns why a request must not run here, None if it may.
 
-        To be called directly before each run, for buffered requests too: a
-        target that froze finds requests in its buffers that belong to the
-        new owner by now.
+        Must be called immediately before each request is run, also for
+        buffered requests: the buffers of a target that was frozen may contain
+        requests whose keys have a new owner.
         """
         holding = self._holdings.get(fence.block)
         if holding is None or now >= holding.expires:
@@ -92,11 +92,11 @@
         return None
 
     def begin(self, fence: RequestFence) -> None:
-        """Notes that a checked request runs."""
+        """Records the start of a checked request."""
         self._running[fence.block, fence.position] += 1
 
     def end(self, fence: RequestFence) -> None:
-        """Notes that a request has ended, in whatever way."""
+        """Records the end of a request, whether or not it succeeded."""
         token = (fence.block, fence.position)
         self._running[token] -= 1
         if self._running[token] <= 0:
@@ -105,7 +105,7 @@
     def owned(
         self, now: float
     ) -> list[tuple[tables.BlockId, grants.HeldSlice]]:
-        """Returns the slices that this target would serve now."""
+        """Returns the slices whose grants are valid, with their blocks."""
         return [
             (block, held)
             for block, holding in self._holdings.items()
--- a/packages/mimosastile-core/src/mimosastile_core/keeping.py
+++ b/packages/mimosastile-core/src/mimosastile_core/keeping.py
@@ -1,4 +1,8 @@
-"""What a keeper orders, and what it may conclude about a kept target."""
+"""Wanted slices of a keeper's target, and proofs that it released them.
+
+A target's keeper is the entry VM through which alone the target gets requests
+and grants.
+"""
 
 from collections.abc import Callable
 import functools
@@ -12,31 +16,31 @@
 
 Kept = grants.KeptTarget | gates.GatedTarget
 Withheld = Callable[[tables.Slice], bool]
-"""Whether a slice must not be granted although the table names its owner."""
+"""Whether a slice must not be granted although it has an owner in the table."""
 
 
-class Sight(msgspec.Struct, frozen=True):
-    """What a keeper knows besides the target's answers.
+class Evidence(msgspec.Struct, frozen=True):
+    """A keeper's observations of a target besides the target's replies.
 
     Attributes:
-        now: Present time in seconds.
+        now: Current time in seconds.
         checks_expiry: Whether the target refuses requests once its grant has
-            run out; without that nothing lapses.
-        lapse: Seconds after which no grant can be valid.
-        gone_since: Since when the list has lacked the target's VM, None if
-            it is listed or never was.
+            expired; only then is an expired grant a proof.
+        max_validity: Seconds after which every grant has expired.
+        gone_since: Time since which the list of VMs has lacked the target's
+            VM, None if the VM is listed or never was.
     """
 
     now: float
     checks_expiry: bool
-    lapse: float
+    max_validity: float = msgspec.field(name="lapse")
     gone_since: float | None = None
 
 
 def wanted(
     block: tables.Block, target: str, withheld: Withheld
 ) -> tuple[grants.HeldSlice, ...]:
-    """Returns the slices that a target should be granted now."""
+    """Returns the slices to grant to a target."""
     return tuple(
         grants.HeldSlice(s.first, s.last, s.fence)
         for s in block.owned_by(target)
@@ -45,7 +49,7 @@
 
 
 def prepared(block: tables.Block, target: str) -> tuple[grants.HeldSlice, ...]:
-    """Returns the slices that are moving to a target and not yet its own."""
+    """Returns the slices that are moving to a target it doesn't own yet."""
     return tuple(
         grants.HeldSlice(s.first, s.last, s.fence)
         for s in block.slices
@@ -55,77 +59,84 @@
 
 @functools.singledispatch
 def proof(
-    kept: Kept, owned: tuple[tables.Slice, ...], sight: Sight
+    kept: Kept, owned: tuple[tables.Slice, ...], evidence: Evidence
 ) -> moves.Proof | None:
-    """Returns what now proves that a target can run nothing for slices.
+    """Returns a proof that a target can't run requests for slices any more.
 
     Args:
-        kept: The kept target.
-        owned: Slices that the table says are the target's.
-        sight: What the keeper knows besides.
+        kept: The target's state at its keeper.
+        owned: Slices that the target owns according to the table.
+        evidence: Further observations of the keeper.
 
     Returns:
-        The proof that covers most, None if there is none.
+        The proof that covers the most slices, None if there is none.
     """
     raise TypeError(f"not a kept target: {kept!r}")
 
 
 @proof.register
 def _(
-    kept: grants.KeptTarget, owned: tuple[tables.Slice, ...], sight: Sight
+    kept: grants.KeptTarget, owned: tuple[tables.Slice, ...], evidence: Evidence
 ) -> moves.Proof | None:
     if not owned:
         return None
-    if sight.checks_expiry and kept.has_lapsed(sight.now):
+    if evidence.checks_expiry and kept.has_lapsed(evidence.now):
         return moves.Lapsed(kept.target, kept.keeper_fence)
-    if is_gone(sight, kept.lapses_at):
+    if is_gone(evidence, kept.expires_at):
         return moves.Gone(kept.target, kept.keeper_fence)
     return _released(kept, owned)
 
 
 @proof.register
 def _(
-    kept: gates.GatedTarget, owned: tuple[tables.Slice, ...], sight: Sight
+    kept: gates.GatedTarget, owned: tuple[tables.Slice, ...], evidence: Evidence
 ) -> moves.Proof | None:
-    if owned and is_gone(sight, sight.now):
+    if owned and is_gone(evidence, evidence.now):
         return moves.Gone(kept.target, kept.keeper_fence)
     return _released(kept, owned)
 
 
 @functools.singledispatch
-def stuck(kept: Kept, owned: tuple[tables.Slice, ...]) -> dict[int, str]:
-    """Returns a plan that takes back moves which can never finish.
+def unprovable_moves(
+    kept: Kept, owned: tuple[tables.Slice, ...]
+) -> dict[int, str]:
+    """Returns a plan that cancels moves whose release can't be proved.
 
-    A slice that is moving is not served. If nothing can ever prove that its
-    owner let it go, it would not be served again before the owner's VM is
-    gone, although the owner is well.
+    A moving slice is not served. If the release by its owner can never be
+    proved, it would stay unserved until the owner's VM is gone, although the
+    owner works.
 
     Args:
-        kept: The kept target, which is to stay.
-        owned: Slices that the table says are the target's.
+        kept: State of a target that isn't being removed.
+        owned: Slices that the target owns according to the table.
+
+    Returns:
+        First hash of each such slice to an empty string for no next owner.
     """
     del kept, owned
     return {}
 
 
-@stuck.register
+@unprovable_moves.register
 def _(
     kept: gates.GatedTarget, owned: tuple[tables.Slice, ...]
 ) -> dict[int, str]:
-    return {s.first: "" for s in owned if s.next and kept.never_releases(s)}
+    return {
+        s.first: "" for s in owned if s.next and kept.is_release_unprovable(s)
+    }
 
 
-def is_gone(sight: Sight, not_before: float) -> bool:
-    """Whether a target's VM has left the list for longer than any grant.
+def is_gone(evidence: Evidence, not_before: float) -> bool:
+    """Whether a target's VM has been unlisted for longer than any grant.
 
     Args:
-        sight: What the keeper knows.
-        not_before: When the keeper's own last grant has run out.
+        evidence: The keeper's observations.
+        not_before: Time at which the keeper's own last grant has expired.
     """
     return (
-        sight.gone_since is not None
-        and sight.now > sight.gone_since + sight.lapse
-        and sight.now >= not_before
+        evidence.gone_since is not None
+        and evidence.now > evidence.gone_since + evidence.max_validity
+        and evidence.now >= not_before
     )
 
 
--- a/packages/mimosastile-core/src/mimosastile_core/roles.py
+++ b/packages/mimosastile-core/src/mimosastile_core/roles.py
@@ -1,4 +1,8 @@
-"""Which entry VM should become keeper of which target."""
+"""Assignment of keepers to targets.
+
+A target's keeper is the entry VM through which alone the target gets requests
+and grants.
+"""
 
 import collections
 from collections.abc import Iterable
@@ -11,11 +15,12 @@
 
 
 class Claim(msgspec.Struct, frozen=True):
-    """A target that this VM should become keeper of.
+    """A target whose keeper this VM should become.
 
     Attributes:
         target: The target.
-        suspected: Whether the present keeper is listed and only seems lost.
+        suspected: Whether the present keeper is still listed and merely
+            suspected of having failed.
     """
 
     target: str
@@ -23,16 +28,17 @@
 
 
 class View(msgspec.Struct, frozen=True):
-    """What a VM goes by when it claims roles.
+    """The view of the cluster from which a VM decides its claims.
 
     Attributes:
         vm: This VM.
-        boot: This run of its daemon.
-        fleet: The latest reading of the list.
-        suspects: Entry VMs that seem lost. A wrong suspicion costs a change
-            of keeper and nothing else: fences keep the former one out.
-        offered: Target to the fence of a keeper that asked this VM to take
-            its place.
+        boot: Identifier of this incarnation of its daemon.
+        fleet: The latest reading of the list of VMs.
+        suspects: Entry VMs that are suspected of having failed. A wrong
+            suspicion only costs a change of keeper, as the target refuses
+            the lower fence of the former one.
+        offered: Target to the fence of a keeper that requested a handover to
+            this VM.
     """
 
     vm: str
@@ -46,10 +52,10 @@
     """Returns the roles in a block that this VM should claim.
 
     Args:
-        block: The block as it is.
-        view: What this VM knows.
+        block: The current block.
+        view: This VM's view of the cluster.
     """
-    chosen = {claim.target: claim for claim in _vacant(block, view)}
+    chosen = {claim.target: claim for claim in _unkept(block, view)}
     for target, keeper in block.keepers.items():
         restarted = keeper.vm == view.vm and keeper.boot != view.boot
         offered = view.offered.get(target) == keeper.fence
@@ -58,24 +64,24 @@
     return list(chosen.values())
 
 
-def heirs(
+def assign_keepers(
     block: tables.Block,
     targets: Iterable[fleet.Vm],
     entries: Iterable[fleet.Vm],
 ) -> dict[str, str]:
-    """Names the next keeper for each of some targets.
+    """Assigns the next keeper of each given target.
 
-    All VMs that see the same lists name the same ones; if they differ, the
-    compare-and-swap decides.
+    The result depends only on the arguments, so all VMs with the same lists
+    choose alike. If they differ, the compare-and-swap decides.
 
     Args:
-        block: The block as it is.
+        block: The current block.
         targets: Targets that need a keeper.
-        entries: Entry VMs that may be named.
+        entries: Entry VMs that may become keepers.
 
     Returns:
-        Target to an entry VM of its zone, one that keeps little first.
-        Targets of a zone without such a VM are left out.
+        Target to the entry VM of its zone that keeps the fewest targets.
+        Targets in zones without an entry VM are left out.
     """
     load = collections.Counter(k.vm for k in block.keepers.values())
     by_zone: dict[str, list[str]] = {}
@@ -91,7 +97,7 @@
     return plan
 
 
-def _vacant(block: tables.Block, view: View) -> Iterator[Claim]:
+def _unkept(block: tables.Block, view: View) -> Iterator[Claim]:
     live = view.fleet.live_entries()
     usable = {
         vm: entry
@@ -99,14 +105,16 @@
         if vm == view.vm or vm not in view.suspects
     }
     listed = view.fleet.targets(block.service)
-    vacant = [
+    unkept = [
         vm for vm in listed.values() if _keeper_vm(block, vm.id) not in usable
     ]
-    for target, chosen in heirs(block, vacant, usable.values()).items():
+    for target, chosen in assign_keepers(
+        block, unkept, usable.values()
+    ).items():
         if chosen == view.vm:
             yield Claim(target, _keeper_vm(block, target) in live)
-    # The zone of a target that is listed no longer is not known, and may be
-    # lost as a whole. Any VM will do to prove that the target is gone.
+    # The zone of a target that is no longer listed is unknown, and all of its
+    # VMs may have failed. Any VM can prove that the target is gone.
     if view.vm == min(usable, default=""):
         owners = {s.owner for s in block.slices} - set(listed) - {""}
         yield from (
--- a/packages/mimosastile-entry/src/mimosastile_entry/_keeper.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_keeper.py
@@ -178,14 +178,14 @@
             return
         kept.former.discard(former)
         if not kept.former:
-            kept.state.silenced(self._clock.now())
+            kept.state.former_keepers_stopped(self._clock.now())
             kept.wake.set()
 
     def orphan(self, role: messages.Role) -> None:
         """Notes that a former keeper ended and acknowledged nothing."""
         kept = self._kept.get((role.block, role.target))
         if kept is not None and isinstance(kept.state, gates.GatedTarget):
-            kept.state.orphaned()
+            kept.state.former_keeper_lost()
 
     def settled_fences(self, block: tables.BlockId) -> dict[str, int]:
         """Returns target to fence where no former keeper matters any more."""
@@ -267,7 +267,7 @@
         kept = self._kept.pop(at)
         kept.cancel()
         if isinstance(kept.state, gates.GatedTarget):
-            kept.state.want(())
+            kept.state.set_wanted(())
             if not kept.state.idle:
                 self._retiring[at] = kept.state
         logging.info("%s keeps %s no longer.", _PREFIX, at[1])
@@ -327,10 +327,10 @@
             return handed_in or self._state.writes.withholds(at, piece)
 
         target = kept.state.target
-        kept.state.want(keeping.wanted(block, target, withheld))
+        kept.state.set_wanted(keeping.wanted(block, target, withheld))
         if isinstance(kept.state, grants.KeptTarget):
             kept.state.prepare(keeping.prepared(block, target))
-            kept.state.retime(service.grant)
+            kept.state.set_timing(service.grant)
 
     async def _exchange(
         self, kept: _kept.Kept, at: tables.BlockId, service: config.Service
@@ -340,7 +340,7 @@
         if vm is None or not isinstance(state, grants.KeptTarget):
             return
         message = state.message()
-        left = state.lapses_at - self._clock.now()
+        left = state.expires_at - self._clock.now()
         longest = service.grant.timeout
         # Waits no longer than it takes to know that the grant has lapsed.
         timeout = (
--- a/packages/mimosastile-entry/src/mimosastile_entry/_kept.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_kept.py
@@ -91,11 +91,13 @@
 
 @rest_seconds.register
 def _(state: grants.KeptTarget, renew: float, now: float) -> float:
-    answers = state.heard_at is not None and now - state.heard_at < renew
-    if answers and not state.settled and not state.needs_confirmation:
+    answers = (
+        state.last_reply_at is not None and now - state.last_reply_at < renew
+    )
+    if answers and not state.synchronized and not state.needs_confirmation:
         return renew / 10
     # A lapse is noticed when it happens, not at the next renewal.
-    left = state.lapses_at - now
+    left = state.expires_at - now
     return min(renew, left + SHORTEST_REST) if left > 0 else renew
 
 
@@ -107,10 +109,10 @@
 
 def is_unheard(state: keeping.Kept, now: float) -> bool:
     """Whether a target has not answered for as long as a grant lasts."""
-    return isinstance(state, grants.KeptTarget) and now > state.lapses_at
+    return isinstance(state, grants.KeptTarget) and now > state.expires_at
 
 
 def resume(state: keeping.Kept, now: float) -> None:
     """Notes that the keeper goes on after a pause."""
     if isinstance(state, grants.KeptTarget):
-        state.resumed(now)
+        state.extend_after_pause(now)
--- a/packages/mimosastile-entry/src/mimosastile_entry/_proving.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_proving.py
@@ -91,7 +91,7 @@
         if target not in self._fleet.fleet.live_targets(at.service):
             return {}
         owned = self._state.replica.blocks[at].owned_by(target)
-        return keeping.stuck(kept.state, owned)
+        return keeping.unprovable_moves(kept.state, owned)
 
     def _note(
         self, kept: _kept.Kept, at: tables.BlockId
@@ -126,11 +126,14 @@
             kept.gone_since = None
         elif kept.gone_since is None:
             kept.gone_since = now
-        sight = keeping.Sight(
-            now, service.checks_expiry, service.grant.lapse, kept.gone_since
+        evidence = keeping.Evidence(
+            now,
+            service.checks_expiry,
+            service.grant.max_validity,
+            kept.gone_since,
         )
         owned = self._state.replica.blocks[at].owned_by(target)
-        return keeping.proof(kept.state, owned, sight)
+        return keeping.proof(kept.state, owned, evidence)
 
     async def _hand_in(
         self, kept: _kept.Kept, at: tables.BlockId, proof: moves.Proof
--- a/packages/mimosastile-entry/src/mimosastile_entry/_roles.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_roles.py
@@ -182,7 +182,7 @@
                 for target, keeper in block.keepers.items()
                 if self._keeper.is_keeper(keeper) and target in listed
             ]
-            for target, vm in roles.heirs(block, mine, others).items():
+            for target, vm in roles.assign_keepers(block, mine, others).items():
                 fence = block.keepers[target].fence
                 role = messages.Role(block.id, target, fence)
                 offers.setdefault(vm, []).append(role)
--- a/packages/mimosastile-standins/src/mimosastile_standins/mutations.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/mutations.py
@@ -147,7 +147,7 @@
 
 
 def _lapsed_early(self: grants.KeptTarget, now: float) -> bool:
-    heard = self.heard_at
+    heard = self.last_reply_at
     return not self.replaced and heard is not None and now > heard + 0.2
 
 
@@ -243,7 +243,7 @@
         "gone: every grant that the VM can hold has lapsed as well",
         keeping,
         "is_gone",
-        lambda sight, not_before: sight.gone_since is not None,
+        lambda evidence, not_before: evidence.gone_since is not None,
         ("list-drops-a-running-target",),
     ),
     Mutation(
--- a/packages/mimosastile-standins/src/mimosastile_standins/slopes.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/slopes.py
@@ -322,7 +322,7 @@
             for i in range(targets)
         ]
         for kept, held in pairs:
-            kept.want((grants.HeldSlice(0, 9, 1),))
+            kept.set_wanted((grants.HeldSlice(0, 9, 1),))
             for at in (0.1, 0.2):
                 sent = kept.message()
                 kept.answered(sent, held.receive(sent, at), at)
--- a/tests/core/test_holder.py
+++ b/tests/core/test_holder.py
@@ -1,4 +1,4 @@
-"""Tests of the grant protocol, keeper against holder."""
+"""Tests of the grant protocol between a keeper and a grant holder."""
 
 import pytest
 
@@ -16,7 +16,7 @@
 
 def _keeper(fence: int = 1, now: float = 0.0) -> grants.KeptTarget:
     kept = grants.KeptTarget(BLOCK, "t", fence, TIMING, now)
-    kept.want(HELD)
+    kept.set_wanted(HELD)
     return kept
 
 
@@ -39,19 +39,19 @@
     """Granting slices."""
 
     def test_first_message_only_fetches_the_stamp(self):
-        """Nothing is granted before the target has put its clock into it."""
+        """Nothing is granted before the target has sent its clock's stamp."""
         kept, held = _keeper(), holder.Holder("run-1")
         assert _exchange(kept, held, 0.0) is grants.GrantStatus.EXPIRED
         assert held.check(REQUEST, 0.0) is errors.ErrorKind.WRONG_FENCE
 
-    def test_granted_slice_is_served_until_its_time_runs_out(self):
-        """The time runs from the target's stamp, here taken at 0."""
+    def test_granted_slice_is_served_until_the_grant_expires(self):
+        """The validity starts at the target's stamp, here taken at 0."""
         _, held = _granted()
         assert held.check(REQUEST, 0.599) is None
         assert held.check(REQUEST, 0.6) is errors.ErrorKind.WRONG_FENCE
 
     def test_renewal_carries_no_slices(self):
-        """A settled target is renewed with a small message."""
+        """A target that acknowledged its slices gets a small message."""
         kept, held = _granted()
         assert kept.message().slices is None
         _exchange(kept, held, 0.5)
@@ -67,52 +67,52 @@
             holder.RequestFence(tables.BlockId("s", 1), 5, 7),
         ],
     )
-    def test_request_of_another_fence_is_refused(self, fence):
-        """Only the very slice with the very fence is served."""
+    def test_request_with_another_fence_is_refused(self, fence):
+        """Block, range and fence must all match."""
         _, held = _granted()
         assert held.check(fence, 0.2) is errors.ErrorKind.WRONG_FENCE
 
 
-class TestThawedTarget:
-    """A target froze, its grant lapsed, its key has a new owner.
+class TestResumedTarget:
+    """A target freezes, its grant expires, and its key gets a new owner.
 
-    When it thaws, renewals from before still lie in its socket buffer. If it
-    took them for fresh it would print a letter that the new owner printed.
+    When the target resumes, its socket buffer still contains old renewals. If
+    it accepted them, it would print a letter that the new owner has printed.
     """
 
-    def test_buffered_renewal_does_not_revive_the_grant(self):
+    def test_buffered_renewal_does_not_extend_the_grant(self):
         """The renewal quotes a stamp from before the freeze."""
         kept, held = _granted()
         buffered = kept.message()
         assert held.receive(buffered, 5.0).status is grants.GrantStatus.EXPIRED
         assert held.check(REQUEST, 5.0) is errors.ErrorKind.WRONG_FENCE
 
-    def test_keeper_knows_when_no_grant_can_be_valid(self):
-        """The lapse counts from the last answer that was quoted."""
+    def test_keeper_computes_when_all_grants_have_expired(self):
+        """The expiry counts from the last response that was quoted."""
         kept, held = _granted()
         kept.message()
-        assert not kept.has_lapsed(0.1 + TIMING.lapse)
-        assert kept.has_lapsed(0.1 + TIMING.lapse + 0.001)
-        assert held.check(REQUEST, 0.1 + TIMING.lapse) is not None
+        assert not kept.has_lapsed(0.1 + TIMING.max_validity)
+        assert kept.has_lapsed(0.1 + TIMING.max_validity + 0.001)
+        assert held.check(REQUEST, 0.1 + TIMING.max_validity) is not None
 
 
 class TestRelease:
-    """Taking a slice away from a target that answers."""
+    """Revoking a slice from a target that responds."""
 
     def test_released_when_acknowledged(self):
-        """The acknowledgement of the smaller set is the proof."""
+        """The proof is the acknowledgement of the set without the slice."""
         kept, held = _granted()
-        kept.want(())
+        kept.set_wanted(())
         assert not kept.has_released(PIECE)
         _exchange(kept, held, 0.2)
         assert kept.has_released(PIECE)
         assert held.check(REQUEST, 0.2) is errors.ErrorKind.WRONG_FENCE
 
-    def test_running_request_holds_the_release_back(self):
-        """A half-finished download keeps its key until it has ended."""
+    def test_running_request_delays_the_release(self):
+        """A slice stays unreleased until a running download has ended."""
         kept, held = _granted()
         held.begin(REQUEST)
-        kept.want(())
+        kept.set_wanted(())
         _exchange(kept, held, 0.2)
         assert not kept.has_released(PIECE)
         held.end(REQUEST)
@@ -121,14 +121,14 @@
 
 
 class TestReplacedKeeper:
-    """Two VMs believe that they keep the same target.
+    """Two VMs act as keeper of the same target.
 
-    The former one was paused and does not know that it was replaced. If the
-    target listened to both, a released key would come back to it.
+    The former keeper was paused and hasn't observed its replacement. If the
+    target accepted grants of both, it would regain a released key.
     """
 
     def test_former_keeper_is_refused(self):
-        """It learns from the answer that it was replaced."""
+        """The response shows the former keeper that it was replaced."""
         former, held = _granted()
         _exchange(_keeper(2, 0.2), held, 0.2)
         status = _exchange(former, held, 0.3)
@@ -138,10 +138,10 @@
 
 
 class TestRestartedTarget:
-    """A target restarted and has forgotten what it was told."""
+    """A target restarted and lost its grants."""
 
-    def test_grant_for_the_former_run_is_refused(self):
-        """It quotes a stamp of a run that is over."""
+    def test_grant_for_the_former_incarnation_is_refused(self):
+        """The grant quotes a stamp of an incarnation that has ended."""
         kept, _ = _granted()
         status = _exchange(kept, holder.Holder("run-2"), 0.2)
         assert status is grants.GrantStatus.EXPIRED
--- a/tests/core/test_keeping.py
+++ b/tests/core/test_keeping.py
@@ -1,4 +1,4 @@
-"""Tests of what a keeper orders and concludes."""
+"""Tests of the wanted slices and the proofs of a keeper."""
 
 import msgspec
 import pytest
@@ -21,7 +21,7 @@
     return grants.KeptTarget(BLOCK, "t", 3, TIMING, 0.0, silent)
 
 
-def _heard(silent=True, at=0.1):
+def _responded(silent=True, at=0.1):
     kept = _kept(silent)
     message = kept.message()
     kept.answered(message, holder.Holder("run").receive(message, at), at)
@@ -29,24 +29,24 @@
 
 
 def _sight(now, expiry=True, gone=None):
-    return keeping.Sight(now, expiry, TIMING.lapse, gone)
+    return keeping.Evidence(now, expiry, TIMING.max_validity, gone)
 
 
 class TestProof:
-    """What a keeper may conclude, by the abilities of the target."""
+    """Proofs of release, by the checks that the target performs."""
 
     @pytest.mark.parametrize(
-        ("kept", "sight", "proof"),
+        ("kept", "evidence", "proof"),
         [
-            (_heard(), _sight(0.5), None),
-            (_heard(), _sight(LONG), moves.Lapsed("t", 3)),
-            (_heard(), _sight(LONG, expiry=False), None),
+            (_responded(), _sight(0.5), None),
+            (_responded(), _sight(LONG), moves.Lapsed("t", 3)),
+            (_responded(), _sight(LONG, expiry=False), None),
             (
-                _heard(),
+                _responded(),
                 _sight(LONG, expiry=False, gone=50.0),
                 moves.Gone("t", 3),
             ),
-            (_heard(), _sight(50.1, expiry=False, gone=50.0), None),
+            (_responded(), _sight(50.1, expiry=False, gone=50.0), None),
             (gates.GatedTarget(BLOCK, "t", 3), _sight(LONG), None),
             (
                 gates.GatedTarget(BLOCK, "t", 3),
@@ -64,66 +64,66 @@
             "gated-gone",
         ],
     )
-    def test_silent_target(self, kept, sight, proof):
-        """Silence proves nothing but through the target's own clock."""
-        assert keeping.proof(kept, OWNED, sight) == proof
+    def test_silent_target(self, kept, evidence, proof):
+        """Silence proves a release only if the target checks the expiry."""
+        assert keeping.proof(kept, OWNED, evidence) == proof
 
     def test_gated_target_is_released_when_nothing_runs(self):
-        """The keeper itself knows that."""
+        """The keeper itself counts the running requests."""
         gate = gates.GatedTarget(BLOCK, "t", 3)
         proof = keeping.proof(gate, MOVING, _sight(1.0))
         assert proof == moves.Released("t", 3, frozenset({0}))
 
 
-class TestStuckMove:
-    """A move away from a target that checks nothing can never be proved.
+class TestUnprovableMove:
+    """The release by a target that checks no fences can't be proved.
 
-    An answer was lost, or a former keeper was. While the move waits, its keys
-    are not served, and the platform may keep the target's VM for months.
+    A response was lost, or a former keeper failed. While the move is pending,
+    its keys are not served, and the target's VM may run for months.
     """
 
     @pytest.mark.parametrize("cause", ["nothing", "unsure", "orphaned"])
-    def test_move_is_taken_back(self, cause):
+    def test_move_is_cancelled(self, cause):
         """Only if nothing else can end it."""
         gate = gates.GatedTarget(BLOCK, "t", 3)
-        gate.want((grants.HeldSlice(0, 9, 2),))
+        gate.set_wanted((grants.HeldSlice(0, 9, 2),))
         gate.enter(5, 2)
         gate.leave(5, answered=cause != "unsure")
         if cause == "orphaned":
-            gate.orphaned()
+            gate.former_keeper_lost()
         plan = {} if cause == "nothing" else {0: ""}
-        assert keeping.stuck(gate, MOVING) == plan
-        assert keeping.stuck(_heard(), MOVING) == {}
+        assert keeping.unprovable_moves(gate, MOVING) == plan
+        assert keeping.unprovable_moves(_responded(), MOVING) == {}
 
 
 class TestFormerKeeper:
-    """A keeper is replaced, and its successor hears nothing from the target.
+    """A keeper is replaced, and the target doesn't respond to its successor.
 
-    The former keeper may be cut off from its successor but not from the
-    target, and go on renewing. If the successor took the silence for a lapse,
-    two servers would take letters for the same thread.
+    The former keeper may still reach the target and renew its grant although
+    it can't reach the successor. If the successor took the silence for an
+    expired grant, two servers would accept letters for the same thread.
     """
 
-    def test_no_lapse_before_the_former_keeper_is_silent(self):
-        """However long the target says nothing."""
+    def test_no_expiry_before_the_former_keeper_has_stopped(self):
+        """Regardless of how long the target doesn't respond."""
         kept = _kept(silent=False)
         assert keeping.proof(kept, OWNED, _sight(LONG)) is None
 
-    def test_lapse_counts_from_when_the_silence_became_known(self):
-        """Grants from just before may be valid that long."""
+    def test_expiry_counts_from_the_confirmed_stop(self):
+        """A grant sent just before the stop is valid for that long."""
         kept = _kept(silent=False)
-        kept.silenced(50.0)
+        kept.former_keepers_stopped(50.0)
         assert keeping.proof(kept, OWNED, _sight(50.5)) is None
         assert keeping.proof(kept, OWNED, _sight(50.7)) is not None
 
-    def test_answer_that_names_the_own_fence_is_as_good(self):
+    def test_response_with_this_keepers_fence_suffices(self):
         """From then on the target refuses the former keeper."""
-        kept = _heard(silent=False, at=5.0)
+        kept = _responded(silent=False, at=5.0)
         assert keeping.proof(kept, OWNED, _sight(5.5)) is None
         assert keeping.proof(kept, OWNED, _sight(5.7)) is not None
 
-    def test_longer_grant_of_the_former_keeper_is_waited_for(self):
-        """The target says how long what it holds is valid."""
+    def test_longer_grant_of_the_former_keeper_is_awaited(self):
+        """The target reports for how long its present grant is valid."""
         kept = _kept(silent=False)
         message = kept.message()
         reply = holder.Holder("run").receive(message, 0.1)
@@ -133,16 +133,16 @@
         assert kept.has_lapsed(10.3)
 
 
-class TestNewRun:
-    """A target restarts and has forgotten which keeper it listens to.
+class TestNewIncarnation:
+    """A target restarts and has lost its keeper's fence.
 
-    A keeper that was replaced without noticing still sends to it. If its
-    grant were taken, slices that have moved on would be served here as well.
+    A keeper that was replaced without noticing still sends grants to it. If
+    the target accepted them, it would also serve slices that have moved.
     """
 
     def test_nothing_is_granted_before_the_role_is_confirmed(self):
         """No stamp is quoted, so nothing can be accepted."""
-        kept = _heard(at=0.1)
+        kept = _responded(at=0.1)
         assert kept.needs_confirmation
         assert kept.message().quoted is None
         kept.confirm(0.05)
@@ -156,21 +156,25 @@
 
 
 class TestWanted:
-    """What a target should own."""
+    """The slices that a target should own."""
 
     def test_moving_and_withheld_slices_are_left_out(self):
         """The others are granted with their fences."""
-        pieces = (*MOVING, tables.Slice(10, 19, "t", 4), *_more())
+        pieces = (
+            *MOVING,
+            tables.Slice(10, 19, "t", 4),
+            *_withheld_and_foreign(),
+        )
         block = tables.Block("s", 0, 5, pieces)
         held = keeping.wanted(block, "t", lambda s: s.first == 20)
         assert held == (grants.HeldSlice(10, 19, 4),)
 
-    def test_next_owner_is_told_what_comes(self):
-        """It can warm up before it owns anything."""
+    def test_next_owner_gets_the_slices_to_prepare(self):
+        """It can warm up before it owns the slice."""
         block = tables.Block("s", 0, 5, MOVING)
         assert keeping.prepared(block, "u") == (grants.HeldSlice(0, 9, 2),)
         assert keeping.prepared(block, "t") == ()
 
 
-def _more():
+def _withheld_and_foreign():
     return tables.Slice(20, 29, "t", 4), tables.Slice(30, 39, "u", 4)
--- a/tests/core/test_roles.py
+++ b/tests/core/test_roles.py
@@ -1,4 +1,4 @@
-"""Tests of who should keep which target."""
+"""Tests of the assignment of keepers to targets."""
 
 import pytest
 
@@ -37,7 +37,7 @@
 
 
 class TestClaims:
-    """Which roles a VM claims."""
+    """The roles that a VM claims."""
 
     @pytest.mark.parametrize(
         ("keepers", "vms", "options", "claimed"),
@@ -75,17 +75,17 @@
         ],
         ids=[
             "kept",
-            "nobody-first",
-            "nobody-second",
+            "unkept-first",
+            "unkept-second",
             "suspected",
-            "suspect-itself",
+            "suspects-itself",
             "restarted",
             "leaving",
             "other-zone",
-            "gone-target-of-a-lost-zone",
+            "gone-target-of-a-failed-zone",
             "offered",
         ],
     )
     def test_table(self, keepers, vms, options, claimed):
-        """Each cause for a claim, and what is none."""
+        """Each reason for a claim, and cases without one."""
         assert _claims(_block(**keepers), vms, **options) == claimed
--- a/tests/core/test_splits.py
+++ b/tests/core/test_splits.py
@@ -67,7 +67,7 @@
         kept = grants.KeptTarget(
             tables.BlockId("s", 0), "a", 1, grants.Timing(), 0.0, True
         )
-        kept.want((grants.HeldSlice(0, 9, 3),))
+        kept.set_wanted((grants.HeldSlice(0, 9, 3),))
         sent = kept.message()
         reply = grants.GrantReply(
             grants.GrantStatus.ACCEPTED,
--- a/tests/entry/test_keeper.py
+++ b/tests/entry/test_keeper.py
@@ -8,7 +8,7 @@
 from mimosastile_standins import virtual
 
 KEY = "k0"
-LAPSE = grants.Timing().lapse
+LAPSE = grants.Timing().max_validity
 
 
 def _run(story, **options):
