--- a/packages/mimosastile-core/src/mimosastile_core/gossip.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gossip.py
@@ -1,4 +1,4 @@
-"""Who reads the platform for a zone, and along whom news travels in it."""
+"""Choice of the platform's readers and dissemination tree of a zone."""
 
 from collections.abc import Iterable
 
@@ -6,24 +6,24 @@
 from mimosastile_core import keys
 
 FANOUT = 4
-"""Peers to which a VM passes news on."""
+"""Number of peers to which a VM forwards an update."""
 
-_ASKED_IN_ZONE = 4
+_SAMPLE_PER_ZONE = 4
 
 
 def readers(members: Iterable[str], purpose: str, count: int) -> list[str]:
-    """Chooses the VMs of a zone that read the platform for it.
+    """Chooses the VMs of a zone that read the platform for the zone.
 
-    By rendezvous rank, so that each VM knows them from its own list and the
-    loss of one changes nothing for the others.
+    Uses rendezvous hashing: each VM computes the readers from its own list,
+    and the loss of one VM doesn't change the rank of the others.
 
     Args:
         members: Live, unsuspected entry VMs of the zone.
-        purpose: What is read; other purposes fall on other VMs.
-        count: How many readers.
+        purpose: The data to read; the readers differ by purpose.
+        count: Number of readers.
 
     Returns:
-        The readers, first in rank first.
+        The readers by rank, highest first.
     """
     ranked = sorted(members, key=lambda vm: keys.key_hash(f"{purpose}/{vm}"))
     return ranked[:count]
@@ -32,18 +32,18 @@
 def children(
     root: str, vm: str, members: Iterable[str], fanout: int = FANOUT
 ) -> list[str]:
-    """Returns to whom a VM passes news on.
+    """Returns the peers to which a VM forwards an update.
 
-    The members form a tree of the given fan-out below the root: each gets the
-    news once, over a number of hops that grows with the logarithm. Where two
-    views of the members differ, someone is missed; the exchange of digests
-    makes that good.
+    The members form a tree of the given fan-out below the root. Each receives
+    the update once, after a number of hops that grows with the logarithm of
+    the zone's size. Where the views of two VMs differ, a member may be missed;
+    the exchange of digests repairs that.
 
     Args:
-        root: The VM that began.
-        vm: The VM that passes on.
-        members: Entry VMs of the zone as this VM knows them.
-        fanout: Peers to pass on to.
+        root: The VM that sent the update first.
+        vm: The VM that forwards the update.
+        members: Entry VMs of the zone in this VM's view.
+        fanout: Number of peers to forward to.
     """
     order = [root, *sorted(set(members) - {root}, key=keys.key_hash)]
     if vm not in order:
@@ -52,15 +52,15 @@
     return order[first : first + fanout]
 
 
-def some_of_each_zone(
-    vm: str, entries: Iterable[fleet.Vm], count: int = _ASKED_IN_ZONE
+def sample_each_zone(
+    vm: str, entries: Iterable[fleet.Vm], count: int = _SAMPLE_PER_ZONE
 ) -> list[fleet.Vm]:
-    """Chooses a few entry VMs of each zone, others for each asking VM.
+    """Chooses a sample of each zone's entry VMs that depends on the VM.
 
     Args:
-        vm: The asking VM.
+        vm: The VM that queries the sample.
         entries: Entry VMs to choose from.
-        count: How many of each zone.
+        count: Number of VMs of each zone.
     """
     zones: dict[str, list[fleet.Vm]] = {}
     for entry in sorted(entries, key=lambda e: keys.key_hash(f"{vm}/{e.id}")):
@@ -71,7 +71,7 @@
 def far_interval(near_interval: float, members: int) -> float:
     """Returns the interval of exchanges with other zones, in seconds.
 
-    Over all members of a zone one falls into each near interval, whatever the
-    size of the zone.
+    All members of a zone together start one such exchange in each near
+    interval, regardless of the size of the zone.
     """
     return near_interval * max(members, 1)
--- a/packages/mimosastile-core/src/mimosastile_core/pauses.py
+++ b/packages/mimosastile-core/src/mimosastile_core/pauses.py
@@ -1,43 +1,44 @@
-"""Notices that this process was paused."""
+"""Detection of pauses of this process."""
 
 
 class PauseGuard:
-    """Tells when a process must catch up before it speaks as a keeper.
-
-    A VM can be stopped for minutes and go on as if nothing had happened. Its
-    tables are then old: it may have been replaced, and its targets may have
-    been told things that it does not know. One notices it only by the clock,
-    which has jumped between two looks at it. From then on the guard is closed
-    until the tables were read anew, by a reading that began after the jump.
+    """Blocks a keeper after a pause until it has read its tables again.
+
+    A VM can be stopped for minutes and then continue without any signal. Its
+    tables are then out of date: it may have been replaced as keeper, and its
+    targets may have received grants that it hasn't recorded. Only a jump of
+    the clock between two checks shows the pause. From then on the guard is
+    closed until the tables are read again, by a read that started after the
+    jump.
     """
 
-    __slots__ = ("_closed_at", "_last", "_limit")
+    __slots__ = ("_closed_at", "_checked_at", "_limit")
 
     def __init__(self, limit: float, now: float) -> None:
-        """Starts open.
+        """Initializes an open guard.
 
         Args:
-            limit: Longest time between two looks, in seconds, that is not
-                taken for a pause.
-            now: Present time.
+            limit: Longest time between two checks, in seconds, that doesn't
+                count as a pause.
+            now: Current time in seconds.
         """
         self._limit = limit
-        self._last = now
+        self._checked_at = now
         self._closed_at: float | None = None
 
     @property
     def limit(self) -> float:
-        """Longest time between two looks that is not taken for a pause."""
+        """Longest time between two checks that isn't a pause, in seconds."""
         return self._limit
 
     def is_open(self, now: float) -> bool:
-        """Looks at the clock; whether the process may speak as a keeper."""
-        if now - self._last > self._limit:
+        """Checks the clock; returns whether the process may act as a keeper."""
+        if now - self._checked_at > self._limit:
             self._closed_at = now
-        self._last = now
+        self._checked_at = now
         return self._closed_at is None
 
-    def caught_up(self, began: float) -> None:
-        """Notes that the tables were read by a reading that began then."""
+    def tables_read(self, began: float) -> None:
+        """Opens the guard if a read of the tables began after the pause."""
         if self._closed_at is not None and began >= self._closed_at:
             self._closed_at = None
--- a/packages/mimosastile-core/src/mimosastile_core/takeover.py
+++ b/packages/mimosastile-core/src/mimosastile_core/takeover.py
@@ -1,48 +1,55 @@
-"""Who takes the place of a keeper that seems lost, and how often."""
+"""Backoff of repeated takeovers from keepers that are suspected.
+
+A target's keeper is the entry VM through which alone the target gets requests
+and grants.
+"""
 
 import msgspec
 
 from mimosastile_core import tables
 
-_CALM_SECONDS = 60.0
-_FIRST_WAIT = 1.0
-_LONGEST_WAIT = 30.0
+_RESET_SECONDS = 60.0
+_MIN_WAIT_SECONDS = 1.0
+_MAX_WAIT_SECONDS = 30.0
 
 
-class _Taken(msgspec.Struct):
-    """How often this VM took one role on suspicion, and when last."""
+class _Takeovers(msgspec.Struct):
+    """Number of takeovers of one role on suspicion, and time of the last."""
 
     count: int
     at: float
 
 
-class TakeoverPace:
-    """Slows down takeovers that follow each other on the same target.
+class TakeoverBackoff:
+    """Exponential backoff for repeated takeovers of the same target.
 
-    Two VMs that hear the target but not each other suspect each other. Each
-    would take the role back from the other for as long as the cut lasts, seen
-    as a write to the store every few milliseconds. The first takeover comes
-    at once; each further one waits twice as long as the one before.
+    Two VMs that can reach the target but not each other suspect each other.
+    Without a backoff, each would take the role back from the other until the
+    partition ends, with a write to the store every few milliseconds. The
+    first takeover is allowed immediately; each further one waits twice as
+    long as the one before.
     """
 
-    __slots__ = ("_taken",)
+    __slots__ = ("_takeovers",)
 
     def __init__(self) -> None:
-        self._taken: dict[tuple[tables.BlockId, str], _Taken] = {}
+        self._takeovers: dict[tuple[tables.BlockId, str], _Takeovers] = {}
 
     def allows(self, block: tables.BlockId, target: str, now: float) -> bool:
-        """Whether this VM may take a role on suspicion now."""
-        taken = self._taken.get((block, target))
-        if taken is None or now - taken.at > _CALM_SECONDS:
+        """Whether this VM may take over a role on suspicion now."""
+        takeovers = self._takeovers.get((block, target))
+        if takeovers is None or now - takeovers.at > _RESET_SECONDS:
             return True
-        wait = min(_LONGEST_WAIT, _FIRST_WAIT * (1 << taken.count - 1))
-        return now - taken.at >= wait
-
-    def note(self, block: tables.BlockId, target: str, now: float) -> None:
-        """Notes that this VM tries to take a role on suspicion."""
-        taken = self._taken.get((block, target))
-        if taken is None or now - taken.at > _CALM_SECONDS:
-            self._taken[block, target] = _Taken(1, now)
+        wait = min(
+            _MAX_WAIT_SECONDS, _MIN_WAIT_SECONDS * (1 << takeovers.count - 1)
+        )
+        return now - takeovers.at >= wait
+
+    def record(self, block: tables.BlockId, target: str, now: float) -> None:
+        """Records an attempt of this VM to take over a role on suspicion."""
+        takeovers = self._takeovers.get((block, target))
+        if takeovers is None or now - takeovers.at > _RESET_SECONDS:
+            self._takeovers[block, target] = _Takeovers(1, now)
         else:
-            taken.count += 1
-            taken.at = now
+            takeovers.count += 1
+            takeovers.at = now
--- a/packages/mimosastile-core/src/mimosastile_core/writes.py
+++ b/packages/mimosastile-core/src/mimosastile_core/writes.py
@@ -1,9 +1,9 @@
-"""Writes to the store whose outcome is not known.
+"""Writes to the store whose outcome is unknown.
 
-A compare-and-swap whose answer was lost may take effect at any later time, as
-long as the block is still at the version that it was made for. A keeper that
-handed in a proof of release and heard nothing must not grant the slice again:
-the write would give it to another target while the first one serves it.
+A compare-and-swap whose response was lost may take effect at any later time,
+as long as the block is still at the expected version. A keeper that sent a
+proof of release and got no response must not grant the slice again: the write
+may assign the slice to another target while the first one serves it.
 """
 
 import msgspec
@@ -12,18 +12,18 @@
 
 
 class _Attempt(msgspec.Struct, frozen=True):
-    """A write that was sent: the version it was made for and its content."""
+    """A write that was sent: its expected version and its content."""
 
     base: int
     proposed: tables.Block
 
 
 class PendingWrites:
-    """Writes of this VM that were sent and not yet seen to succeed or fail.
+    """Writes that this VM has sent and whose outcome is not yet known.
 
-    A write is noted before it is sent, so that a cancelled task leaves its
-    trace as well. Whatever later version of the block is seen ends the doubt:
-    the write has taken effect or never will.
+    A write is recorded before it is sent, so the write of a cancelled task is
+    recorded as well. Any later version of the block resolves the outcome: the
+    write has taken effect or never will.
     """
 
     __slots__ = ("_attempts",)
@@ -32,24 +32,24 @@
         self._attempts: dict[tables.BlockId, list[_Attempt]] = {}
 
     def sent(self, base: tables.Block, proposed: tables.Block) -> None:
-        """Notes a write that is about to leave."""
+        """Records a write that is about to be sent."""
         attempt = _Attempt(base.version, proposed)
         self._attempts.setdefault(base.id, []).append(attempt)
 
     def failed(self, proposed: tables.Block) -> None:
-        """Notes that a write is known to have had no effect."""
+        """Removes a write that certainly had no effect."""
         attempts = self._attempts.get(proposed.id, [])
         self._attempts[proposed.id] = [
             a for a in attempts if a.proposed is not proposed
         ]
 
-    def seen(self, block: tables.Block) -> None:
-        """Notes the block as it is; writes for earlier versions are over."""
+    def observe(self, block: tables.Block) -> None:
+        """Removes the writes that expect a version before the block's."""
         attempts = self._attempts.get(block.id)
         if attempts is not None:
-            left = [a for a in attempts if a.base >= block.version]
-            if left:
-                self._attempts[block.id] = left
+            remaining = [a for a in attempts if a.base >= block.version]
+            if remaining:
+                self._attempts[block.id] = remaining
             else:
                 del self._attempts[block.id]
 
@@ -62,14 +62,14 @@
         return [at for at, attempts in self._attempts.items() if attempts]
 
     def withholds(self, at: tables.BlockId, piece: tables.Slice) -> bool:
-        """Whether a pending write would take a slice from its owner."""
+        """Whether a pending write would change a slice's owner or fence."""
         return any(
-            _takes(attempt.proposed, piece)
+            _changes(attempt.proposed, piece)
             for attempt in self._attempts.get(at, ())
         )
 
 
-def _takes(proposed: tables.Block, piece: tables.Slice) -> bool:
+def _changes(proposed: tables.Block, piece: tables.Slice) -> bool:
     return any(
         (other.owner, other.fence) != (piece.owner, piece.fence)
         for other in proposed.slices
--- a/packages/mimosastile-entry/src/mimosastile_entry/_keeper.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_keeper.py
@@ -300,7 +300,7 @@
                 if began is None:
                     await asyncio.sleep(_RETRY_SECONDS)
                     continue
-                self._guard.caught_up(began)
+                self._guard.tables_read(began)
                 logging.warning("%s was paused, has caught up.", _PREFIX)
                 for kept in self._kept.values():
                     _kept.resume(kept.state, self._clock.now())
--- a/packages/mimosastile-entry/src/mimosastile_entry/_membership.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_membership.py
@@ -128,7 +128,7 @@
     def reaches(self, zone: str) -> bool:
         """Whether the followed VM of another zone is heard."""
         return zone == self._zone or any(
-            self._detector.hears(vm.id)
+            self._detector.is_responsive(vm.id)
             for vm in self._fleet.fleet.live_entries(zone).values()
         )
 
@@ -172,9 +172,9 @@
 
     def _message(self, receiver: str) -> messages.Presence:
         if self._is_near(receiver):
-            suspected = self._detector.told_near
+            suspected = self._detector.zone_report
         else:
-            suspected = self._detector.told_far(self._clock.now())
+            suspected = self._detector.far_report(self._clock.now())
         return messages.Presence(self._vm, tuple(sorted(suspected)))
 
     def _is_near(self, vm: str) -> bool:
@@ -189,7 +189,7 @@
 
     def _hear(self, message: messages.Presence) -> None:
         self._received.count(message)
-        self._detector.heard(
+        self._detector.receive(
             message.vm,
             message.suspected,
             self._clock.now(),
@@ -203,7 +203,7 @@
             step = self._detector.tick(self._clock.now())
             if step.changed:
                 self._note_change()
-            receivers = {*step.probes, *(self._others() if step.tell else ())}
+            receivers = {*step.probes, *(self._others() if step.report else ())}
             for vm in sorted(receivers):
                 self._send(vm)
             now = self._clock.now()
--- a/packages/mimosastile-entry/src/mimosastile_entry/_roles.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_roles.py
@@ -65,7 +65,7 @@
         "_keeper",
         "_membership",
         "_offered",
-        "_pace",
+        "_takeover_backoff",
         "_peers",
         "_retry_at",
         "_state",
@@ -96,7 +96,7 @@
         self._claimed = 0
         self._offered: dict[tables.BlockId, dict[str, int]] = {}
         self._retry_at: dict[tables.BlockId, float] = {}
-        self._pace = takeover.TakeoverPace()
+        self._takeover_backoff = takeover.TakeoverBackoff()
         self._stopping = False
         self._wake = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
@@ -219,7 +219,7 @@
             return
         for claim in due:
             if claim.suspected:
-                self._pace.note(block.id, claim.target, now)
+                self._takeover_backoff.record(block.id, claim.target, now)
         allowed = {claim.target for claim in due}
         checks = self._service(block.id).checks_orders
         outcome = await self._state.change(
@@ -237,7 +237,7 @@
             claim
             for claim in roles.claims(block, self._view(block.id))
             if not claim.suspected
-            or self._pace.allows(block.id, claim.target, now)
+            or self._takeover_backoff.allows(block.id, claim.target, now)
         ]
 
     def _named(
--- a/packages/mimosastile-entry/src/mimosastile_entry/_state.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_state.py
@@ -154,7 +154,7 @@
         pull = self._replica.pull(self._vm)
         calls = (
             self._peers.call(vm, pull, _PEER_SECONDS)
-            for vm in gossip.some_of_each_zone(
+            for vm in gossip.sample_each_zone(
                 self._vm, self._fleet.peers().values()
             )
         )
@@ -303,7 +303,7 @@
 
     def _note_seen(self) -> None:
         for at in self._writes.blocks():
-            self._writes.seen(self._replica.blocks[at])
+            self._writes.observe(self._replica.blocks[at])
 
     def _answer_pull(self, pull: messages.Pull) -> messages.Delta:
         return self._replica.delta(self._vm, pull)
--- a/packages/mimosastile-standins/src/mimosastile_standins/slopes.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/slopes.py
@@ -248,8 +248,8 @@
         for name, detector in detectors.items():
             for peer in detector.tick(now).probes:
                 count += me in (name, peer)
-                detectors[peer].heard(name, (), now)
-                detector.heard(peer, (), now)
+                detectors[peer].receive(name, (), now)
+                detector.receive(peer, (), now)
         now += 0.005
     return count
 
--- a/tests/core/test_gossip.py
+++ b/tests/core/test_gossip.py
@@ -1,4 +1,4 @@
-"""Tests of who reads the platform and how news travels in a zone."""
+"""Tests of the platform's readers and the dissemination tree of a zone."""
 
 import pytest
 
@@ -7,16 +7,16 @@
 
 
 class TestReaders:
-    """Few VMs of a zone read the platform."""
+    """A few VMs of a zone read the platform."""
 
     @pytest.mark.parametrize("size", [0, 1, 2, 3, 50])
     def test_count_is_bounded(self, size):
-        """Never more than asked for, never none while there are members."""
+        """As many as requested, or all members of a smaller zone."""
         chosen = gossip.readers([f"e{i}" for i in range(size)], "watch", 2)
         assert len(chosen) == min(size, 2)
 
     def test_loss_of_another_changes_nothing(self):
-        """Readers stay readers when a VM that reads nothing is lost."""
+        """The readers don't change when another VM is lost."""
         members = [f"e{i}" for i in range(20)]
         chosen = gossip.readers(members, "watch", 2)
         for lost in set(members) - set(chosen):
@@ -25,11 +25,11 @@
 
 
 class TestTree:
-    """News passes from VM to VM."""
+    """VMs forward an update along a tree."""
 
     @pytest.mark.parametrize("size", [1, 2, 3, 11, 100, 622])
-    def test_reaches_everyone_once(self, size):
-        """In few hops, and nobody sends to more than the fan-out."""
+    def test_reaches_each_member_once(self, size):
+        """In a few hops, and no VM sends to more peers than the fan-out."""
         members = [f"e{i}" for i in range(size)]
         level, reached, hops = ["e0"], ["e0"], 0
         while level:
@@ -41,22 +41,22 @@
         assert sorted(reached) == sorted(members)
         assert hops <= 5
 
-    def test_unknown_vm_passes_nothing_on(self):
-        """A VM that the tree does not hold yet waits for a digest."""
+    def test_unknown_vm_forwards_nothing(self):
+        """A VM that isn't in the tree yet waits for a digest."""
         assert gossip.children("e0", "new", ["e0", "e1"]) == []
 
 
-class TestSomeOfEachZone:
-    """A starting VM asks a few peers of each zone."""
+class TestSampleEachZone:
+    """A starting VM queries a few peers of each zone."""
 
     def test_count_does_not_grow_with_zones(self):
-        """Four of each, however many there are."""
+        """Four of each zone, regardless of its size."""
         vms = [
             fleet.Vm(f"{z}{i}", fleet.Role.ENTRY, "r", z, "127.0.0.1", 1)
             for z in "abc"
             for i in range(30)
         ]
-        chosen = gossip.some_of_each_zone("a0", vms)
+        chosen = gossip.sample_each_zone("a0", vms)
         assert {z: sum(v.zone == z for v in chosen) for z in "abc"} == {
             "a": 4,
             "b": 4,
--- a/tests/core/test_takeover.py
+++ b/tests/core/test_takeover.py
@@ -1,4 +1,4 @@
-"""Tests of the pace of takeovers."""
+"""Tests of the backoff of takeovers."""
 
 import pytest
 
@@ -9,11 +9,11 @@
 
 
 class TestMutualSuspicion:
-    """Two entry VMs hear a target but not each other.
+    """Two entry VMs can reach a target but not each other.
 
-    Each suspects the other and takes the target from it, again and again. The
-    store would be busy with nothing else, and callers would see their keys
-    change keepers all the time.
+    Each suspects the other and repeatedly takes the target over. Without a
+    backoff, these writes would saturate the store, and the keeper of the
+    callers' keys would change all the time.
     """
 
     @pytest.mark.parametrize(
@@ -30,9 +30,9 @@
         ],
     )
     def test_each_takeover_waits_twice_as_long(self, tries, after, allowed):
-        """The first one comes at once; a calm minute starts anew."""
-        pace = takeover.TakeoverPace()
+        """The first is immediate; a minute without any resets the wait."""
+        backoff = takeover.TakeoverBackoff()
         for _ in range(tries):
-            pace.note(BLOCK, "t", 10.0)
-        assert pace.allows(BLOCK, "t", 10.0 + after) is allowed
-        assert pace.allows(BLOCK, "other", 10.0)
+            backoff.record(BLOCK, "t", 10.0)
+        assert backoff.allows(BLOCK, "t", 10.0 + after) is allowed
+        assert backoff.allows(BLOCK, "other", 10.0)
--- a/tests/core/test_writes.py
+++ b/tests/core/test_writes.py
@@ -1,4 +1,4 @@
-"""Tests of writes whose outcome is not known."""
+"""Tests of writes whose outcome is unknown."""
 
 import msgspec
 import pytest
@@ -14,27 +14,27 @@
 )
 
 
-class TestLostAnswer:
-    """The store takes a keeper's write and its answer is lost.
+class TestLostResponse:
+    """The store receives a keeper's write, and the response is lost.
 
-    The write gives a slice of a frozen target to another one, perhaps only a
-    minute later. If the keeper granted the slice again to the first target,
-    which has thawed meanwhile, the same letter would be printed by both.
+    The write assigns a slice of a frozen target to another one, perhaps only
+    a minute later. If the keeper granted the slice again to the first target,
+    which has resumed by then, both targets would print the same letter.
     """
 
-    def test_slice_is_withheld_until_a_later_version_is_seen(self):
-        """The slice that the write leaves alone goes on."""
+    def test_slice_is_withheld_until_a_later_version_is_observed(self):
+        """A slice that the write doesn't change is not withheld."""
         pending = writes.PendingWrites()
         pending.sent(BASE, MOVED)
-        pending.seen(BASE)
+        pending.observe(BASE)
         assert pending.withholds(BASE.id, PIECES[0])
         assert not pending.withholds(BASE.id, PIECES[1])
-        pending.seen(moves.barrier(BASE))
+        pending.observe(moves.barrier(BASE))
         assert not pending.withholds(BASE.id, PIECES[0])
         assert pending.blocks() == []
 
-    def test_conflict_ends_only_the_write_that_met_it(self):
-        """A second try that loses a race says nothing about the first."""
+    def test_conflict_ends_only_its_own_write(self):
+        """A retry that loses a race doesn't show the first one's outcome."""
         pending = writes.PendingWrites()
         again = msgspec.structs.replace(MOVED)
         pending.sent(BASE, MOVED)
@@ -52,7 +52,7 @@
         ],
     )
     def test_new_fence_and_split_withhold_too(self, slices):
-        """Whatever part of the slice would change counts."""
+        """A change of any part of the slice withholds it."""
         pending = writes.PendingWrites()
         proposed = msgspec.structs.replace(BASE, version=6, slices=slices)
         pending.sent(BASE, proposed)
