--- a/packages/mimosastile-core/src/mimosastile_core/gateway/crash_detection.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/crash_detection.py
@@ -22,7 +22,7 @@
     __slots__ = ("_memory", "_pending")
 
     def __init__(self) -> None:
-        self._memory = quarantine.Memory()
+        self._memory = quarantine.CrashHistory()
         self._pending: dict[str, list[tuple[float, str]]] = {}
 
     def lost(self, target: str, request: str, now: float) -> None:
@@ -46,7 +46,7 @@
 
     def unreachable(
         self, target: str, now: float, new_id: str
-    ) -> list[quarantine.Death]:
+    ) -> list[quarantine.Crash]:
         """Notes that a target takes no connection.
 
         Returns:
@@ -54,7 +54,7 @@
         """
         pending = self._pending.pop(target, ())
         deaths = [
-            quarantine.Death(f"{new_id}-{number}", request, target, 0, now - at)
+            quarantine.Crash(f"{new_id}-{number}", request, target, 0, now - at)
             for number, (at, request) in enumerate(pending)
             if now - at < _DOUBT_SECONDS
         ]
@@ -62,7 +62,7 @@
             self._memory.record(death, now)
         return deaths
 
-    def learn(self, death: quarantine.Death, now: float) -> None:
+    def learn(self, death: quarantine.Crash, now: float) -> None:
         """Takes in a death that another VM has confirmed."""
         self._memory.record(death, now)
 
@@ -72,7 +72,7 @@
             return False
         return self._memory.held_for(request, POLICY, now) > 0
 
-    def deaths(self, now: float) -> tuple[quarantine.Death, ...]:
+    def deaths(self, now: float) -> tuple[quarantine.Crash, ...]:
         """Returns all deaths that are remembered, with present ages."""
         self._memory.expire(POLICY, now)
-        return self._memory.deaths(now)
+        return self._memory.crashes(now)
--- a/packages/mimosastile-core/src/mimosastile_core/loads.py
+++ b/packages/mimosastile-core/src/mimosastile_core/loads.py
@@ -118,7 +118,7 @@
             target
             for at, report in self._reports.values()
             if now - at <= _VALID_SECONDS
-            for target in report.heard
+            for target in report.responsive
         )
 
 
--- a/packages/mimosastile-core/src/mimosastile_core/messages.py
+++ b/packages/mimosastile-core/src/mimosastile_core/messages.py
@@ -1,4 +1,4 @@
-"""Messages between entry VMs. Each type is one case of a closed union."""
+"""Messages between entry VMs, as a closed union of tagged structures."""
 
 import msgspec
 
@@ -11,19 +11,19 @@
 
 
 class BlockVersion(msgspec.Struct, frozen=True, array_like=True):
-    """A block and the version that the sender holds."""
+    """A block and the sender's version of it."""
 
     id: tables.BlockId
     version: int
 
 
 class Pull(msgspec.Struct, frozen=True, tag="pull"):
-    """Asks a peer for whatever is newer than what the sender holds.
+    """Requests all state of a peer that is newer than the sender's.
 
     Attributes:
         vm: The sender.
         config_number: The sender's configuration number, 0 for none.
-        blocks: The sender's blocks.
+        blocks: The sender's blocks and their versions.
     """
 
     vm: str
@@ -32,14 +32,14 @@
 
 
 class Delta(msgspec.Struct, frozen=True, tag="delta"):
-    """Newer state; the receiver merges it forward only.
+    """Newer state; the receiver never replaces newer state by older.
 
     Attributes:
         vm: The sender.
         configuration: Newer configuration, if there is one.
         blocks: Newer blocks.
-        changes: What turns the version before into a newer block; whoever
-            holds another version asks the sender for the whole.
+        changes: Differences from the preceding version to a newer block. A
+            receiver with another version requests the full block.
     """
 
     vm: str
@@ -49,30 +49,30 @@
 
 
 class Ack(msgspec.Struct, frozen=True, tag="ack"):
-    """Says that a message was taken."""
+    """Acknowledges a message."""
 
     vm: str
 
 
 class NumberRequest(msgspec.Struct, frozen=True, tag="number_request"):
-    """Asks which configuration is in force at a peer."""
+    """Requests the number of the configuration in force at a peer."""
 
     vm: str
 
 
 class NumberReply(msgspec.Struct, frozen=True, tag="number_reply"):
-    """Says which configuration is in force at the sender."""
+    """Reports the number of the configuration in force at the sender."""
 
     vm: str
     number: int
 
 
 class Presence(msgspec.Struct, frozen=True, tag="presence"):
-    """Says that the sender runs; the answer is of the same type.
+    """Heartbeat of the sender; the response has the same type.
 
     Attributes:
         vm: The sender.
-        suspected: Whom the sender suspects.
+        suspected: VMs that the sender suspects of having failed.
     """
 
     vm: str
@@ -80,7 +80,11 @@
 
 
 class Role(msgspec.Struct, frozen=True, array_like=True):
-    """The keeping of one target in one block, under one fence."""
+    """The role of keeper of one target in one block, under one fence.
+
+    A target's keeper is the entry VM through which alone the target gets
+    requests and grants.
+    """
 
     block: tables.BlockId
     target: str
@@ -88,10 +92,10 @@
 
 
 class Handover(msgspec.Struct, frozen=True, tag="handover"):
-    """A stopping keeper asks the receiver to take roles over.
+    """Requests that the receiver takes over the roles of a stopping keeper.
 
     Attributes:
-        vm: The sender, which goes on until each role has a new keeper.
+        vm: The sender, which remains keeper until each role has a new one.
         roles: The roles with the sender's fences.
     """
 
@@ -100,7 +104,7 @@
 
 
 class StandDown(msgspec.Struct, frozen=True, tag="stand_down"):
-    """A new keeper asks a former one to send nothing more.
+    """Requests that a former keeper stops sending; sent by the new keeper.
 
     Attributes:
         vm: The sender.
@@ -112,12 +116,12 @@
 
 
 class StoodDown(msgspec.Struct, frozen=True, tag="stood_down"):
-    """Says which roles a former keeper has ended.
+    """Reports the roles that a former keeper has ended.
 
     Attributes:
         vm: The sender.
-        boot: Identifier of the sender's run.
-        roles: Roles of the question under which it sends nothing any more.
+        boot: Identifier of the incarnation of the sender's daemon.
+        roles: Requested roles under which the sender has stopped sending.
     """
 
     vm: str
@@ -126,7 +130,7 @@
 
 
 class MemberNeed(msgspec.Struct, frozen=True, array_like=True):
-    """What a VM needs of one member's limits."""
+    """The share of one member's limits that a VM needs."""
 
     member: str
     concurrency: limits.Need
@@ -134,7 +138,7 @@
 
 
 class Needs(msgspec.Struct, frozen=True, tag="needs"):
-    """Reports to the dealer of members' limits what the sender needs."""
+    """Reports the sender's needs to the VM that divides members' limits."""
 
     vm: str
     needs: tuple[MemberNeed, ...]
@@ -145,8 +149,8 @@
 
     Attributes:
         member: The member.
-        concurrency: Requests under way.
-        rate: Requests a second.
+        concurrency: Requests in flight.
+        rate: Requests per second.
     """
 
     member: str
@@ -155,30 +159,32 @@
 
 
 class Shares(msgspec.Struct, frozen=True, tag="shares"):
-    """The dealer's reply to `Needs`."""
+    """The response to `Needs`."""
 
     vm: str
     shares: tuple[MemberShare, ...]
 
 
 class Deaths(msgspec.Struct, frozen=True, tag="deaths"):
-    """Tells of requests that were running on targets when these died.
+    """Reports requests that were running on targets when these crashed.
 
     Attributes:
         vm: The sender.
-        deaths: Deaths that the receiver may not know.
-        withdrawn: Identifiers of deaths that turned out to be none.
-        asks: The receiver is to reply with all that it remembers.
+        crashes: Crashes that the receiver may not have recorded.
+        withdrawn: Identifiers of records that proved not to be crashes.
+        requests_all: Whether the receiver must respond with all its records.
     """
 
     vm: str
-    deaths: tuple[quarantine.Death, ...] = ()
+    crashes: tuple[quarantine.Crash, ...] = msgspec.field(
+        default=(), name="deaths"
+    )
     withdrawn: tuple[str, ...] = ()
-    asks: bool = False
+    requests_all: bool = msgspec.field(default=False, name="asks")
 
 
 class LinkNeeds(msgspec.Struct, frozen=True, tag="link_needs"):
-    """Reports what the sender needs of the link to another region."""
+    """Reports the bandwidth that the sender needs to another region."""
 
     vm: str
     region: str
@@ -186,7 +192,10 @@
 
 
 class LinkShare(msgspec.Struct, frozen=True, tag="link_share"):
-    """The dealer's reply: bytes a second, 0 if the receiver deals not."""
+    """The response to `LinkNeeds`: bytes per second for the receiver.
+
+    The rate is 0 if the sender doesn't divide this link's bandwidth.
+    """
 
     vm: str
     region: str
@@ -194,13 +203,13 @@
 
 
 class Digest(msgspec.Struct, frozen=True, tag="digest"):
-    """Says in a few bytes what the sender holds; so does the answer.
+    """Digest of the sender's state; the response has the same type.
 
     Attributes:
         vm: The sender.
         config_number: Its configuration number.
         tables: Hash over its blocks and their versions.
-        reader: Who read its list of VMs.
+        reader: The reader of its list of VMs.
         list_number: Number of that reading.
         list_age: Seconds since that reading was last confirmed.
     """
@@ -214,10 +223,10 @@
 
 
 class Push(msgspec.Struct, frozen=True, tag="push"):
-    """Newer state on its way through a zone.
+    """Newer state that is forwarded through a zone.
 
     Attributes:
-        root: The VM that began; receivers pass it on along a tree.
+        root: The VM that sent it first; receivers forward it along a tree.
         delta: The newer state.
     """
 
@@ -226,7 +235,7 @@
 
 
 class AskListing(msgspec.Struct, frozen=True, tag="ask_listing"):
-    """Asks a peer for its reading of the list of VMs."""
+    """Requests a peer's reading of the list of VMs."""
 
     vm: str
 
@@ -235,12 +244,12 @@
     """A reading of the platform's list of VMs.
 
     Attributes:
-        root: The VM that sends it through a zone, empty for an answer.
-        reader: Who read the list, as VM and run.
-        number: Rises with each change that this reader saw.
+        root: The VM that sent it first through a zone, empty in a response.
+        reader: The VM that read the list, with its daemon's incarnation.
+        number: Increases with each change that this reader observed.
         age: Seconds since the reader last confirmed it.
         vms: The listed VMs.
-        gone: VMs that some reader saw listed and later not listed.
+        gone: VMs that a reader observed as listed and later as unlisted.
     """
 
     root: str
@@ -256,8 +265,8 @@
 
     Attributes:
         first: First hash of the slice.
-        load: Slots in use on average.
-        hottest: Position of its hottest key.
+        load: Average number of slots in use.
+        hottest: Hash of the key with the highest load.
         hottest_load: Load of that key alone.
     """
 
@@ -268,21 +277,21 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True, tag="load_report"):
-    """A keeper's sum of load, for whoever usually plans the service.
+    """A keeper's load report to the VM that usually plans the service.
 
-    Its size is bounded by the targets that the sender keeps.
+    Its size is bounded by the number of targets that the sender keeps.
 
     Attributes:
         vm: The sender.
         service: The service.
-        slices: The fullest slices, fullest first.
-        heard: Targets that the sender keeps and hears.
+        slices: The slices with the highest load, in descending order.
+        responsive: Targets that the sender keeps and that respond.
     """
 
     vm: str
     service: str
     slices: tuple[SliceReport, ...]
-    heard: tuple[str, ...]
+    responsive: tuple[str, ...] = msgspec.field(name="heard")
 
 
 PeerMessage = (
@@ -316,9 +325,9 @@
 
 
 def decode(data: bytes) -> PeerMessage:
-    """Reads a message.
+    """Decodes a message.
 
     Raises:
-        msgspec.DecodeError: The bytes are no message of the closed union.
+        msgspec.DecodeError: The bytes don't encode a `PeerMessage`.
     """
     return _DECODER.decode(data)
--- a/packages/mimosastile-core/src/mimosastile_core/quarantine.py
+++ b/packages/mimosastile-core/src/mimosastile_core/quarantine.py
@@ -1,12 +1,13 @@
-"""Requests that were running on targets when these died.
+"""Quarantine of requests that crash the targets that run them.
 
-Now and then one request stops every target that runs it, and its caller sends
-it again. Each death is remembered with the request's fingerprint and told to
-all entry VMs; after enough deaths the request is refused wherever it comes.
+Sometimes one request crashes every target that runs it, and its caller sends
+it again. Each crash is recorded with the request's fingerprint and reported
+to all entry VMs. After a configured number of crashes, every entry VM refuses
+the request.
 
-A lost answer alone does not show that a target died. It counts as a death
-unless another exchange with the same target, under way at that moment, ends
-well: then only the connection was lost.
+A lost response alone doesn't show that a target crashed. It counts as a crash
+unless another request to the same target that was in flight at that moment
+gets its complete response: then only the connection was lost.
 """
 
 from collections.abc import Iterable
@@ -19,22 +20,23 @@
 from mimosastile_core import config
 
 _TRANSIT_SECONDS = 0.05
-"""Ages are told in messages; by so much two may differ in transit."""
-_DOUBT_SECONDS = 60.0
-"""How long an exchange may still prove that its target had not died."""
-_MAX_DEATHS = 10_000
+"""Messages carry ages, which differ by at most this much due to transit."""
+_UNCONFIRMED_SECONDS = 60.0
+"""Time for which a response can still disprove a crash of its target."""
+_MAX_CRASHES = 10_000
 
 
-class Death(msgspec.Struct, frozen=True, array_like=True):
-    """One request that was running on a target when it died.
+class Crash(msgspec.Struct, frozen=True, array_like=True):
+    """One request that was running on a target when it crashed.
 
     Attributes:
         id: Identifier of this record.
-        fingerprint: The request.
+        fingerprint: Fingerprint of the request.
         target: The target.
-        number: Configuration number in force then; operators clear by it.
-        age: Seconds since the death; clocks of VMs are not compared.
-        ran: Seconds for which the request had been under way.
+        number: Number of the configuration in force at the crash. Operators
+            clear a quarantine up to a configuration number.
+        age: Seconds since the crash; an age, as clocks of VMs may differ.
+        ran: Seconds from the sending of the request to the crash.
     """
 
     id: str
@@ -48,14 +50,14 @@
 def fingerprint(
     member: str, method: str, path: str, query: str, body: bytes
 ) -> str:
-    """Returns what identifies a request that is sent again.
+    """Returns a hash that is equal for repetitions of a request.
 
     Args:
         member: The calling member.
         method: HTTP method.
-        path: Path, which names the service and may carry the key.
+        path: Path, which contains the service and may contain the key.
         query: Query string.
-        body: The body, or as much of a large one as is held.
+        body: The body, or the buffered part of a large one.
     """
     digest = xxhash.xxh3_128()
     for part in (member, method, path, query):
@@ -67,14 +69,14 @@
 
 
 class _Record(msgspec.Struct):
-    """A death and the local time at which it happened."""
+    """A crash and the local time at which it happened."""
 
-    death: Death
+    crash: Crash
     at: float
 
 
-class Memory:
-    """What one VM remembers of deaths, its own and those told by others."""
+class CrashHistory:
+    """Crashes recorded by one VM, its own and those reported by peers."""
 
     __slots__ = ("_by_fingerprint", "_records", "_withdrawn")
 
@@ -84,72 +86,72 @@
         self._withdrawn: dict[str, float] = {}
 
     def __bool__(self) -> bool:
-        """Whether anything is remembered; usually nothing is."""
+        """Whether there are any records; usually there are none."""
         return bool(self._records)
 
-    def record(self, death: Death, now: float) -> bool:
-        """Takes in a death; False if it is known or withdrawn."""
-        full = len(self._records) >= _MAX_DEATHS
-        if full or death.id in self._records or death.id in self._withdrawn:
+    def record(self, crash: Crash, now: float) -> bool:
+        """Adds a crash; False if recorded, withdrawn or over capacity."""
+        full = len(self._records) >= _MAX_CRASHES
+        if full or crash.id in self._records or crash.id in self._withdrawn:
             return False
-        kept = _Record(death, now - death.age)
-        self._records[death.id] = kept
-        self._by_fingerprint.setdefault(death.fingerprint, []).append(kept)
+        kept = _Record(crash, now - crash.age)
+        self._records[crash.id] = kept
+        self._by_fingerprint.setdefault(crash.fingerprint, []).append(kept)
         return True
 
     def withdraw(self, ids: Iterable[str], now: float) -> None:
-        """Forgets deaths that turned out to be none.
+        """Removes records that proved not to be crashes.
 
-        The identifiers are kept for a while, so that a peer that has not
-        heard yet does not bring them back.
+        The identifiers are kept for the quarantine's duration. Otherwise a
+        peer without the withdrawal would add the records again.
         """
-        for at in ids:
-            self._withdrawn[at] = now
-            self._drop(at)
+        for crash_id in ids:
+            self._withdrawn[crash_id] = now
+            self._drop(crash_id)
 
     def held_for(
         self, request: str, policy: config.Quarantine, now: float
     ) -> float:
-        """Returns how many seconds a request is still refused, 0 if not."""
-        deaths = self._counted(request, policy, now)
-        if len(deaths) < policy.deaths:
+        """Returns the remaining quarantine of a request in seconds, or 0."""
+        crashes = self._counted(request, policy, now)
+        if len(crashes) < policy.deaths:
             return 0.0
-        return deaths[-policy.deaths] + policy.seconds - now
+        return crashes[-policy.deaths] + policy.seconds - now
 
     def expire(self, policy: config.Quarantine, now: float) -> None:
-        """Forgets what is too old or cleared by the operators."""
-        old = [
-            at
-            for at, record in self._records.items()
+        """Removes records that are too old or cleared by operators."""
+        expired = [
+            crash_id
+            for crash_id, record in self._records.items()
             if not _counts(record, policy, now)
         ]
-        for at in old:
-            self._drop(at)
+        for crash_id in expired:
+            self._drop(crash_id)
         self._withdrawn = {
-            at: since
-            for at, since in self._withdrawn.items()
+            crash_id: since
+            for crash_id, since in self._withdrawn.items()
             if now - since < policy.seconds
         }
 
-    def deaths(self, now: float) -> tuple[Death, ...]:
-        """Returns everything remembered, with present ages."""
+    def crashes(self, now: float) -> tuple[Crash, ...]:
+        """Returns all recorded crashes with their current ages."""
         return tuple(
-            msgspec.structs.replace(record.death, age=now - record.at)
+            msgspec.structs.replace(record.crash, age=now - record.at)
             for record in self._records.values()
         )
 
     def withdrawn(self) -> tuple[str, ...]:
-        """Returns the identifiers of deaths that turned out to be none."""
+        """Returns the identifiers of withdrawn records."""
         return tuple(self._withdrawn)
 
     def fingerprints(self) -> Mapping[str, int]:
-        """Returns the remembered requests with their records."""
+        """Returns fingerprints and their numbers of recorded crashes."""
         return {f: len(r) for f, r in self._by_fingerprint.items()}
 
     def _counted(
         self, request: str, policy: config.Quarantine, now: float
     ) -> list[float]:
-        """Returns the times of distinct deaths, oldest first."""
+        """Returns the times of distinct crashes, oldest first."""
         records = sorted(
             (
                 record
@@ -161,62 +163,65 @@
         times: list[float] = []
         last: dict[str, float] = {}
         for record in records:
-            # Several copies may run on a target when it dies once. One that
-            # was sent after the former death found the target alive again:
-            # a second death, however soon it came.
-            before = last.get(record.death.target, -math.inf)
-            if record.at - record.death.ran > before + _TRANSIT_SECONDS:
+            # Several copies of the request may run on a target when it crashes
+            # once. A copy that was sent after the preceding crash ran on the
+            # restarted target, so its loss is a second crash.
+            before = last.get(record.crash.target, -math.inf)
+            if record.at - record.crash.ran > before + _TRANSIT_SECONDS:
                 times.append(record.at)
-            last[record.death.target] = record.at
+            last[record.crash.target] = record.at
         return times
 
-    def _drop(self, at: str) -> None:
-        record = self._records.pop(at, None)
+    def _drop(self, crash_id: str) -> None:
+        record = self._records.pop(crash_id, None)
         if record is None:
             return
-        fellows = self._by_fingerprint[record.death.fingerprint]
-        fellows.remove(record)
-        if not fellows:
-            del self._by_fingerprint[record.death.fingerprint]
+        same_request = self._by_fingerprint[record.crash.fingerprint]
+        same_request.remove(record)
+        if not same_request:
+            del self._by_fingerprint[record.crash.fingerprint]
 
 
 def _counts(record: _Record, policy: config.Quarantine, now: float) -> bool:
-    cleared = policy.cleared.get(record.death.fingerprint, -1)
-    return now - record.at < policy.seconds and record.death.number > cleared
+    cleared = policy.cleared.get(record.crash.fingerprint, -1)
+    return now - record.at < policy.seconds and record.crash.number > cleared
 
 
-class Doubts:
-    """Lost answers of the targets that one VM keeps, while in doubt."""
+class UnconfirmedCrashes:
+    """Lost responses of one VM's targets that may not be crashes.
+
+    One VM keeps a target: all requests go through it, its keeper.
+    """
 
     __slots__ = ("_lost",)
 
     def __init__(self) -> None:
         self._lost: dict[str, list[tuple[float, str]]] = {}
 
-    def lost(self, target: str, death: str, now: float) -> None:
-        """Notes a lost answer that counts as a death for now."""
+    def lost(self, target: str, crash: str, now: float) -> None:
+        """Records a lost response that counts as a crash for now."""
         recent = [
-            (at, known)
-            for at, known in self._lost.get(target, ())
-            if now - at < _DOUBT_SECONDS
+            (at, crash)
+            for at, crash in self._lost.get(target, ())
+            if now - at < _UNCONFIRMED_SECONDS
         ]
-        self._lost[target] = [*recent, (now, death)]
+        self._lost[target] = [*recent, (now, crash)]
 
     def answered(self, target: str, began: float) -> list[str]:
-        """Returns the deaths that a whole answer disproves.
+        """Returns the crashes that a complete response disproves.
 
         Args:
             target: The target.
-            began: When the answered request was sent. The target has lived
-                through every moment since then.
+            began: Time at which the answered request was sent. The target
+                hasn't crashed since then.
         """
-        noted = self._lost.get(target)
-        if not noted:
+        recorded = self._lost.get(target)
+        if not recorded:
             return []
-        disproved = [death for at, death in noted if at >= began]
-        left = [(at, death) for at, death in noted if at < began]
-        if left:
-            self._lost[target] = left
+        disproved = [crash for at, crash in recorded if at >= began]
+        remaining = [(at, crash) for at, crash in recorded if at < began]
+        if remaining:
+            self._lost[target] = remaining
         else:
             del self._lost[target]
         return disproved
--- a/packages/mimosastile-core/src/mimosastile_core/queueing.py
+++ b/packages/mimosastile-core/src/mimosastile_core/queueing.py
@@ -1,10 +1,12 @@
-"""The queue for the slots of one target, fair to members, at its keeper.
-
-Start-time fair queueing on two levels. Classes share the slots by fixed
-weights, so that bulk is slow under pressure but never starved; within a class
-members share by their configured shares. What a request costs is the time it
-holds a slot: it is charged an estimate when it starts and the difference when
-it ends, so that a member gains nothing by sending fewer but longer requests.
+"""Fair queue of a target's slots at its keeper, by class and member.
+
+A target's keeper is the entry VM through which alone the target gets requests
+and grants. The queue uses start-time fair queueing on two levels. Classes
+share the slots by fixed weights, so bulk requests are slow under load but
+never starved. Within a class, members share the slots by their configured
+shares. A request's cost is the time for which it holds a slot: its lane is
+charged an estimate at the start and the difference at the end. A member
+therefore gains nothing by sending fewer but longer requests.
 """
 
 import collections
@@ -20,27 +22,28 @@
     config.Priority.SUBMISSION: 4.0,
     config.Priority.BULK: 1.0,
 }
-_SMOOTHING = 0.1
-_WAIT_SHARE = 0.5
-"""Share of its remaining time that a request may spend waiting; the rest is
-for the run. Whoever is refused has time left to try elsewhere."""
-_CREDIT = 4.0
-"""Mean requests that a member may be ahead of its share. Within that, whoever
-came first goes first: strict turns would make equal members wait for chance
-differences among them. An idle member keeps as much credit."""
-_SHED_SECONDS = 0.5
+_MEAN_SMOOTHING = 0.1
+_MAX_WAIT_FRACTION = 0.5
+"""Maximum fraction of a request's remaining time that it may wait; the rest is
+for the run. A caller that is refused has time left to try elsewhere."""
+_CREDIT_REQUESTS = 4.0
+"""Number of mean-length requests by which a member may exceed its share.
+Within this credit, requests start in order of arrival: strict fair queueing
+would make equal members wait for random differences among them. An idle member
+keeps the same credit."""
+_LIMIT_RAISE_SECONDS = 0.5
 _MAX_IDLE_LANES = 256
 
 
 class Ticket:
-    """One request at the queue.
+    """One request of the queue.
 
     Attributes:
         member: The calling member.
         priority: Class of the request.
         share: The member's weight.
         latest: Time by which it must have started.
-        queued_at: Time at which it began to wait.
+        queued_at: Time at which it joined the queue.
     """
 
     __slots__ = (
@@ -76,14 +79,14 @@
         return self._started_at is not None
 
     def begin(self, lane: "_Lane", estimate: float, now: float) -> None:
-        """Takes a slot and charges the lane."""
+        """Records the start and charges the lane the estimated seconds."""
         self._lane = lane
         self._estimate = estimate
         self._started_at = now
         lane.tag += estimate / self.share
 
     def end(self, now: float) -> float:
-        """Gives the slot back; returns the seconds it was held."""
+        """Releases the slot; returns the seconds for which it was held."""
         assert self._started_at is not None and self._lane is not None
         held = now - self._started_at
         self._started_at = None
@@ -92,7 +95,7 @@
 
 
 class _Lane:
-    """One member's requests of one class."""
+    """One member's waiting requests of one class."""
 
     __slots__ = ("share", "tag", "waiting")
 
@@ -102,8 +105,8 @@
         self.tag = 0.0
 
 
-class _Class:
-    """All members' requests of one class at one target."""
+class _PriorityClass:
+    """All members' requests of one priority class at one target."""
 
     __slots__ = ("clock", "lanes", "mean", "running", "tag", "waiting")
 
@@ -116,33 +119,33 @@
         self.mean = 0.0
 
     def lane(self, member: str) -> _Lane:
-        """Returns a member's lane; an idle one saves up little credit."""
+        """Returns a member's lane; the credit of an idle one is bounded."""
         lane = self.lanes.get(member)
         if lane is None:
             if len(self.lanes) >= _MAX_IDLE_LANES:
                 self._drop_idle()
             lane = self.lanes[member] = _Lane()
         if not lane.waiting:
-            lane.tag = max(lane.tag, self.clock - _CREDIT * self.mean)
+            lane.tag = max(lane.tag, self.clock - _CREDIT_REQUESTS * self.mean)
         return lane
 
-    def first(self) -> _Lane:
-        """Returns the lane whose turn it is; some request must wait."""
+    def next_lane(self) -> _Lane:
+        """Returns the lane to serve next; at least one request must wait."""
         waiting = [lane for lane in self.lanes.values() if lane.waiting]
         earliest = min(lane.tag for lane in waiting)
-        latest = earliest + _CREDIT * self.mean
-        # The credit may be lost in rounding; the earliest lane always counts.
+        latest = earliest + _CREDIT_REQUESTS * self.mean
+        # Rounding may lose the credit; the earliest lane is always eligible.
         return min(
             (e for e in waiting if e.tag < latest or e.tag == earliest),
             key=lambda lane: (lane.waiting[0].queued_at, lane.tag),
         )
 
-    def longest(self) -> _Lane:
-        """Returns the lane that is longest for its share."""
+    def longest_lane(self) -> _Lane:
+        """Returns the lane with the most waiting requests per share."""
         return max(self.lanes.values(), key=lambda e: len(e.waiting) / e.share)
 
-    def turns_before(self, lane: _Lane, share: float) -> float:
-        """Returns how many starts come before a new request of a lane."""
+    def starts_before(self, lane: _Lane, share: float) -> float:
+        """Returns the expected number of starts before a lane's new request."""
         rivals = sum(
             other.share
             for other in self.lanes.values()
@@ -151,9 +154,9 @@
         fair = (len(lane.waiting) + 1) * (rivals + share) / share - 1
         return min(fair, self.waiting)
 
-    def learn(self, held: float) -> None:
-        """Takes a measured time into the mean."""
-        weight = _SMOOTHING if self.mean else 1.0
+    def update_mean(self, held: float) -> None:
+        """Updates the mean holding time with a measured one, in seconds."""
+        weight = _MEAN_SMOOTHING if self.mean else 1.0
         self.mean += (held - self.mean) * weight
 
     def _drop_idle(self) -> None:
@@ -165,13 +168,13 @@
 
 
 class Started(msgspec.Struct, frozen=True):
-    """A waiting request has got its slot."""
+    """A waiting request has started and holds a slot."""
 
     ticket: Ticket
 
 
 class Refused(msgspec.Struct, frozen=True):
-    """A waiting request has left the queue without a slot; it did not run."""
+    """A waiting request was removed from the queue and did not run."""
 
     ticket: Ticket
     failure: errors.Failure
@@ -181,9 +184,9 @@
 
 
 class TargetQueue:
-    """Slots of one target and the requests that wait for them.
+    """Concurrency limit of one target and the queue of waiting requests.
 
-    The keeper is the only VM that sends to its target, so the count is exact.
+    Only the keeper sends requests to its target, so the count is exact.
     """
 
     __slots__ = (
@@ -198,13 +201,15 @@
     )
 
     def __init__(self, slots: int, policy: config.Queue) -> None:
-        """Makes an idle queue.
+        """Initializes an empty queue.
 
         Args:
-            slots: Requests that the target runs at a time.
+            slots: Number of requests that the target runs concurrently.
             policy: Settings of the service's queues.
         """
-        self._classes = {priority: _Class() for priority in config.Priority}
+        self._classes = {
+            priority: _PriorityClass() for priority in config.Priority
+        }
         self._clock = 0.0
         self._slots = slots
         self._limit = slots
@@ -215,21 +220,21 @@
 
     @property
     def running(self) -> int:
-        """Slots that are held."""
+        """Number of slots in use."""
         return self._running
 
     @property
     def waiting(self) -> int:
-        """Requests that wait."""
+        """Number of waiting requests."""
         return self._waiting
 
     @property
     def limit(self) -> int:
-        """Slots in use at most; fewer than the target's after it shed load."""
+        """Current concurrency limit; reduced after the target sheds load."""
         return self._limit
 
     def configure(self, slots: int, policy: config.Queue) -> None:
-        """Takes new settings; running requests keep their slots."""
+        """Applies new settings; running requests keep their slots."""
         self._policy = policy
         if slots != self._slots:
             self._slots = self._limit = slots
@@ -237,25 +242,26 @@
     def offer(
         self, ticket: Ticket, deadline: float, now: float
     ) -> errors.Failure | None | list[Action]:
-        """Takes in a request.
+        """Admits, queues or refuses a request.
 
         Args:
             ticket: The request; it is running afterwards if a slot was free.
             deadline: Time at which the caller gives up.
-            now: The time.
+            now: Current time in seconds.
 
         Returns:
-            A failure if it is refused at once, None if it runs; otherwise it
-            waits, and the list holds what happened to others.
+            A failure if the request is refused immediately, None if it runs.
+            Otherwise it was queued, and the list contains the actions for
+            queued requests.
         """
-        self._recover(now)
+        self._raise_limit(now)
         group = self._classes[ticket.priority]
         if not group.waiting and self._has_slot(ticket.priority):
             self._start(ticket, group, group.lane(ticket.member), now)
             return None
         lane = group.lane(ticket.member)
         wait = self._expected_wait(ticket, group, lane)
-        allowed = min(self._policy.wait, (deadline - now) * _WAIT_SHARE)
+        allowed = min(self._policy.wait, (deadline - now) * _MAX_WAIT_FRACTION)
         if wait > allowed:
             return _overloaded(wait)
         ticket.latest = now + allowed
@@ -263,39 +269,39 @@
         return self._enqueue(ticket, group, lane, now)
 
     def leave(self, ticket: Ticket, now: float) -> list[Action]:
-        """Takes a request out, whether it waits, runs or has left already."""
+        """Removes a request, whether it waits, runs or was removed before."""
         group = self._classes[ticket.priority]
         if ticket.running:
             group.running -= 1
             self._running -= 1
-            group.learn(ticket.end(now))
+            group.update_mean(ticket.end(now))
         else:
-            self._forget(ticket, group)
-        self._recover(now)
+            self._remove_waiting(ticket, group)
+        self._raise_limit(now)
         return self._dispatch(now)
 
     def shed(self, now: float) -> None:
-        """Heeds a target that refused a request because it is overloaded."""
+        """Lowers the limit after the target refused a request as overloaded."""
         self._limit = max(1, min(self._limit, self.running) - 1)
-        self._raise_at = now + _SHED_SECONDS
+        self._raise_at = now + _LIMIT_RAISE_SECONDS
 
-    def _recover(self, now: float) -> None:
+    def _raise_limit(self, now: float) -> None:
         if self._limit < self._slots and now >= self._raise_at:
             self._limit += 1
-            self._raise_at = now + _SHED_SECONDS
+            self._raise_at = now + _LIMIT_RAISE_SECONDS
 
     def _has_slot(self, priority: config.Priority) -> bool:
         if self._running >= self._limit:
             return False
         if priority is not config.Priority.BULK:
             return True
-        # A download holds its slot for long. If downloads could hold all of
-        # them, the desk would wait for the end of one.
+        # A download holds its slot for a long time. If downloads could use all
+        # slots, interactive requests would wait until one of them ends.
         allowed = self._policy.bulk_slots or max(1, self._slots // 2)
         return self._classes[priority].running < allowed
 
     def _start(
-        self, ticket: Ticket, group: _Class, lane: _Lane, now: float
+        self, ticket: Ticket, group: _PriorityClass, lane: _Lane, now: float
     ) -> None:
         estimate = group.mean
         if not group.waiting:
@@ -307,7 +313,7 @@
         ticket.begin(lane, estimate, now)
 
     def _enqueue(
-        self, ticket: Ticket, group: _Class, lane: _Lane, now: float
+        self, ticket: Ticket, group: _PriorityClass, lane: _Lane, now: float
     ) -> list[Action]:
         if not group.waiting:
             group.tag = max(group.tag, self._clock)
@@ -317,19 +323,19 @@
         self._waiting += 1
         actions = self._dispatch(now)
         if self.waiting > self._policy.length:
-            actions.append(self._push_out(group))
+            actions.append(self._evict(group))
         return actions
 
-    def _push_out(self, group: _Class) -> Refused:
-        # The queue is full. Refusing whoever comes next would let one
-        # member's surge keep all others out; the longest lane gives way.
-        victim = group.longest().waiting.pop()
+    def _evict(self, group: _PriorityClass) -> Refused:
+        # The queue is full. If new requests were refused, one member's surge
+        # would block all others; therefore the longest lane loses a request.
+        evicted = group.longest_lane().waiting.pop()
         group.waiting -= 1
         self._waiting -= 1
         wait = group.mean * group.waiting / self._limit
-        return Refused(victim, _overloaded(wait))
+        return Refused(evicted, _overloaded(wait))
 
-    def _forget(self, ticket: Ticket, group: _Class) -> None:
+    def _remove_waiting(self, ticket: Ticket, group: _PriorityClass) -> None:
         lane = group.lanes.get(ticket.member)
         if lane is not None and ticket in lane.waiting:
             lane.waiting.remove(ticket)
@@ -347,11 +353,11 @@
             if not ready:
                 break
             chosen = min(ready, key=lambda p: self._classes[p].tag)
-            actions.append(self._next_of(self._classes[chosen], now))
+            actions.append(self._start_next(self._classes[chosen], now))
         return actions
 
-    def _next_of(self, group: _Class, now: float) -> Action:
-        lane = group.first()
+    def _start_next(self, group: _PriorityClass, now: float) -> Action:
+        lane = group.next_lane()
         ticket = lane.waiting.popleft()
         group.waiting -= 1
         self._waiting -= 1
@@ -364,16 +370,16 @@
         return Started(ticket)
 
     def _expected_wait(
-        self, ticket: Ticket, group: _Class, lane: _Lane
+        self, ticket: Ticket, group: _PriorityClass, lane: _Lane
     ) -> float:
         busy = sum(
             _WEIGHTS[priority]
             for priority, other in self._classes.items()
             if other.waiting or priority is ticket.priority
         )
-        part = _WEIGHTS[ticket.priority] / busy
-        turns = group.turns_before(lane, ticket.share)
-        return turns * group.mean / (self._limit * part)
+        class_share = _WEIGHTS[ticket.priority] / busy
+        starts = group.starts_before(lane, ticket.share)
+        return starts * group.mean / (self._limit * class_share)
 
 
 def _overloaded(wait: float) -> errors.Failure:
--- a/packages/mimosastile-entry/src/mimosastile_entry/_quarantine.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_quarantine.py
@@ -57,8 +57,8 @@
             "clock",
         )
         self._vm = vm
-        self._memory = quarantine.Memory()
-        self._doubts = quarantine.Doubts()
+        self._memory = quarantine.CrashHistory()
+        self._doubts = quarantine.UnconfirmedCrashes()
         self._tasks = _background.Background()
         self._state: _state.StateService
         self._fleet: _fleet.FleetService
@@ -94,7 +94,7 @@
                     "config_number": death.number,
                     "seconds_ago": death.age,
                 }
-                for death in self._memory.deaths(now)
+                for death in self._memory.crashes(now)
             ],
         }
 
@@ -138,7 +138,7 @@
         now = self._clock.now()
         if kind not in _UNSURE or now >= request.deadline:
             return
-        death = quarantine.Death(
+        death = quarantine.Crash(
             self._clock.new_id(),
             _fingerprint(request),
             target,
@@ -161,17 +161,17 @@
 
     def _receive(self, message: messages.Deaths) -> messages.Deaths:
         self._take(message)
-        if not message.asks:
+        if not message.requests_all:
             return messages.Deaths(self._vm)
         now = self._clock.now()
         return messages.Deaths(
-            self._vm, self._memory.deaths(now), self._memory.withdrawn()
+            self._vm, self._memory.crashes(now), self._memory.withdrawn()
         )
 
     def _take(self, message: messages.Deaths) -> None:
         now = self._clock.now()
         self._memory.withdraw(message.withdrawn, now)
-        for death in message.deaths:
+        for death in message.crashes:
             self._memory.record(death, now)
         self._memory.expire(self._policy, now)
 
@@ -199,9 +199,9 @@
                     chosen,
                     messages.Deaths(
                         self._vm,
-                        self._memory.deaths(now),
+                        self._memory.crashes(now),
                         self._memory.withdrawn(),
-                        asks=True,
+                        requests_all=True,
                     ),
                 )
             self._memory.expire(self._policy, self._clock.now())
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
@@ -168,7 +168,7 @@
         self._heard_at = float("-inf")
         self._keys: dict[str, list[int]] = collections.defaultdict(list)
         self._alive: set[str] = set()
-        self._deaths: list[quarantine.Death] = []
+        self._deaths: list[quarantine.Crash] = []
         self._ended: list[messages.EndedTarget] = []
         self._misses: list[messages.OwnershipMiss] = []
         self._full_target_requests: collections.Counter[str] = (
@@ -243,7 +243,7 @@
         """Notes that a target answers."""
         self._alive.add(target)
 
-    def report_crashes(self, deaths: list[quarantine.Death]) -> None:
+    def report_crashes(self, deaths: list[quarantine.Crash]) -> None:
         """Notes confirmed deaths of targets."""
         self._deaths.extend(deaths)
 
--- a/packages/mimosastile-standins/src/mimosastile_standins/mutations.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/mutations.py
@@ -289,7 +289,7 @@
     Mutation(
         "no quarantine",
         "a request that stopped two targets is refused",
-        quarantine.Memory,
+        quarantine.CrashHistory,
         "held_for",
         _says(0.0),
         ("deadly-request",),
--- a/tests/core/test_queueing.py
+++ b/tests/core/test_queueing.py
@@ -1,4 +1,4 @@
-"""Tests of the queue for a target's slots."""
+"""Tests of the fair queue of a target's slots."""
 
 import collections
 
@@ -11,7 +11,7 @@
 from mimosastile_core import errors
 from mimosastile_core import queueing
 
-DESK = config.Priority.INTERACTIVE
+INTERACTIVE = config.Priority.INTERACTIVE
 SUBMISSION = config.Priority.SUBMISSION
 BULK = config.Priority.BULK
 PATIENT = config.Queue(wait=1000.0, length=100000)
@@ -21,13 +21,15 @@
     return queueing.TargetQueue(slots, policy)
 
 
-def _offer(queue, member="a", priority=DESK, share=1.0, now=0.0, left=1e6):
+def _offer(
+    queue, member="a", priority=INTERACTIVE, share=1.0, now=0.0, left=1e6
+):
     ticket = queueing.Ticket(member, priority, share)
     return ticket, queue.offer(ticket, now + left, now)
 
 
 def _serve(queue, running, count, seconds=1.0, now=0.0):
-    """Ends requests one after another; returns those that were started."""
+    """Ends running requests in turn; returns the requests that started."""
     running = collections.deque(running)
     started = []
     for _ in range(count):
@@ -39,13 +41,13 @@
 
 
 class TestSurge:
-    """One member sends far more than the others on a busy day.
+    """One member sends far more requests than the others.
 
-    If the queue were first come, first served, a rival's packers would stand
+    In a first-in, first-out queue, the requests of a rival member would wait
     behind the whole surge.
     """
 
-    def test_rival_is_next_after_one_of_the_surge(self):
+    def test_rival_waits_for_one_request_of_the_surge(self):
         """The rival's wait does not depend on the surge's length."""
         queue = _queue(slots=1)
         running = [_offer(queue, "surge")[0]]
@@ -57,7 +59,7 @@
 
     @pytest.mark.parametrize("share", [1.0, 3.0])
     def test_slots_go_by_share(self, share):
-        """A member with three times the share gets three times the slots."""
+        """Slots are proportional to the configured shares."""
         queue = _queue(slots=1)
         running = [_offer(queue, "first")[0]]
         for _ in range(200):
@@ -68,8 +70,8 @@
         )
         assert counts["a"] / counts["b"] == pytest.approx(share, rel=0.1)
 
-    def test_long_requests_count_for_their_time(self):
-        """A member cannot gain by sending longer requests."""
+    def test_requests_are_charged_for_their_duration(self):
+        """A member can't gain by sending longer requests."""
         queue = _queue(slots=1)
         current = _offer(queue, "first")[0]
         for _ in range(200):
@@ -84,8 +86,8 @@
             current = queue.leave(current, now)[0].ticket
         assert held["long"] == pytest.approx(held["short"], rel=0.15)
 
-    def test_full_queue_pushes_out_the_longest_lane(self):
-        """A surge that fills the queue keeps nobody else out."""
+    def test_full_queue_evicts_from_the_longest_lane(self):
+        """A surge that fills the queue doesn't block other members."""
         queue = _queue(1, config.Queue(wait=1000.0, length=10))
         _offer(queue, "surge")
         waiting = [_offer(queue, "surge")[0] for _ in range(10)]
@@ -95,14 +97,14 @@
 
 
 class TestRounding:
-    """Requests fail at once, so the mean time that they take becomes tiny.
+    """Requests fail immediately, so their mean duration becomes tiny.
 
-    A credit that is lost in rounding must not leave the queue without a next
-    one; all callers of the target would see an internal error.
+    If rounding loses the credit, the queue must still select a next request;
+    otherwise all callers of the target would get an internal error.
     """
 
-    def test_queue_goes_on(self):
-        """Ten thousand requests that take no time at all."""
+    def test_queue_continues(self):
+        """Ten thousand requests that take no time."""
         queue = _queue(slots=1)
         running, _ = _offer(queue)
         queue.leave(running, 0.1)
@@ -115,17 +117,17 @@
 
 
 class TestBulk:
-    """Archive downloads run for minutes while editors work."""
+    """Downloads run for minutes while interactive requests arrive."""
 
-    def test_downloads_leave_slots_to_the_desk(self):
-        """Half of the slots stay free of them even when nobody else asks."""
+    def test_downloads_leave_slots_for_interactive_requests(self):
+        """Downloads use half of the slots even without other requests."""
         queue = _queue(slots=4)
         outcomes = [_offer(queue, priority=BULK)[1] for _ in range(6)]
         assert [o is None for o in outcomes] == [True] * 2 + [False] * 4
         assert _offer(queue)[1] is None
 
-    def test_desk_goes_first_and_bulk_is_not_starved(self):
-        """One in seventeen starts is bulk under lasting pressure."""
+    def test_interactive_goes_first_and_bulk_is_not_starved(self):
+        """One in seventeen starts is bulk under sustained load."""
         queue = _queue(slots=1)
         running = [_offer(queue)[0]]
         for _ in range(300):
@@ -150,12 +152,12 @@
 class TestEarlyRefusal:
     """More requests wait than can be served before their callers give up.
 
-    A refusal that comes at once lets the caller try again or elsewhere; one
-    that comes at the deadline has wasted its time.
+    After an immediate refusal, the caller has time to retry here or
+    elsewhere; after a refusal at its deadline, it has none.
     """
 
-    def test_who_would_wait_too_long_is_refused_at_once(self):
-        """With a retry time that fits the queue."""
+    def test_request_with_too_long_a_wait_is_refused_immediately(self):
+        """The refusal's retry time corresponds to the queue's length."""
         queue = _queue(slots=1)
         first, _ = _offer(queue)
         queue.leave(first, 2.0)
@@ -167,7 +169,7 @@
         assert refused[0].wait > 10
 
     def test_surging_member_is_refused_and_its_rival_is_not(self):
-        """Each member's wait is worked out from its own turn."""
+        """Each member's expected wait is computed from its own lane."""
         queue = _queue(slots=1, policy=config.Queue(wait=5.0))
         first, _ = _offer(queue, "surge")
         queue.leave(first, 1.0)
@@ -175,8 +177,8 @@
         assert isinstance(outcomes[-1], errors.Failure)
         assert isinstance(_offer(queue, "rival", now=1.0)[1], list)
 
-    def test_who_waited_too_long_is_not_started(self):
-        """The caller has been told already."""
+    def test_request_that_waited_too_long_is_not_started(self):
+        """Its caller has already received the failure."""
         queue = _queue(1, config.Queue(wait=1.0))
         first, _ = _offer(queue)
         second, _ = _offer(queue)
@@ -187,10 +189,10 @@
 
 
 class TestShedding:
-    """A target says that it is overloaded although it has a free slot."""
+    """A target reports that it is overloaded although it has a free slot."""
 
     def test_fewer_slots_are_used_until_it_recovers(self):
-        """One slot comes back after each quiet time."""
+        """The limit rises by one slot after each interval without shedding."""
         queue = _queue(slots=4)
         tickets = [_offer(queue)[0] for _ in range(4)]
         queue.shed(0.0)
@@ -199,8 +201,8 @@
         queue.leave(tickets[1], 1.0)
         assert queue.limit == 4
 
-    def test_one_slot_always_stays(self):
-        """A target that cries wolf is still tried."""
+    def test_limit_is_at_least_one_slot(self):
+        """A target that always reports overload still gets requests."""
         queue = _queue(slots=2)
         for _ in range(5):
             queue.shed(0.0)
@@ -208,7 +210,7 @@
 
 
 class _Model:
-    """Drives a queue and counts by itself."""
+    """Reference model that drives a queue and keeps its own counts."""
 
     def __init__(self, slots):
         self.slots = slots
@@ -264,7 +266,7 @@
     ),
 )
 def test_slots_are_exact_under_any_order_of_events(slots, events):
-    """Never overrun, never leaked, and everybody hears what became of them."""
+    """No slot is overused or leaked, and each request gets an outcome."""
     model = _Model(slots)
     for name, *values in events:
         model.now += 0.5
