--- a/packages/mimosastile-core/src/mimosastile_core/gates.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gates.py
@@ -22,10 +22,10 @@
 
     __slots__ = (
         "_block",
-        "_keeper_fence",
         "_former_keeper_lost",
-        "_running",
         "_former_keepers_silent",
+        "_keeper_fence",
+        "_running",
         "_target",
         "_unconfirmed",
         "_wanted",
@@ -107,7 +107,7 @@
             piece.first <= p <= piece.last for p in self._unconfirmed
         )
 
-    def enter(self, position: int, fence: int) -> bool:
+    def admit(self, position: int, fence: int) -> bool:
         """Admits and counts a request; False if it must not run.
 
         Args:
@@ -122,7 +122,7 @@
         self._running[position] += 1
         return True
 
-    def leave(self, position: int, answered: bool) -> None:
+    def finish(self, position: int, answered: bool) -> None:
         """Records the end of an admitted request.
 
         Args:
--- a/packages/mimosastile-core/src/mimosastile_core/grants.py
+++ b/packages/mimosastile-core/src/mimosastile_core/grants.py
@@ -145,15 +145,15 @@
         "_acknowledged",
         "_block",
         "_confirmed",
-        "_last_reply_at",
-        "_keeper_fence",
         "_expires_at",
+        "_former_keepers_silent",
         "_incarnation_seen_at",
+        "_keeper_fence",
+        "_last_reply_at",
         "_prepare",
         "_releasing",
         "_replaced",
         "_sequence",
-        "_former_keepers_silent",
         "_stamp",
         "_target",
         "_timing",
@@ -286,7 +286,7 @@
             prepare=self._prepare,
         )
 
-    def answered(self, sent: Grant, reply: GrantReply, now: float) -> None:
+    def handle_reply(self, sent: Grant, reply: GrantReply, now: float) -> None:
         """Processes the target's reply to a grant."""
         if reply.keeper_fence > self._keeper_fence:
             self._replaced = True
@@ -306,14 +306,14 @@
         elif reply.status is not GrantStatus.EXPIRED:
             self._acked = 0
 
-    def confirm(self, asked_at: float) -> None:
+    def confirm(self, requested_at: float) -> None:
         """Records that a request confirmed this VM as the keeper.
 
         Args:
-            asked_at: Time at which that request was sent. A request sent
+            requested_at: Time at which that request was sent. A request sent
                 before the target's incarnation was first seen proves nothing.
         """
-        if asked_at >= self._incarnation_seen_at:
+        if requested_at >= self._incarnation_seen_at:
             self._confirmed = True
 
     def former_keepers_stopped(self, now: float) -> None:
--- a/packages/mimosastile-core/src/mimosastile_core/keeping.py
+++ b/packages/mimosastile-core/src/mimosastile_core/keeping.py
@@ -71,7 +71,7 @@
     Returns:
         The proof that covers the most slices, None if there is none.
     """
-    raise TypeError(f"not a kept target: {kept!r}")
+    raise TypeError(f"unsupported target state: {kept!r}")
 
 
 @proof.register
--- a/packages/mimosastile-core/src/mimosastile_core/presence.py
+++ b/packages/mimosastile-core/src/mimosastile_core/presence.py
@@ -131,14 +131,14 @@
 
     __slots__ = (
         "cleared_at",
-        "received_at",
         "interval",
         "near",
-        "timeout_factor",
         "probed_at",
+        "received_at",
         "responses",
-        "timeout",
         "suspected_at",
+        "timeout",
+        "timeout_factor",
     )
 
     def __init__(
@@ -183,13 +183,13 @@
 
     __slots__ = (
         "_own_changed",
-        "_suspected",
         "_peers",
+        "_reported_at",
+        "_reports",
+        "_suspected",
         "_ticked_at",
         "_timing",
-        "_reported_at",
         "_vm",
-        "_reports",
     )
 
     def __init__(self, vm: str, timing: Timing, now: float) -> None:
--- a/packages/mimosastile-core/src/mimosastile_core/quarantine.py
+++ b/packages/mimosastile-core/src/mimosastile_core/quarantine.py
@@ -198,7 +198,7 @@
     def __init__(self) -> None:
         self._lost: dict[str, list[tuple[float, str]]] = {}
 
-    def lost(self, target: str, crash: str, now: float) -> None:
+    def add(self, target: str, crash: str, now: float) -> None:
         """Records a lost response that counts as a crash for now."""
         recent = [
             (at, crash)
@@ -207,13 +207,13 @@
         ]
         self._lost[target] = [*recent, (now, crash)]
 
-    def answered(self, target: str, began: float) -> list[str]:
-        """Returns the crashes that a complete response disproves.
+    def pop_disproved(self, target: str, began: float) -> list[str]:
+        """Removes and returns the crashes that a response disproves.
 
         Args:
             target: The target.
-            began: Time at which the answered request was sent. The target
-                hasn't crashed since then.
+            began: Time at which the request with the complete response was
+                sent. The target hasn't crashed since then.
         """
         recorded = self._lost.get(target)
         if not recorded:
--- a/packages/mimosastile-entry/src/mimosastile_entry/_gating.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_gating.py
@@ -45,7 +45,7 @@
         """Leaves the gate."""
         if not self._left:
             self._left = True
-            self._gate.leave(self._position, answered)
+            self._gate.finish(self._position, answered)
             self._notify()
 
 
@@ -70,7 +70,7 @@
     Returns:
         The answer, or why there is none.
     """
-    if not gate.enter(fence.position, fence.fence):
+    if not gate.admit(fence.position, fence.fence):
         return result.Err(errors.Failure(errors.ErrorKind.WRONG_FENCE))
     passage = _Passage(gate, fence.position, notify)
     sent: result.Result[ports.Response, errors.Failure] | None = None
--- a/packages/mimosastile-entry/src/mimosastile_entry/_keeper.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_keeper.py
@@ -348,7 +348,7 @@
         )
         reply = await self._targets.grant(vm, message, timeout)
         if isinstance(reply, result.Ok):
-            state.answered(message, reply.ok_value, self._clock.now())
+            state.handle_reply(message, reply.ok_value, self._clock.now())
         if state.needs_confirmation:
             await self._confirm(state, at)
 
--- a/packages/mimosastile-entry/src/mimosastile_entry/_quarantine.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_quarantine.py
@@ -31,12 +31,12 @@
 
     __slots__ = (
         "_clock",
-        "_doubts",
         "_fleet",
         "_memory",
         "_peers",
         "_state",
         "_tasks",
+        "_unconfirmed",
         "_vm",
         "name",
         "needs",
@@ -58,7 +58,7 @@
         )
         self._vm = vm
         self._memory = quarantine.CrashHistory()
-        self._doubts = quarantine.UnconfirmedCrashes()
+        self._unconfirmed = quarantine.UnconfirmedCrashes()
         self._tasks = _background.Background()
         self._state: _state.StateService
         self._fleet: _fleet.FleetService
@@ -113,7 +113,7 @@
 
     def answered(self, target: str, began: float) -> None:
         """Notes that a target answered a request sent at a time."""
-        disproved = self._doubts.answered(target, began)
+        disproved = self._unconfirmed.pop_disproved(target, began)
         if disproved:
             self._memory.withdraw(disproved, self._clock.now())
             self._tell(messages.Deaths(self._vm, (), tuple(disproved)))
@@ -146,7 +146,7 @@
             ran=now - began,
         )
         self._memory.record(death, now)
-        self._doubts.lost(target, death.id, now)
+        self._unconfirmed.add(target, death.id, now)
         logging.warning(
             "%s %s was running on %s when its answer was lost.",
             _PREFIX,
--- a/packages/mimosastile-standins/src/mimosastile_standins/slopes.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/slopes.py
@@ -325,7 +325,7 @@
             kept.set_wanted((grants.HeldSlice(0, 9, 1),))
             for at in (0.1, 0.2):
                 sent = kept.message()
-                kept.answered(sent, held.receive(sent, at), at)
+                kept.handle_reply(sent, held.receive(sent, at), at)
         size = 0
         for kept, held in pairs:
             renewal = kept.message()
@@ -343,7 +343,7 @@
                 msgspec.json.decode(
                     msgspec.json.encode(reply), type=grants.GrantReply
                 )
-                kept.answered(renewal, reply, 0.3)
+                kept.handle_reply(renewal, reply, 0.3)
 
         cpu.append(Point(targets, _best(work) / timing.renew * 1e3))
         octets.append(Point(targets, size / timing.renew))
--- a/tests/core/test_gates.py
+++ b/tests/core/test_gates.py
@@ -30,24 +30,24 @@
     )
     def test_admits_only_owned_slices(self, position, fence, admitted):
         """Range and fence must both match."""
-        assert _gate().enter(position, fence) is admitted
+        assert _gate().admit(position, fence) is admitted
 
     def test_released_when_all_admitted_requests_are_answered(self):
         """Running requests delay the release."""
         gate = _gate()
-        gate.enter(5, 7)
+        gate.admit(5, 7)
         gate.set_wanted(())
-        assert not gate.enter(5, 7)
+        assert not gate.admit(5, 7)
         assert not gate.has_released(PIECE)
-        gate.leave(5, answered=True)
+        gate.finish(5, answered=True)
         assert gate.has_released(PIECE)
 
     def test_lost_response_prevents_the_release(self):
         """A frozen target may run the request at any later time."""
         gate = _gate()
-        gate.enter(5, 7)
+        gate.admit(5, 7)
         gate.set_wanted(())
-        gate.leave(5, answered=False)
+        gate.finish(5, answered=False)
         assert not gate.has_released(PIECE)
         assert gate.has_released(tables.Slice(100, 199, "t", 7))
         assert not gate.idle
--- a/tests/core/test_holder.py
+++ b/tests/core/test_holder.py
@@ -23,7 +23,7 @@
 def _exchange(kept, held, now):
     message = kept.message()
     reply = held.receive(message, now)
-    kept.answered(message, reply, now)
+    kept.handle_reply(message, reply, now)
     kept.confirm(now)
     return reply.status
 
--- a/tests/core/test_keeping.py
+++ b/tests/core/test_keeping.py
@@ -24,7 +24,7 @@
 def _responded(silent=True, at=0.1):
     kept = _kept(silent)
     message = kept.message()
-    kept.answered(message, holder.Holder("run").receive(message, at), at)
+    kept.handle_reply(message, holder.Holder("run").receive(message, at), at)
     return kept
 
 
@@ -87,8 +87,8 @@
         """Only if nothing else can end it."""
         gate = gates.GatedTarget(BLOCK, "t", 3)
         gate.set_wanted((grants.HeldSlice(0, 9, 2),))
-        gate.enter(5, 2)
-        gate.leave(5, answered=cause != "unsure")
+        gate.admit(5, 2)
+        gate.finish(5, answered=cause != "unsure")
         if cause == "orphaned":
             gate.former_keeper_lost()
         plan = {} if cause == "nothing" else {0: ""}
@@ -128,7 +128,7 @@
         message = kept.message()
         reply = holder.Holder("run").receive(message, 0.1)
         reply = msgspec.structs.replace(reply, valid_for=10.0)
-        kept.answered(message, reply, 0.1)
+        kept.handle_reply(message, reply, 0.1)
         assert not kept.has_lapsed(10.1)
         assert kept.has_lapsed(10.3)
 
@@ -150,7 +150,9 @@
         kept.confirm(0.1)
         assert kept.message().quoted is not None
         message = kept.message()
-        kept.answered(message, holder.Holder("run-2").receive(message, 9), 9)
+        kept.handle_reply(
+            message, holder.Holder("run-2").receive(message, 9), 9
+        )
         assert kept.needs_confirmation
         assert kept.message().quoted is None
 
--- a/tests/core/test_quarantine.py
+++ b/tests/core/test_quarantine.py
@@ -110,11 +110,11 @@
     def test_response_spanning_the_loss_disproves_it(self):
         """A request sent before the loss is answered after it."""
         unconfirmed = quarantine.UnconfirmedCrashes()
-        unconfirmed.lost("t", "a", 5.0)
-        assert unconfirmed.answered("other", 4.0) == []
-        assert unconfirmed.answered("t", 6.0) == []
-        assert unconfirmed.answered("t", 4.0) == ["a"]
-        assert unconfirmed.answered("t", 4.0) == []
+        unconfirmed.add("t", "a", 5.0)
+        assert unconfirmed.pop_disproved("other", 4.0) == []
+        assert unconfirmed.pop_disproved("t", 6.0) == []
+        assert unconfirmed.pop_disproved("t", 4.0) == ["a"]
+        assert unconfirmed.pop_disproved("t", 4.0) == []
 
     def test_withdrawn_crash_is_not_added_again(self):
         """A peer without the withdrawal reports it again."""
--- a/tests/core/test_splits.py
+++ b/tests/core/test_splits.py
@@ -75,7 +75,7 @@
             1,
             sent.sequence,
         )
-        kept.answered(sent, reply, 0.1)
-        kept.answered(kept.message(), reply, 0.2)
+        kept.handle_reply(sent, reply, 0.1)
+        kept.handle_reply(kept.message(), reply, 0.2)
         part = tables.Slice(5, 9, "a", 3, "b")
         assert not kept.has_released(part)
