--- a/packages/mimosastile-core/src/mimosastile_core/holder.py
+++ b/packages/mimosastile-core/src/mimosastile_core/holder.py
@@ -14,7 +14,7 @@
 
 
 class RequestFence(msgspec.Struct, frozen=True):
-    """The fencing token of a request.
+    """The fencing running_key of a request.
 
     Attributes:
         block: Block of the slice.
@@ -97,10 +97,10 @@
 
     def end(self, fence: RequestFence) -> None:
         """Records the end of a request, whether or not it succeeded."""
-        token = (fence.block, fence.position)
-        self._running[token] -= 1
-        if self._running[token] <= 0:
-            del self._running[token]
+        running_key = (fence.block, fence.position)
+        self._running[running_key] -= 1
+        if self._running[running_key] <= 0:
+            del self._running[running_key]
 
     def owned(
         self, now: float
--- a/tests/core/test_presence.py
+++ b/tests/core/test_presence.py
@@ -106,7 +106,7 @@
     takeovers although the peers work.
     """
 
-    def test_nobody_is_suspected_after_it(self):
+    def test_no_peer_is_suspected_after_it(self):
         """Silence during this VM's own pause does not count."""
         detector = _monitoring("b", "c")
         _run(detector, 0.0, 1.0, lambda vm, now: 0.001)
