--- a/packages/mimosastile-core/src/mimosastile_core/balance_plan.py
+++ b/packages/mimosastile-core/src/mimosastile_core/balance_plan.py
@@ -1,9 +1,10 @@
-"""Which slices to move or split so that load is even, and when not to.
+"""Load rebalancing: plans moves and splits of slices, and when to make none.
 
-A plan weighs three things by the service's weights: how uneven the load is,
-how many keys change their owner, and how long keys wait while they do. The
-smallest set of moves that brings the fullest targets under the limit wins: for
-each overloaded target the largest slice that fits goes to the emptiest one.
+A plan weighs three costs by the service's weights: the imbalance of the load,
+the number of keys that change owner, and the time for which keys are
+unavailable meanwhile. It greedily looks for few moves that bring the most
+loaded targets under the limit: each overloaded target gives the slice that
+best levels the pair to the least loaded target.
 """
 
 from collections.abc import Collection
@@ -21,9 +22,9 @@
     """Load of one slice.
 
     Attributes:
-        load: Slots in use on average, or any unit that adds up.
-        hottest: Position of its hottest key, None if not known.
-        hottest_load: Load of that key alone.
+        load: Average number of slots in use, or any other additive unit.
+        hottest: Hash of its hottest key, None if not reported.
+        hottest_load: Load of that key, in the unit of `load`.
     """
 
     load: float
@@ -35,11 +36,11 @@
     """A target that may own slices.
 
     Attributes:
-        id: The target.
+        id: Identifier of the target.
         zone: Its availability zone.
         region: Its region.
-        capacity: Share of a full target that it can carry; below one while it
-            is cold.
+        capacity: Fraction of a warm target's load that it can carry, below 1
+            during its slow start.
     """
 
     id: str
@@ -49,66 +50,66 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """What to change.
+    """Changes to the slices of a service.
 
     Attributes:
         moves: First hash of a slice to its new target.
-        splits: First hash of a slice to where its parts begin.
+        splits: First hash of a slice to the first hashes of its parts.
     """
 
     moves: dict[int, str] = {}
     splits: dict[int, tuple[int, ...]] = {}
 
 
-class Measured(msgspec.Struct, frozen=True):
-    """How even a distribution is.
+class Imbalance(msgspec.Struct, frozen=True):
+    """Imbalance of a load distribution over targets.
 
     Attributes:
-        worst: Load of the fullest target over the mean, by capacity.
-        p99: The same at the 99th of a hundred targets.
+        worst: Load of the most loaded target divided by the mean.
+        p99: The same ratio at the 99th percentile of the targets.
     """
 
     worst: float
     p99: float
 
 
-def measure(loads: Mapping[str, float]) -> Measured:
-    """Returns how even loads of targets are; 1 is even."""
+def measure_imbalance(loads: Mapping[str, float]) -> Imbalance:
+    """Returns the imbalance of the loads of targets; 1 is even."""
     ordered = sorted(loads.values())
     mean = sum(ordered) / len(ordered) if ordered else 0.0
     if mean <= 0:
-        return Measured(1.0, 1.0)
+        return Imbalance(1.0, 1.0)
     at = min(len(ordered) - 1, int(len(ordered) * 0.99))
-    return Measured(ordered[-1] / mean, ordered[at] / mean)
+    return Imbalance(ordered[-1] / mean, ordered[at] / mean)
 
 
-def ramp(age: float, seconds: float) -> float:
-    """Returns the capacity of a target that began to serve some time ago.
+def slow_start_capacity(age: float, seconds: float) -> float:
+    """Returns the capacity of a target during its slow start, from 0.1 to 1.
 
     Args:
-        age: Seconds since then.
-        seconds: Seconds until it carries a full share; 0 for at once.
+        age: Seconds since the target began to serve.
+        seconds: Length of the slow start; 0 gives full capacity at once.
     """
     if seconds <= 0 or age >= seconds:
         return 1.0
     return max(0.1, age / seconds)
 
 
-def ordered(
+def plan_operator_moves(
     slices: Sequence[tables.Slice],
     wanted: Mapping[str, str],
     ready: Collection[str],
 ) -> Plan:
-    """Plans what operators have ordered; it goes before everything else.
+    """Plans the moves ordered by operators, which precede all others.
 
-    A key that shares its slice is first cut out of it.
+    A key that shares its slice with other keys is first split off.
 
     Args:
         slices: All slices of a service.
         wanted: Key to the target that operators want as its owner.
-        ready: Targets that may get slices.
+        ready: Targets that may receive slices.
     """
-    named: dict[int, str] = {}
+    moves: dict[int, str] = {}
     parts: dict[int, tuple[int, ...]] = {}
     for key, target in wanted.items():
         at = keys.key_hash(key)
@@ -118,37 +119,37 @@
         if target in (piece.owner, piece.next):
             continue
         if piece.first == piece.last:
-            named[piece.first] = target
+            moves[piece.first] = target
         elif not piece.next:
             before = parts.get(piece.first, (piece.first,))
             parts[piece.first] = (*before, at, at + 1)
-    return Plan(named, parts)
+    return Plan(moves, parts)
 
 
-def rehome(
+def reassign(
     slices: Sequence[tables.Slice],
     loads: Mapping[int, SliceLoad],
     candidates: Sequence[Candidate],
-    homeless: Collection[int],
+    unowned: Collection[int],
 ) -> dict[int, str]:
-    """Plans owners for slices that need another one, by load.
+    """Assigns new owners to the given slices by load.
 
     Args:
         slices: All slices of a service.
-        loads: First hash of a slice to its load, as far as known.
-        candidates: Targets that may get slices.
-        homeless: First hashes of the slices that need another owner.
+        loads: First hash of a slice to its load, where reported.
+        candidates: Targets that may receive slices.
+        unowned: First hashes of the slices that need a new owner.
 
     Returns:
         First hash of a slice to its new target.
     """
     if not candidates:
         return {}
-    settled = [s for s in slices if s.first not in homeless]
-    lost = [s for s in slices if s.first in homeless]
-    sheet = _Sheet(settled, loads, candidates)
-    sheet.load |= _Sheet(lost, loads, candidates).load
-    return _assign(lost, sheet)
+    kept = [s for s in slices if s.first not in unowned]
+    moving = [s for s in slices if s.first in unowned]
+    assignment = _Assignment(kept, loads, candidates)
+    assignment.load |= _Assignment(moving, loads, candidates).load
+    return _assign(moving, assignment)
 
 
 def is_idle(
@@ -156,12 +157,12 @@
     loads: Mapping[int, SliceLoad],
     slots: float,
 ) -> bool:
-    """Whether no target has more than some slots in use.
+    """Returns whether every target is below a number of slots in use.
 
     Args:
         slices: All slices of a service.
         loads: First hash of a slice to its load in slots.
-        slots: Slots in use from which a target is not idle.
+        slots: Slots in use from which a target counts as busy.
     """
     held: dict[str, float] = {}
     for piece in slices:
@@ -171,18 +172,20 @@
     return max(held.values(), default=0.0) < slots
 
 
-def is_starved(
+def is_underfilled(
     slices: Sequence[tables.Slice], candidates: Sequence[Candidate]
 ) -> bool:
-    """Whether a target owns far fewer slices than its share by count."""
-    sheet = _Sheet(slices, {}, candidates)
-    return min((sheet.fill(c.id) for c in candidates), default=1) < _STARVED
+    """Returns whether a target owns far fewer slices than its fair count."""
+    assignment = _Assignment(slices, {}, candidates)
+    return (
+        min((assignment.fill(c.id) for c in candidates), default=1) < _MIN_FILL
+    )
 
 
-class _Sheet:
-    """Loads of slices and targets while a plan grows."""
+class _Assignment:
+    """Assignment of slices to targets while a plan is being built."""
 
-    __slots__ = ("by_target", "capacity", "load", "places", "total")
+    __slots__ = ("by_target", "candidates", "capacity", "load", "total")
 
     def __init__(
         self,
@@ -190,16 +193,20 @@
         loads: Mapping[int, SliceLoad],
         candidates: Sequence[Candidate],
     ) -> None:
-        self.places = {c.id: c for c in candidates}
+        self.candidates = {c.id: c for c in candidates}
         self.capacity = {c.id: c.capacity for c in candidates}
         self.by_target: dict[str, list[tables.Slice]] = {
             c.id: [] for c in candidates
         }
-        known = sum(s.load for s in loads.values())
-        unseen = sum(1 for s in slices if s.first not in loads)
-        # Slices without a report count a little, so that the first tables,
-        # before any request, come out even by count.
-        floor = known / 100 / unseen if known and unseen else 1.0
+        reported_load = sum(s.load for s in loads.values())
+        unreported = sum(1 for s in slices if s.first not in loads)
+        # Slices without a report get a small load, so that the first tables,
+        # made before any request, are even by slice count.
+        floor = (
+            reported_load / 100 / unreported
+            if reported_load and unreported
+            else 1.0
+        )
         self.load = {
             s.first: loads[s.first].load if s.first in loads else floor
             for s in slices
@@ -211,26 +218,26 @@
                 self.by_target[holder].append(piece)
 
     def fill(self, target: str) -> float:
-        """Returns a target's load over what it should carry; 1 is even."""
+        """Returns a target's load divided by its fair load; 1 is even."""
         fair = self.total / max(sum(self.capacity.values()), 1e-9)
         held = sum(self.load[s.first] for s in self.by_target[target])
         return held / max(fair * self.capacity[target], 1e-12)
 
-    def fair(self, target: str) -> float:
-        """Returns the load that a target should carry."""
+    def fair_load(self, target: str) -> float:
+        """Returns a target's fair load, in proportion to its capacity."""
         return (
             self.total
             * self.capacity[target]
             / max(sum(self.capacity.values()), 1e-9)
         )
 
-    def room(self, target: str) -> float:
-        """Returns the load that a target lacks, negative for an excess."""
+    def headroom(self, target: str) -> float:
+        """Returns a target's fair load minus its load; may be negative."""
         held = sum(self.load[s.first] for s in self.by_target[target])
-        return self.fair(target) - held
+        return self.fair_load(target) - held
 
-    def give(self, piece: tables.Slice, donor: str, receiver: str) -> None:
-        """Moves a slice on the sheet."""
+    def move(self, piece: tables.Slice, donor: str, receiver: str) -> None:
+        """Moves a slice to another target."""
         self.by_target[donor].remove(piece)
         self.by_target[receiver].append(piece)
 
@@ -240,93 +247,113 @@
     loads: Mapping[int, SliceLoad],
     candidates: Sequence[Candidate],
     weights: config.Placement,
-    resting: Collection[int] = (),
+    recently_moved: Collection[int] = (),
 ) -> Plan:
     """Plans moves and splits.
 
     Args:
         slices: All slices of a service.
-        loads: First hash of a slice to its load, as far as known.
+        loads: First hash of a slice to its load, where reported.
         candidates: Targets that may own slices.
         weights: The service's weights and bounds.
-        resting: First hashes of slices that have moved a short time ago and
-            stay where they are.
+        recently_moved: First hashes of slices that moved a short time ago
+            and are not moved again.
 
     Returns:
-        The plan, empty if what it would gain is not worth what it costs.
+        The plan, empty if the gain does not outweigh the cost.
     """
     if not candidates or not slices:
         return Plan()
-    sheet = _Sheet(slices, loads, candidates)
-    moves = _homeless(slices, sheet)
+    assignment = _Assignment(slices, loads, candidates)
+    moves = _assign_unowned(slices, assignment)
     in_flight = sum(1 for s in slices if s.next)
     budget = weights.moves_in_flight - in_flight
-    fills = [sheet.fill(c.id) for c in candidates]
-    # Two limits: a plan begins above the upper one and goes on to the lower
-    # one, or small changes of load would move keys to and fro.
-    if max(fills) <= 1 + weights.begin_above and min(fills) >= _STARVED:
+    fills = [assignment.fill(c.id) for c in candidates]
+    # Hysteresis: a plan begins above the upper limit and levels down to the
+    # lower one. With one limit, small changes of load would move keys back
+    # and forth.
+    if max(fills) <= 1 + weights.begin_above and min(fills) >= _MIN_FILL:
         return Plan(moves)
-    moves |= _level(sheet, weights, budget, set(moves) | set(resting))
-    return Plan(moves, _splits(loads, sheet, weights, set(moves)))
+    moves |= _plan_moves(
+        assignment, weights, budget, set(moves) | set(recently_moved)
+    )
+    return Plan(moves, _plan_splits(loads, assignment, weights, set(moves)))
 
 
-_STARVED = 0.5
-"""Fill below which a target is given slices though none is too full."""
+_MIN_FILL = 0.5
+"""Fill below which a target receives slices although none is overloaded."""
 
 
-def _homeless(slices: Sequence[tables.Slice], sheet: _Sheet) -> dict[int, str]:
-    """Gives slices of no candidate to the emptiest targets."""
-    lost = [s for s in slices if (s.next or s.owner) not in sheet.by_target]
-    return _assign(lost, sheet)
+def _assign_unowned(
+    slices: Sequence[tables.Slice], assignment: _Assignment
+) -> dict[int, str]:
+    """Assigns slices without a candidate as owner to the emptiest targets."""
+    unowned = [
+        s for s in slices if (s.next or s.owner) not in assignment.by_target
+    ]
+    return _assign(unowned, assignment)
 
 
-def _assign(lost: list[tables.Slice], sheet: _Sheet) -> dict[int, str]:
-    """Gives slices to the emptiest targets, largest first."""
+def _assign(
+    unowned: list[tables.Slice], assignment: _Assignment
+) -> dict[int, str]:
+    """Assigns slices to the least filled targets, largest slice first."""
     moves: dict[int, str] = {}
-    for piece in sorted(lost, key=lambda s: (-sheet.load[s.first], s.first)):
-        receiver = min(sheet.by_target, key=lambda t: (sheet.fill(t), t))
-        sheet.by_target[receiver].append(piece)
+    for piece in sorted(
+        unowned, key=lambda s: (-assignment.load[s.first], s.first)
+    ):
+        receiver = min(
+            assignment.by_target, key=lambda t: (assignment.fill(t), t)
+        )
+        assignment.by_target[receiver].append(piece)
         moves[piece.first] = receiver
     return moves
 
 
-def _splits(
+def _plan_splits(
     loads: Mapping[int, SliceLoad],
-    sheet: _Sheet,
+    assignment: _Assignment,
     weights: config.Placement,
     moving: set[int],
 ) -> dict[int, tuple[int, ...]]:
-    """Splits slices of targets that whole slices cannot relieve."""
+    """Plans splits on targets that moves of whole slices cannot relieve."""
     full = [
         target
-        for target in sheet.by_target
-        if sheet.fill(target) > 1 + weights.begin_above
+        for target in assignment.by_target
+        if assignment.fill(target) > 1 + weights.begin_above
     ]
-    fair = sheet.total / max(sum(sheet.capacity.values()), 1e-9)
-    large = (
+    fair = assignment.total / max(sum(assignment.capacity.values()), 1e-9)
+    splittable = (
         piece
         for target in full
-        for piece in sheet.by_target[target]
+        for piece in assignment.by_target[target]
         if piece.first in loads
         and piece.first not in moving
-        and sheet.load[piece.first] > fair * weights.split_above
+        and assignment.load[piece.first] > fair * weights.split_above
         and not piece.next
         and piece.owner
         and piece.first != piece.last
     )
-    room = weights.slices_at_most - sum(map(len, sheet.by_target.values()))
-    most = max(0, min(room // 2, _SPLITS_AT_ONCE))
-    hot = sorted(large, key=lambda s: (-sheet.load[s.first], s.first))[:most]
-    return {s.first: _cut(s, loads[s.first]) for s in hot}
+    spare_slices = weights.slices_at_most - sum(
+        map(len, assignment.by_target.values())
+    )
+    split_limit = max(0, min(spare_slices // 2, _MAX_SPLITS_PER_PLAN))
+    largest = sorted(
+        splittable, key=lambda s: (-assignment.load[s.first], s.first)
+    )[:split_limit]
+    return {s.first: _part_starts(s, loads[s.first]) for s in largest}
 
 
-_SPLITS_AT_ONCE = 8
-_HOT_SHARE = 0.3
+_MAX_SPLITS_PER_PLAN = 8
+_HOT_KEY_LOAD_SHARE = 0.3
 
 
-def _cut(piece: tables.Slice, load: SliceLoad) -> tuple[int, ...]:
-    """Returns where the parts of a slice begin: around a hot key, or halves."""
-    if load.hottest is not None and load.hottest_load >= load.load * _HOT_SHARE:
+def _part_starts(piece: tables.Slice, load: SliceLoad) -> tuple[int, ...]:
+    """Returns the first hashes of parts: around a hot key, or of two halves."""
+    if (
+        load.hottest is not None
+        and load.hottest_load >= load.load * _HOT_KEY_LOAD_SHARE
+    ):
         edges = (piece.first, load.hottest, load.hottest + 1)
         inside = {e for e in edges if piece.first <= e <= piece.last}
         return tuple(sorted(inside))
@@ -334,60 +361,66 @@
     return (piece.first, middle)
 
 
-def _level(
-    sheet: _Sheet, weights: config.Placement, budget: int, taken: set[int]
+def _plan_moves(
+    assignment: _Assignment,
+    weights: config.Placement,
+    budget: int,
+    excluded: set[int],
 ) -> dict[int, str]:
     moves: dict[int, str] = {}
-    slices_in_all = max(1, sum(map(len, sheet.by_target.values())))
-    # A target whose one hot key fills it can give nothing away. It must not
-    # end the plan, or a new target would stay empty beside it.
-    donors = set(sheet.by_target)
+    slice_count = max(1, sum(map(len, assignment.by_target.values())))
+    # A target that is filled by a single hot key has no slice to give. It must
+    # not end the plan, or a new target would stay empty.
+    donors = set(assignment.by_target)
     while len(moves) < budget and donors:
-        donor = max(donors, key=lambda t: (sheet.fill(t), t))
-        receiver = min(sheet.by_target, key=lambda t: (sheet.fill(t), t))
-        enough = sheet.fill(donor) <= 1 + weights.end_below
-        if enough and sheet.fill(receiver) >= _STARVED:
+        donor = max(donors, key=lambda t: (assignment.fill(t), t))
+        receiver = min(
+            assignment.by_target, key=lambda t: (assignment.fill(t), t)
+        )
+        is_level = assignment.fill(donor) <= 1 + weights.end_below
+        if is_level and assignment.fill(receiver) >= _MIN_FILL:
             break
-        chosen = _best(sheet, donor, receiver, taken | set(moves))
+        chosen = _best_slice(assignment, donor, receiver, excluded | set(moves))
         if chosen is None:
             donors.discard(donor)
             continue
-        gain = _gain(sheet, chosen, donor, receiver) * weights.imbalance
-        share = sheet.load[chosen.first] / max(sheet.total, 1e-12)
-        cost = weights.churn / slices_in_all + weights.unavailable * share
-        if gain <= max(_LEAST_GAIN, cost * _COST_SCALE):
+        gain = _gain(assignment, chosen, donor, receiver) * weights.imbalance
+        share = assignment.load[chosen.first] / max(assignment.total, 1e-12)
+        cost = weights.churn / slice_count + weights.unavailable * share
+        if gain <= max(_MIN_GAIN, cost * _COST_SCALE):
             break
-        at = _near(sheet, chosen, donor, receiver)
-        sheet.give(chosen, donor, at)
-        moves[chosen.first] = at
+        nearest = _nearest_receiver(assignment, chosen, donor, receiver)
+        assignment.move(chosen, donor, nearest)
+        moves[chosen.first] = nearest
     return moves
 
 
-_LEAST_GAIN = 0.03
-"""Fall of the fullest target's fill below which a move is not worth planning:
-measured load varies that much by itself, and keys would move to and fro."""
+_MIN_GAIN = 0.03
+"""Least decrease of the fill of the more loaded target that justifies a move.
+Measured load varies by as much by itself, so smaller gains would move keys
+back and forth."""
 
 _COST_SCALE = 0.02
-"""A move interrupts for milliseconds, an uneven load lasts; this sets both on
-one scale."""
+"""Factor that puts the cost of a move, which interrupts for milliseconds, on
+the same scale as a lasting imbalance."""
 
 
-def _best(
-    sheet: _Sheet, donor: str, receiver: str, taken: set[int]
+def _best_slice(
+    assignment: _Assignment, donor: str, receiver: str, excluded: set[int]
 ) -> tables.Slice | None:
-    """Returns the slice whose move evens the two targets most."""
-    wanted = (sheet.room(receiver) - sheet.room(donor)) / 2
+    """Returns the slice whose move best levels the two targets."""
+    wanted = (assignment.headroom(receiver) - assignment.headroom(donor)) / 2
     free = [
         s
-        for s in sheet.by_target[donor]
-        if not s.next and s.first not in taken and s.owner == donor
+        for s in assignment.by_target[donor]
+        if not s.next and s.first not in excluded and s.owner == donor
     ]
-    fitting = [s for s in free if sheet.load[s.first] < 2 * wanted]
+    fitting = [s for s in free if assignment.load[s.first] < 2 * wanted]
     return min(
         fitting,
         key=lambda s: (
-            abs(sheet.load[s.first] - wanted),
-            sheet.load[s.first],
+            abs(assignment.load[s.first] - wanted),
+            assignment.load[s.first],
             s.first,
         ),
         default=None,
@@ -395,32 +428,44 @@
 
 
 def _gain(
-    sheet: _Sheet, piece: tables.Slice, donor: str, receiver: str
+    assignment: _Assignment, piece: tables.Slice, donor: str, receiver: str
 ) -> float:
-    """Returns by how much the worse fill of the two falls."""
-    load = sheet.load[piece.first]
-    before = max(sheet.fill(donor), sheet.fill(receiver))
+    """Returns the decrease of the higher fill of the two targets.
+
+    If the receiver is below `_MIN_FILL`, its shortfall counts if larger.
+    """
+    load = assignment.load[piece.first]
+    before = max(assignment.fill(donor), assignment.fill(receiver))
     after = max(
-        sheet.fill(donor) - load / sheet.fair(donor),
-        sheet.fill(receiver) + load / sheet.fair(receiver),
+        assignment.fill(donor) - load / assignment.fair_load(donor),
+        assignment.fill(receiver) + load / assignment.fair_load(receiver),
     )
-    starved = _STARVED - sheet.fill(receiver)
-    return max(before - after, starved)
+    shortfall = _MIN_FILL - assignment.fill(receiver)
+    return max(before - after, shortfall)
+
 
+def _nearest_receiver(
+    assignment: _Assignment, piece: tables.Slice, donor: str, fallback: str
+) -> str:
+    """Returns the closest receiver that the move does not overload.
 
-def _near(sheet: _Sheet, piece: tables.Slice, donor: str, emptiest: str) -> str:
-    """Prefers a target of the donor's zone, then region, if it is as good."""
-    load = sheet.load[piece.first]
-    here = sheet.places[donor]
+    The donor's zone is preferred, then its region. Without such a target, the
+    fallback is returned.
+    """
+    load = assignment.load[piece.first]
+    donor_candidate = assignment.candidates[donor]
 
     def rank(target: str) -> tuple[int, float, str]:
-        place = sheet.places[target]
-        distance = (place.zone != here.zone) + (place.region != here.region)
-        return (distance, sheet.fill(target), target)
+        candidate = assignment.candidates[target]
+        distance = (candidate.zone != donor_candidate.zone) + (
+            candidate.region != donor_candidate.region
+        )
+        return (distance, assignment.fill(target), target)
 
-    as_good = [
+    suitable = [
         t
-        for t in sheet.by_target
-        if t != donor and sheet.fill(t) + load / sheet.fair(t) <= 1.0
+        for t in assignment.by_target
+        if t != donor
+        and assignment.fill(t) + load / assignment.fair_load(t) <= 1.0
     ]
-    return min(as_good, key=rank, default=emptiest)
+    return min(suitable, key=rank, default=fallback)
--- a/packages/mimosastile-core/src/mimosastile_core/balancing.py
+++ b/packages/mimosastile-core/src/mimosastile_core/balancing.py
@@ -1,9 +1,11 @@
-"""Which target gets a request of a service that is not divided by key.
-
-The less loaded of two, by what this VM itself has under way and how long
-answers took. The zone goes before the region and the region before the link.
-Lists and health reports lag and may mislead, so they never empty the set: what
-this VM has seen to answer stays in use, and ejection leaves half of it.
+"""Load balancing over the targets of a service that is not sharded by key.
+
+The balancer picks the less loaded of two random targets (power of two
+choices), by this VM's own requests in flight and by the response time. It
+prefers its own zone, then its region, before it uses the link between regions.
+Lists and health reports lag and may be wrong, so they never empty the set:
+targets that responded to this VM stay in use, and outlier ejection leaves half
+of the set.
 """
 
 from collections.abc import Collection
@@ -12,28 +14,28 @@
 
 import msgspec
 
-_SMOOTHING = 0.1
+_LATENCY_SMOOTHING = 0.1
 _SLOW_START_SECONDS = 10.0
-_COLD_SHARE = 0.1
-"""Share of its usual load that a target gets when it is new."""
-_FAILURES = 3
-"""Failures in a row after which a target is left alone for a while."""
+_MIN_WARM_SHARE = 0.1
+"""Initial share of its usual load that a new target gets (slow start)."""
+_FAILURES_TO_EJECT = 3
+"""Consecutive failures after which a target is ejected for a while."""
 _EJECT_SECONDS = 2.0
-_LONGEST_EJECT_SECONDS = 60.0
-_EJECTED_SHARE = 0.5
-_ANSWERED_SECONDS = 10.0
-"""An answer this recent goes before a list that does not name its target."""
-_FIRST_SECONDS = 0.01
-"""Time that the first answer of an unknown target is expected to take."""
+_MAX_EJECT_SECONDS = 60.0
+_MAX_EJECTED_SHARE = 0.5
+_RESPONSE_VALID_SECONDS = 10.0
+"""Time for which a response outweighs a list without the target."""
+_INITIAL_LATENCY_SECONDS = 0.01
+"""Response time assumed for a target before its first response."""
 
-_BUSY = (1.0, 3.0, math.inf)
-"""Own requests under way per slot from which on the region is tried instead
-of the zone, and all regions instead of the own one: the link is slow and paid
-for by volume, so a short queue on this side is better."""
+_SPILL_FACTORS = (1.0, 3.0, math.inf)
+"""Own requests in flight per slot of a target from which requests spill over,
+first from the zone to the region, then to all regions. The link between regions
+is slow and paid for by volume, so a short queue in the own region is better."""
 
 
-class Place(msgspec.Struct, frozen=True):
-    """Where a VM stands."""
+class Locality(msgspec.Struct, frozen=True):
+    """Location of a VM."""
 
     region: str
     zone: str
@@ -44,26 +46,26 @@
 
     Attributes:
         target: Its identifier.
-        place: Where it stands.
-        live: Whether the list says that it takes new work.
+        locality: Its region and zone.
+        live: Whether the list reports that it accepts new requests.
     """
 
     target: str
-    place: Place
+    locality: Locality
     live: bool = True
 
 
-class _Score:
-    """What this VM has seen of one target."""
+class _TargetStats:
+    """Statistics of this VM's requests to one target."""
 
     __slots__ = (
-        "answered_at",
-        "back_at",
         "candidate",
+        "ejected_until",
         "ejections",
         "failures",
         "in_flight",
-        "seconds",
+        "latency",
+        "responded_at",
         "since",
     )
 
@@ -71,57 +73,57 @@
         self.candidate = candidate
         self.since = since
         self.in_flight = 0
-        self.seconds = _FIRST_SECONDS
+        self.latency = _INITIAL_LATENCY_SECONDS
         self.failures = 0
         self.ejections = 0
-        self.back_at = 0.0
-        self.answered_at = float("-inf")
+        self.ejected_until = 0.0
+        self.responded_at = float("-inf")
 
     def cost(self, now: float) -> float:
-        """Returns how busy the target is; cold ones count as busier."""
-        warm = (now - self.since) / _SLOW_START_SECONDS
-        share = min(max(warm, _COLD_SHARE), 1.0)
-        return (self.in_flight + 1) * self.seconds / share
+        """Returns the estimated wait at the target, raised in slow start."""
+        ramp_progress = (now - self.since) / _SLOW_START_SECONDS
+        share = min(max(ramp_progress, _MIN_WARM_SHARE), 1.0)
+        return (self.in_flight + 1) * self.latency / share
 
 
 class Balancer:
     """Chooses among the targets of one service."""
 
-    __slots__ = ("_ejected_until", "_here", "_pools", "_scores", "_slots")
+    __slots__ = ("_any_ejected_until", "_here", "_pools", "_slots", "_targets")
 
-    def __init__(self, here: Place) -> None:
-        """Makes one that knows no targets.
+    def __init__(self, here: Locality) -> None:
+        """Creates a balancer without targets.
 
         Args:
-            here: Where this VM stands.
+            here: Location of this VM.
         """
         self._here = here
-        self._ejected_until = 0.0
+        self._any_ejected_until = 0.0
         self._slots = 1
-        self._scores: dict[str, _Score] = {}
-        self._pools: tuple[list[_Score], ...] = ()
+        self._targets: dict[str, _TargetStats] = {}
+        self._pools: tuple[list[_TargetStats], ...] = ()
 
     def update(
         self, candidates: Iterable[Candidate], slots: int, now: float
     ) -> None:
-        """Takes a new list of targets.
+        """Replaces the list of targets.
 
         Args:
             candidates: The targets that can be reached.
-            slots: Requests that one target runs at a time.
-            now: The time.
+            slots: Requests that one target runs concurrently.
+            now: Current time in seconds.
         """
         self._slots = slots
-        # At the start all are equally cold, so none is held back.
-        since = now if self._scores else now - _SLOW_START_SECONDS
-        former, self._scores = self._scores, {}
+        # Targets of the first list are all equally new and skip the slow start.
+        since = now if self._targets else now - _SLOW_START_SECONDS
+        former, self._targets = self._targets, {}
         for candidate in candidates:
-            score = former.get(candidate.target)
-            if score is None:
-                score = _Score(candidate, since)
-            score.candidate = candidate
-            self._scores[candidate.target] = score
-        self._keep_answering(former, now)
+            stats = former.get(candidate.target)
+            if stats is None:
+                stats = _TargetStats(candidate, since)
+            stats.candidate = candidate
+            self._targets[candidate.target] = stats
+        self._keep_responding(former, now)
         self._pools = self._by_distance()
 
     def choose(
@@ -131,113 +133,121 @@
         first: float,
         second: float,
     ) -> str | None:
-        """Returns the target for a request, None if there is none at all.
+        """Returns the target for a request, None if there are no targets.
 
         Args:
-            avoid: Targets that could not take it just now.
-            now: The time.
-            first: From 0 to 1, picks the first of two.
-            second: From 0 to 1, picks the second of two.
+            avoid: Targets that failed to take the request. They are used only
+                if no other target is available.
+            now: Current time in seconds.
+            first: Random number in [0, 1) that picks the first of two.
+            second: Random number in [0, 1) that picks the second of two.
         """
-        shunned: set[_Score] | None = None
-        if avoid or now < self._ejected_until:
-            shunned = self._shunned(avoid, now)
-        for pool, factor in zip(self._pools, _BUSY, strict=False):
+        excluded: set[_TargetStats] | None = None
+        if avoid or now < self._any_ejected_until:
+            excluded = self._excluded(avoid, now)
+        for pool, factor in zip(self._pools, _SPILL_FACTORS, strict=False):
             usable = pool
-            if shunned:
-                usable = [s for s in pool if s not in shunned]
+            if excluded:
+                usable = [s for s in pool if s not in excluded]
             if not usable:
                 continue
             best = min(
                 usable[int(first * len(usable))],
                 usable[int(second * len(usable))],
-                key=lambda score: score.cost(now),
+                key=lambda stats: stats.cost(now),
             )
             if best.in_flight < self._slots * factor:
                 return best.candidate.target
         return self.choose((), now, first, second) if avoid else None
 
     def begin(self, target: str) -> None:
-        """Counts a request in."""
-        score = self._scores.get(target)
-        if score is not None:
-            score.in_flight += 1
+        """Counts the start of a request to a target."""
+        stats = self._targets.get(target)
+        if stats is not None:
+            stats.in_flight += 1
 
     def end(self, target: str) -> None:
-        """Counts a request out."""
-        score = self._scores.get(target)
-        if score is not None and score.in_flight:
-            score.in_flight -= 1
-
-    def answered(self, target: str, seconds: float, now: float) -> None:
-        """Notes an answer and the time to its beginning."""
-        score = self._scores.get(target)
-        if score is None:
+        """Counts the end of a request to a target."""
+        stats = self._targets.get(target)
+        if stats is not None and stats.in_flight:
+            stats.in_flight -= 1
+
+    def record_response(self, target: str, seconds: float, now: float) -> None:
+        """Records a response and the seconds to its first byte."""
+        stats = self._targets.get(target)
+        if stats is None:
             return
-        score.seconds += (seconds - score.seconds) * _SMOOTHING
-        score.failures = 0
-        score.ejections = 0
-        score.answered_at = now
-
-    def failed(self, target: str, now: float) -> None:
-        """Notes that a target was not reached or gave no answer."""
-        score = self._scores.get(target)
-        if score is None:
+        stats.latency += (seconds - stats.latency) * _LATENCY_SMOOTHING
+        stats.failures = 0
+        stats.ejections = 0
+        stats.responded_at = now
+
+    def record_failure(self, target: str, now: float) -> None:
+        """Records that a target was unreachable or did not respond."""
+        stats = self._targets.get(target)
+        if stats is None:
             return
-        score.failures += 1
-        # One that was left alone before is on trial.
-        if score.failures >= _FAILURES or score.ejections:
-            pause = _EJECT_SECONDS * 2**score.ejections
-            score.back_at = now + min(pause, _LONGEST_EJECT_SECONDS)
-            self._ejected_until = max(self._ejected_until, score.back_at)
-            score.ejections = min(score.ejections + 1, 10)
-            score.failures = 0
+        stats.failures += 1
+        # A target that was ejected before is ejected again at its first
+        # failure.
+        if stats.failures >= _FAILURES_TO_EJECT or stats.ejections:
+            pause = _EJECT_SECONDS * 2**stats.ejections
+            stats.ejected_until = now + min(pause, _MAX_EJECT_SECONDS)
+            self._any_ejected_until = max(
+                self._any_ejected_until, stats.ejected_until
+            )
+            stats.ejections = min(stats.ejections + 1, 10)
+            stats.failures = 0
 
     def ejected(self, now: float) -> list[str]:
-        """Returns the targets that are left alone at the moment."""
-        return [t for t, s in self._scores.items() if s.back_at > now]
-
-    def _keep_answering(self, former: dict[str, _Score], now: float) -> None:
-        # A list that suddenly names few targets may be wrong. As long as
-        # those that are missing answer, they stay until most are back. One
-        # that is listed as leaving is not missing: kept in use, it would get
-        # work until it is gone, and its last requests would be cut off.
-        leaving = {t for t, s in self._scores.items() if not s.candidate.live}
-        answering = {
-            target: score
-            for target, score in former.items()
-            if now - score.answered_at < _ANSWERED_SECONDS
+        """Returns the targets that are currently ejected."""
+        return [t for t, s in self._targets.items() if s.ejected_until > now]
+
+    def _keep_responding(
+        self, former: dict[str, _TargetStats], now: float
+    ) -> None:
+        # A list that suddenly contains few targets may be wrong. Missing
+        # targets stay in use while they respond, until most of them are listed
+        # again. A target listed as leaving is not missing: it would receive
+        # requests until it stops, and the last of them would be cut off.
+        leaving = {t for t, s in self._targets.items() if not s.candidate.live}
+        responding = {
+            target: stats
+            for target, stats in former.items()
+            if now - stats.responded_at < _RESPONSE_VALID_SECONDS
             and target not in leaving
         }
-        live = {t for t, s in self._scores.items() if s.candidate.live}
-        if len(answering.keys() & live) * 2 >= len(answering):
+        live = {t for t, s in self._targets.items() if s.candidate.live}
+        if len(responding.keys() & live) * 2 >= len(responding):
             return
-        for target, score in answering.items():
-            kept = msgspec.structs.replace(score.candidate, live=True)
-            score.candidate = kept
-            self._scores[target] = score
-
-    def _by_distance(self) -> tuple[list[_Score], ...]:
-        scores = list(self._scores.values())
-        live = [s for s in scores if s.candidate.live] or scores
+        for target, stats in responding.items():
+            kept = msgspec.structs.replace(stats.candidate, live=True)
+            stats.candidate = kept
+            self._targets[target] = stats
+
+    def _by_distance(self) -> tuple[list[_TargetStats], ...]:
+        targets = list(self._targets.values())
+        live = [s for s in targets if s.candidate.live] or targets
         here = self._here
-        zone = [s for s in live if s.candidate.place == here]
-        region = [s for s in live if s.candidate.place.region == here.region]
+        zone = [s for s in live if s.candidate.locality == here]
+        region = [s for s in live if s.candidate.locality.region == here.region]
         return zone, region, live
 
-    def _shunned(self, avoid: Collection[str], now: float) -> set[_Score]:
+    def _excluded(
+        self, avoid: Collection[str], now: float
+    ) -> set[_TargetStats]:
         if avoid:
-            found = {self._scores[t] for t in avoid if t in self._scores}
+            found = {self._targets[t] for t in avoid if t in self._targets}
         else:
             found = set()
-        if now >= self._ejected_until:
+        if now >= self._any_ejected_until:
             return found
-        # However many targets seem to fail, half of them stay in use: if all
-        # were left alone, a fault of the network here would be an outage.
+        # Half of the targets stay in use however many seem to fail. If all
+        # were ejected, a network fault near this VM would become an outage.
         ejected = sorted(
-            (s for s in self._scores.values() if s.back_at > now),
-            key=lambda s: s.back_at,
+            (s for s in self._targets.values() if s.ejected_until > now),
+            key=lambda s: s.ejected_until,
             reverse=True,
         )
-        most = int(len(self._scores) * _EJECTED_SHARE)
-        return found.union(ejected[:most])
+        limit = int(len(self._targets) * _MAX_EJECTED_SHARE)
+        return found.union(ejected[:limit])
--- a/packages/mimosastile-core/src/mimosastile_core/links.py
+++ b/packages/mimosastile-core/src/mimosastile_core/links.py
@@ -1,9 +1,10 @@
-"""The budget of a slow, paid link between two regions, in one direction.
+"""Bandwidth budget of a slow, paid link between two regions, per direction.
 
-The budget is dealt out by need among the entry VMs that send into this
-direction; `Pacer` keeps one VM's share. Classes differ in how far they may run
-into debt: the desk's few bytes go at once and downloads wait until the debt
-is paid, so that bulk takes whatever the others leave.
+The budget is allocated by need among the entry VMs that send in this direction,
+and `Pacer` enforces one VM's share with a token bucket. Priority classes differ
+in the debt that they may run up: the few bytes of interactive requests are sent
+at once, while bulk downloads wait until the debt is paid, so bulk uses only the
+bandwidth that the other classes leave.
 """
 
 import collections
@@ -11,31 +12,31 @@
 from mimosastile_core import config
 from mimosastile_core import limits
 
-CHUNK = 8 << 10
-"""Bytes sent at a time. At 30 Mbit/s this holds up others for 2 ms."""
+CHUNK_BYTES = 8 << 10
+"""Bytes sent at a time. At 30 Mbit/s a chunk delays others by 2 ms."""
 
-_DEBT_SECONDS = {
+_MAX_DEBT_SECONDS = {
     config.Priority.INTERACTIVE: 1.0,
     config.Priority.SUBMISSION: 0.5,
     config.Priority.BULK: 0.0,
 }
 _BURST_SECONDS = 0.005
-_SHORTEST_WAIT_SECONDS = 0.001
-_LEAST_WANTED = 64 << 10
-"""Bytes a second that whoever had to wait asks for at least."""
+_MIN_WAIT_SECONDS = 0.001
+_MIN_WANTED_BYTES_PER_SECOND = 64 << 10
+"""Least bandwidth requested by a VM whose requests had to wait."""
 
 
 def budget(link: config.Link) -> float:
-    """Returns the bytes a second that requests and answers may take."""
+    """Returns the bytes a second left for requests and responses."""
     usable = link.bytes_per_second * link.usable
     return max(usable - link.control_bytes_per_second, 1.0)
 
 
 class Pacer:
-    """One VM's share of one direction."""
+    """Token bucket for one VM's share of one direction."""
 
     __slots__ = (
-        "_held",
+        "_granted",
         "_rate",
         "_refilled_at",
         "_sent",
@@ -46,12 +47,12 @@
     )
 
     def __init__(self, now: float) -> None:
-        """Begins without a share.
+        """Creates a pacer without a share.
 
         Args:
-            now: The time.
+            now: Current time in seconds.
         """
-        self._held = 0.0
+        self._granted = 0.0
         self._rate = 0.0
         self._until = now
         self._tokens = 0.0
@@ -68,57 +69,65 @@
         count: int,
         now: float,
     ) -> float:
-        """Asks to send.
+        """Requests to send bytes.
 
         Args:
-            size: Bytes.
-            priority: Class of the request.
+            size: Number of bytes.
+            priority: Priority class of the request.
             total: Budget of the direction in bytes a second.
-            count: Entry VMs that share it.
-            now: The time.
+            count: Number of entry VMs that share it.
+            now: Current time in seconds.
 
         Returns:
-            0 if the bytes may go now and are accounted; otherwise the seconds
-            after which to ask again.
+            0 if the bytes may be sent now, in which case they are counted;
+            otherwise the seconds after which to retry.
         """
-        share = self._held if now < self._until else limits.floor(total, count)
+        share = (
+            self._granted
+            if now < self._until
+            else limits.guaranteed_share(total, count)
+        )
         rate = max(min(share, total), 1.0)
         earned = (now - self._refilled_at) * rate
         self._refilled_at = now
         self._tokens = min(self._tokens + earned, rate * _BURST_SECONDS)
-        least = -_DEBT_SECONDS[priority] * rate
-        if self._tokens >= least:
+        min_tokens = -_MAX_DEBT_SECONDS[priority] * rate
+        if self._tokens >= min_tokens:
             self._tokens -= size
             self._sent += size
             return 0.0
         self._waited = True
-        return max((least - self._tokens) / rate, _SHORTEST_WAIT_SECONDS)
+        return max((min_tokens - self._tokens) / rate, _MIN_WAIT_SECONDS)
 
     def need(self, now: float) -> limits.Need:
-        """Returns what to report and begins a new period."""
-        seconds = max(now - self._since, _SHORTEST_WAIT_SECONDS)
+        """Returns the report to the allocator and starts a new period."""
+        seconds = max(now - self._since, _MIN_WAIT_SECONDS)
         rate = self._sent / seconds
-        held = self._held if now < self._until else 0.0
-        # Whoever had to wait could use more than it was given.
-        wanted = 2 * max(rate, held, _LEAST_WANTED) if self._waited else rate
+        granted = self._granted if now < self._until else 0.0
+        # A VM whose requests had to wait could use more than its share.
+        wanted = (
+            2 * max(rate, granted, _MIN_WANTED_BYTES_PER_SECOND)
+            if self._waited
+            else rate
+        )
         self._sent = 0
         self._since = now
         self._waited = False
-        return limits.Need(held, 0.0, wanted)
+        return limits.Need(granted, 0.0, wanted)
 
     def grant(self, rate: float, sent_at: float) -> None:
-        """Takes a share.
+        """Sets a new share.
 
         Args:
             rate: Bytes a second.
-            sent_at: When the report was sent that it answers.
+            sent_at: Time at which this VM sent the report, in seconds.
         """
-        self._held = rate
+        self._granted = rate
         self._until = sent_at + limits.SHARE_SECONDS
 
 
 class Meter:
-    """Bytes by region, member and service; the link is paid for by volume."""
+    """Byte counts by region, member and service, for billing by volume."""
 
     __slots__ = ("_bytes",)
 
@@ -132,5 +141,5 @@
         self._bytes[region, member, service] += size
 
     def total(self) -> dict[str, int]:
-        """Returns the bytes, named `region/member/service`."""
+        """Returns `region/member/service` to bytes."""
         return {"/".join(at): size for at, size in self._bytes.items()}
--- a/packages/mimosastile-core/src/mimosastile_core/loads.py
+++ b/packages/mimosastile-core/src/mimosastile_core/loads.py
@@ -1,4 +1,4 @@
-"""Load of slices: counted at keepers, summed up for whoever plans."""
+"""Load reports of slices: measured at keepers, aggregated for the planner."""
 
 import collections
 from collections.abc import Iterable
@@ -8,9 +8,9 @@
 from mimosastile_core import messages
 from mimosastile_core import tables
 
-_MOST_KEYS = 16384
+_MAX_KEYS = 16384
 _SMOOTHING = 0.4
-_VALID_SECONDS = 10.0
+_REPORT_VALID_SECONDS = 10.0
 
 
 class Counter:
@@ -22,22 +22,22 @@
         self._seconds: dict[int, float] = {}
         self._dropped = 0.0
 
-    def note(self, position: int, seconds: float) -> None:
-        """Adds the time that one request held a slot."""
-        if position in self._seconds or len(self._seconds) < _MOST_KEYS:
+    def record(self, position: int, seconds: float) -> None:
+        """Adds the seconds for which one request held a slot."""
+        if position in self._seconds or len(self._seconds) < _MAX_KEYS:
             self._seconds[position] = self._seconds.get(position, 0.0) + seconds
         else:
             self._dropped += seconds
 
-    def take(
-        self, table: tables.Table, interval: float, most: int
+    def collect(
+        self, table: tables.Table, interval: float, max_slices: int
     ) -> tuple[messages.SliceReport, ...]:
-        """Sums up by slice, fullest first, and begins anew.
+        """Returns the load by slice, highest first, and resets the counter.
 
         Args:
-            table: The slices.
-            interval: Seconds since the last sum.
-            most: Bound on the slices in the answer.
+            table: The table that maps keys to slices.
+            interval: Seconds since the last call.
+            max_slices: Maximum number of slices in the result.
         """
         sums: dict[int, float] = collections.defaultdict(float)
         hottest: dict[int, tuple[float, int]] = {}
@@ -50,20 +50,20 @@
                     hottest.get(first, (0.0, 0)), (seconds, position)
                 )
         counted = sum(self._seconds.values())
-        # Keys beyond the bound are taken to be spread like the counted ones.
+        # Keys beyond `_MAX_KEYS` are assumed to be distributed like the others.
         scale = (1 + self._dropped / counted if counted else 1.0) / interval
         self._seconds, self._dropped = {}, 0.0
-        full = sorted(sums, key=lambda f: (-sums[f], f))[:most]
+        top = sorted(sums, key=lambda f: (-sums[f], f))[:max_slices]
         return tuple(
             messages.SliceReport(
                 f, sums[f] * scale, hottest[f][1], hottest[f][0] * scale
             )
-            for f in full
+            for f in top
         )
 
 
-class Board:
-    """The latest reports of all keepers about one service."""
+class Aggregator:
+    """Smoothed loads from the latest reports of all keepers of a service."""
 
     __slots__ = ("_loads", "_reports")
 
@@ -71,8 +71,8 @@
         self._reports: dict[str, tuple[float, messages.LoadReport]] = {}
         self._loads: dict[int, balance_plan.SliceLoad] = {}
 
-    def take(self, report: messages.LoadReport, now: float) -> None:
-        """Takes a keeper's report."""
+    def record(self, report: messages.LoadReport, now: float) -> None:
+        """Adds a keeper's report."""
         self._reports[report.vm] = (now, report)
         for piece in report.slices:
             held = self._loads.get(piece.first)
@@ -81,19 +81,19 @@
                 load, piece.hottest, min(load, piece.hottest_load)
             )
 
-    def fade(self, present: Iterable[int], now: float) -> None:
-        """Lets slices fade that no fresh report names.
+    def decay(self, present: Iterable[int], now: float) -> None:
+        """Decays the loads of slices that no valid report contains.
 
         Args:
-            present: First hashes of the present slices.
-            now: Present time.
+            present: First hashes of the slices that exist.
+            now: Current time in seconds.
         """
         self._reports = {
             vm: (at, report)
             for vm, (at, report) in self._reports.items()
-            if now - at <= _VALID_SECONDS
+            if now - at <= _REPORT_VALID_SECONDS
         }
-        named = {
+        reported = {
             piece.first
             for _, report in self._reports.values()
             for piece in report.slices
@@ -101,7 +101,7 @@
         kept = set(present)
         self._loads = {
             first: load
-            if first in named
+            if first in reported
             else balance_plan.SliceLoad(load.load * (1 - _SMOOTHING))
             for first, load in self._loads.items()
             if first in kept
@@ -112,12 +112,12 @@
         """First hash of a slice to its smoothed load."""
         return self._loads
 
-    def heard(self, now: float) -> frozenset[str]:
-        """Returns the targets whose keepers hear them."""
+    def responding_targets(self, now: float) -> frozenset[str]:
+        """Returns the targets that respond to their keepers."""
         return frozenset(
             target
             for at, report in self._reports.values()
-            if now - at <= _VALID_SECONDS
+            if now - at <= _REPORT_VALID_SECONDS
             for target in report.heard
         )
 
--- a/packages/mimosastile-core/src/mimosastile_core/moves.py
+++ b/packages/mimosastile-core/src/mimosastile_core/moves.py
@@ -1,8 +1,8 @@
-"""Changes of a block: the only ways in which an owner or a keeper changes.
+"""Block transitions that change the owners of slices or the keepers of targets.
 
-Each function takes a block and returns its successor or the reason why not.
-A slice that has an owner gets another one only with a typed proof that the
-former can run nothing for it any more.
+There are no others. Each function takes a block and returns its successor, or
+the reason why there is none. An owned slice gets a new owner only with a typed
+proof that the former owner can no longer run requests for it.
 """
 
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 
 class Released(msgspec.Struct, frozen=True):
-    """The target acknowledged to its keeper that it let slices go.
+    """The target acknowledged to its keeper that it released slices.
 
     Attributes:
         target: The former owner.
@@ -29,7 +29,7 @@
 
 
 class Lapsed(msgspec.Struct, frozen=True):
-    """The keeper stopped renewing and every grant has run out.
+    """The keeper stopped renewing the grants, and all of them have expired.
 
     Attributes:
         target: The former owner.
@@ -41,13 +41,13 @@
 
 
 class Gone(msgspec.Struct, frozen=True):
-    """The platform listed the VM once and lists it no longer.
+    """The platform listed the VM before and does not list it any more.
 
-    To be given only when every grant that the VM can hold has run out.
+    Valid only once every grant that the VM can hold has expired.
 
     Attributes:
         target: The former owner.
-        keeper_fence: Fence of the keeper that saw it; it sends no grant.
+        keeper_fence: Fence of the observing keeper, which sends no grants.
     """
 
     target: str
@@ -60,12 +60,12 @@
 
 @functools.singledispatch
 def proves(proof: Proof, block: tables.Block, piece: tables.Slice) -> bool:
-    """Whether a proof covers a slice in the present state of its block.
+    """Returns whether a proof covers a slice in the current block.
 
-    A proof of a keeper that has been replaced is void: the new keeper may have
+    A proof from a replaced keeper is void, because the new keeper may have
     granted the slice again.
     """
-    raise TypeError(f"not a proof: {proof!r}")
+    raise TypeError(f"expected a proof of release, got {proof!r}")
 
 
 @proves.register
@@ -91,15 +91,15 @@
 
 
 def start_moves(block: tables.Block, plan: dict[int, str]) -> BlockResult:
-    """Marks slices as moving; ownerless slices are assigned at once.
+    """Marks slices as moving and assigns unowned slices at once.
 
     Args:
-        block: The block as it is.
-        plan: First hash of a slice to its new target; an empty target takes a
-            planned move back.
+        block: The current block.
+        plan: First hash of a slice to its new target; an empty target cancels
+            a planned move.
 
     Returns:
-        The next version, or why nothing changes.
+        The next version of the block, or the reason why nothing changes.
     """
     version = block.version + 1
 
@@ -112,7 +112,7 @@
         wanted = "" if target == piece.owner else target
         return msgspec.structs.replace(piece, next=wanted)
 
-    return _changed(block, step)
+    return _apply_to_slices(block, step)
 
 
 def finish_moves(
@@ -120,15 +120,16 @@
     proof: Proof,
     choose: Callable[[tables.Slice], str],
 ) -> BlockResult:
-    """Gives slices that a proof covers to their next owner.
+    """Assigns the slices that a proof covers to their next owners.
 
     Args:
-        block: The block as it is.
-        proof: Why the former owner can run nothing any more.
-        choose: New owner of a slice that has no planned one; may be empty.
+        block: The current block.
+        proof: Evidence that the former owner can run no more requests.
+        choose: Returns the new owner of a slice without a usable planned one,
+            or an empty string for none.
 
     Returns:
-        The next version, or why nothing changes.
+        The next version of the block, or the reason why nothing changes.
     """
     version = block.version + 1
 
@@ -139,35 +140,35 @@
         owner = planned or choose(piece)
         return tables.Slice(piece.first, piece.last, owner, version)
 
-    lost = {target for target, k in block.keepers.items() if k.lost}
+    lost = {target for target, keeper in block.keepers.items() if keeper.lost}
     if not isinstance(proof, Released):
         lost.add(proof.target)
-    return _changed(block, step).map(lambda new: _with_lost(new, lost))
+    return _apply_to_slices(block, step).map(lambda new: _mark_lost(new, lost))
 
 
-def note_lost(
+def record_lost(
     block: tables.Block, target: str, keeper_fence: int, lost: bool
 ) -> BlockResult:
-    """Notes whether a target answers its keeper.
+    """Records whether a target fails to respond to its keeper.
 
-    Two keepers that each lose a target know nothing of the other's loss. Each
-    would give its slices to the other's dead target, back and forth, as fast
-    as the store takes writes.
+    Two keepers that each lose a target cannot observe the other's loss.
+    Without this record, each would assign its target's slices to the other's
+    lost target, back and forth, as fast as the store accepts writes.
 
     Args:
-        block: The block as it is.
+        block: The current block.
         target: The target.
-        keeper_fence: Fence of the keeper that says so.
-        lost: Whether it has not answered for as long as a grant lasts.
+        keeper_fence: Fence of the keeper that reports this.
+        lost: Whether it has not responded for the duration of a grant.
 
     Returns:
-        The next version, or why nothing changes.
+        The next version of the block, or the reason why nothing changes.
     """
     keeper = block.keepers.get(target)
     if keeper is None or keeper.fence != keeper_fence or keeper.lost is lost:
         return result.Err("nothing to change")
-    noted = msgspec.structs.replace(keeper, lost=lost)
-    return _with_keepers(block, {target: noted})
+    updated = msgspec.structs.replace(keeper, lost=lost)
+    return _with_keepers(block, {target: updated})
 
 
 def set_keepers(
@@ -175,23 +176,24 @@
     keepers: dict[str, tuple[str, str]],
     checks_orders: bool = True,
 ) -> BlockResult:
-    """Names new keepers; their fences rise above the former ones.
+    """Sets new keepers with fences above those of the former ones.
 
     Args:
-        block: The block as it is.
+        block: The current block.
         keepers: Target to entry VM and boot identifier.
-        checks_orders: Whether the targets refuse former keepers. If not, what
-            an ended run of a daemon has sent may run at any later time.
+        checks_orders: Whether the targets refuse former keepers. If not, a
+            request sent by an ended incarnation of a daemon may run at any
+            later time.
 
     Returns:
-        The next version, or why nothing changes.
+        The next version of the block, or the reason why nothing changes.
     """
     changed = {
         target: tables.KeeperRef(
             vm,
             boot,
             _keeper_fence(block, target) + 1,
-            _former(block.keepers.get(target), vm, checks_orders),
+            _former_keepers(block.keepers.get(target), vm, checks_orders),
             target in block.keepers and block.keepers[target].lost,
         )
         for target, (vm, boot) in keepers.items()
@@ -200,15 +202,17 @@
     return _with_keepers(block, changed)
 
 
-def forget_former(block: tables.Block, fences: dict[str, int]) -> BlockResult:
-    """Drops the former keepers of targets that refuse them by now.
+def drop_former_keepers(
+    block: tables.Block, fences: dict[str, int]
+) -> BlockResult:
+    """Drops the former keepers of targets that now refuse them.
 
     Args:
-        block: The block as it is.
+        block: The current block.
         fences: Target to the keeper fence that it acknowledged.
 
     Returns:
-        The next version, or why nothing changes.
+        The next version of the block, or the reason why nothing changes.
     """
     changed = {
         target: msgspec.structs.replace(keeper, former=())
@@ -219,10 +223,10 @@
 
 
 def barrier(block: tables.Block) -> tables.Block:
-    """Returns a successor that changes nothing but the version.
+    """Returns a successor that changes only the version.
 
-    Once it is stored, no write that was made for this version can take
-    effect any more.
+    Once it is stored, no pending compare-and-swap against the current version
+    can succeed.
     """
     return msgspec.structs.replace(block, version=block.version + 1)
 
@@ -241,35 +245,35 @@
     )
 
 
-def _former(
+def _former_keepers(
     replaced: tables.KeeperRef | None, successor: str, checks_orders: bool
 ) -> tuple[tables.FormerKeeper, ...]:
-    """Returns the replaced keepers that might still speak to a target.
+    """Returns the replaced keepers that may still send to a target.
 
-    One run of a VM stands for all. Where targets check orders it is the last,
-    as the earlier ones have ended; and if the successor is on the same VM,
-    the last has ended too. Where they do not, it is the first: it can
-    acknowledge nothing any more, so nothing later is needed.
+    One incarnation per VM is kept. If targets check orders, it is the last, as
+    the earlier ones have ended; and if the successor is on the same VM, the
+    last has ended too. Otherwise it is the first: it can no longer acknowledge
+    anything, so later ones need no entry.
     """
     if replaced is None:
         return ()
     last = tables.FormerKeeper(replaced.vm, replaced.boot)
-    every = (*replaced.former, last)
+    replaced_keepers = (*replaced.former, last)
     if not checks_orders:
-        return tuple({f.vm: f for f in reversed(every)}.values())
-    runs = {f.vm: f for f in every}
-    return tuple(f for vm, f in runs.items() if vm != successor)
+        return tuple({f.vm: f for f in reversed(replaced_keepers)}.values())
+    latest = {f.vm: f for f in replaced_keepers}
+    return tuple(f for vm, f in latest.items() if vm != successor)
 
 
-def _with_lost(block: tables.Block, lost: set[str]) -> tables.Block:
-    noted = {
+def _mark_lost(block: tables.Block, lost: set[str]) -> tables.Block:
+    updated = {
         target: msgspec.structs.replace(keeper, lost=True)
         for target, keeper in block.keepers.items()
         if target in lost and not keeper.lost
     }
-    if not noted:
+    if not updated:
         return block
-    return msgspec.structs.replace(block, keepers=block.keepers | noted)
+    return msgspec.structs.replace(block, keepers=block.keepers | updated)
 
 
 def _is_kept_by(block: tables.Block, target: str, vm: str, boot: str) -> bool:
@@ -278,13 +282,13 @@
 
 
 def _keeper_fence(block: tables.Block, target: str) -> int:
-    # A target without a keeper may have had one that a clean-up removed; the
-    # block's version is above every fence that was ever given in it.
+    # A clean-up may have removed an earlier keeper of this target. The block's
+    # version is above every keeper fence that the block has ever contained.
     keeper = block.keepers.get(target)
     return keeper.fence if keeper else block.version
 
 
-def _changed(
+def _apply_to_slices(
     block: tables.Block, step: Callable[[tables.Slice], tables.Slice]
 ) -> BlockResult:
     slices = tuple(step(piece) for piece in block.slices)
--- a/packages/mimosastile-core/src/mimosastile_core/placement.py
+++ b/packages/mimosastile-core/src/mimosastile_core/placement.py
@@ -1,4 +1,8 @@
-"""Placement: which target owns which slice, which VM keeps which target."""
+"""Initial placement of slices on targets and of targets on keepers.
+
+A keeper is the entry VM through which alone a target receives requests and
+grants.
+"""
 
 import collections
 from collections.abc import Callable
@@ -10,22 +14,23 @@
 from mimosastile_core import keys
 from mimosastile_core import tables
 
-Chooser = Callable[[tables.Slice], str]
-"""Names the new owner of a slice, empty for none."""
+OwnerChooser = Callable[[tables.Slice], str]
+"""Returns the new owner of a slice, or an empty string for none."""
 
 
-def spread(block: tables.Block, targets: Iterable[str]) -> dict[int, str]:
-    """Plans owners for slices that have none or whose owner is not listed.
+def plan_owners(block: tables.Block, targets: Iterable[str]) -> dict[int, str]:
+    """Assigns owners to slices that have none or whose owner is not allowed.
 
     Args:
-        block: The block as it is.
+        block: The current block.
         targets: Targets that may own slices.
 
     Returns:
-        First hash of a slice to its new target; few slices on a target first.
+        First hash of each reassigned slice to its new target. Targets with
+        the fewest slices are filled first.
     """
     allowed = set(targets)
-    choose = chooser(block, allowed)
+    choose = owner_chooser(block, allowed)
     return {
         piece.first: target
         for piece in block.slices
@@ -34,24 +39,26 @@
     }
 
 
-def chooser(block: tables.Block, targets: Collection[str]) -> Chooser:
-    """Returns a function that names a new owner for one slice after another.
+def owner_chooser(
+    block: tables.Block, targets: Collection[str]
+) -> OwnerChooser:
+    """Returns a function that chooses new owners, one slice per call.
 
     Args:
-        block: The block as it is; its owners count as load.
+        block: The current block; the slices of its owners count as load.
         targets: Targets that may own slices.
 
     Returns:
-        The function; it names the target with the fewest slices, counting
-        those it has named before, or none if there are no targets.
+        The function. It returns the target with the fewest slices, including
+        those that it assigned before, or an empty string without targets.
     """
-    holders = collections.Counter(s.next or s.owner for s in block.slices)
-    # A target that owns nothing is new, or its loss was noticed just now. If
-    # it were named, the keepers of two lost targets would hand the same slices
-    # to and fro, seen as hundreds of versions a minute and keys that nobody
-    # serves. A new target gets its share by the planner.
-    proven = [t for t in targets if holders[t]]
-    load = {t: holders[t] for t in sorted(proven or targets)}
+    owned_counts = collections.Counter(s.next or s.owner for s in block.slices)
+    # A target without slices is either new or was lost a moment ago. Choosing
+    # it would let the keepers of two lost targets pass the same slices back
+    # and forth: hundreds of block versions a minute, and keys without a
+    # server. The planner assigns slices to new targets.
+    with_slices = [t for t in targets if owned_counts[t]]
+    load = {t: owned_counts[t] for t in sorted(with_slices or targets)}
 
     def choose(piece: tables.Slice) -> str:
         del piece
@@ -64,20 +71,20 @@
     return choose
 
 
-def keepers(
+def plan_keepers(
     block: tables.Block,
     targets: Iterable[fleet.Vm],
     entries: dict[str, fleet.Vm],
 ) -> dict[str, str]:
-    """Plans keepers for targets whose keeper is missing or not listed.
+    """Assigns keepers to targets whose keeper is missing or not live.
 
     Args:
-        block: The block as it is.
+        block: The current block.
         targets: All listed targets of the service.
         entries: Live entry VMs by identifier.
 
     Returns:
-        Target to entry VM of the target's own availability zone.
+        Target to an entry VM in the target's own availability zone.
     """
     load = dict.fromkeys(entries, 0)
     for keeper in block.keepers.values():
@@ -97,12 +104,12 @@
     return plan
 
 
-def usual_planner(service: str, entries: Iterable[str]) -> str:
-    """Returns the entry VM that should usually plan a service.
+def preferred_planner(service: str, entries: Iterable[str]) -> str:
+    """Returns the entry VM that normally plans a service.
 
-    Only a hint: any VM may plan, the compare-and-swap decides. Chosen by
-    rendezvous, so that the coming and going of other VMs changes it for few
-    services.
+    This is only a hint: any VM may plan, and the compare-and-swap decides.
+    Rendezvous hashing keeps the choice stable for most services when other
+    VMs join or leave.
     """
     return max(
         entries,
@@ -111,9 +118,9 @@
     )
 
 
-def needs_blocks(service_blocks: int, known: Iterable[int]) -> list[int]:
-    """Returns the block numbers that do not exist yet."""
-    present = set(known)
+def missing_blocks(block_count: int, existing: Iterable[int]) -> list[int]:
+    """Returns the numbers below `block_count` that have no block yet."""
+    existing_set = set(existing)
     return list(
-        itertools.filterfalse(present.__contains__, range(service_blocks))
+        itertools.filterfalse(existing_set.__contains__, range(block_count))
     )
--- a/packages/mimosastile-core/src/mimosastile_core/plans.py
+++ b/packages/mimosastile-core/src/mimosastile_core/plans.py
@@ -1,4 +1,4 @@
-"""What the configuration says about a service, prepared for each request."""
+"""Per-service configuration compiled for look-ups on the request path."""
 
 from collections.abc import Mapping
 
@@ -9,11 +9,11 @@
 
 
 class Treatment(msgspec.Struct, frozen=True):
-    """How one kind of request is treated.
+    """Settings that apply to a request by its route and method.
 
     Attributes:
-        priority: Its class.
-        idempotent: Whether running it twice does no harm.
+        priority: Priority class of the request.
+        idempotent: Whether the request may safely run twice.
     """
 
     priority: config.Priority
@@ -21,12 +21,12 @@
 
 
 class Plan:
-    """One service, with its routes in the order in which they are tried.
+    """Compiled configuration of one service, longest route prefix first.
 
     Attributes:
         name: Name of the service.
         service: Its configuration.
-        budget: Retries that this VM may make; survives a new configuration.
+        budget: Retry budget of this VM; kept across configuration changes.
     """
 
     __slots__ = ("_routes", "_treatments", "budget", "name", "service")
@@ -43,38 +43,40 @@
         self._treatments: dict[tuple[int, str], Treatment] = {}
 
     def treatment(self, path: str, method: str) -> Treatment:
-        """Returns how a request is treated.
+        """Returns the settings for a request.
 
         Args:
             path: Path after the service's name, beginning with a slash.
             method: HTTP method.
         """
         for at, route in enumerate(self._routes):
-            fits = not route.methods or method in route.methods
-            if fits and path.startswith(route.prefix):
-                return self._known(at, route, method)
-        return self._known(-1, config.Route(), method)
-
-    def _known(self, at: int, route: config.Route, method: str) -> Treatment:
-        found = self._treatments.get((at, method))
-        if found is None:
-            found = Treatment(
+            method_matches = not route.methods or method in route.methods
+            if method_matches and path.startswith(route.prefix):
+                return self._cached_treatment(at, route, method)
+        return self._cached_treatment(-1, config.Route(), method)
+
+    def _cached_treatment(
+        self, at: int, route: config.Route, method: str
+    ) -> Treatment:
+        treatment = self._treatments.get((at, method))
+        if treatment is None:
+            treatment = Treatment(
                 route.priority, config.is_idempotent(route, method)
             )
-            # A caller may invent methods; their number must not grow memory.
+            # Callers may send arbitrary methods, so the cache is bounded.
             if len(self._treatments) < len(self._routes) * 16 + 16:
-                self._treatments[at, method] = found
-        return found
+                self._treatments[at, method] = treatment
+        return treatment
 
 
 def compile_plans(
     document: config.Document, former: Mapping[str, Plan]
 ) -> dict[str, Plan]:
-    """Returns the plans of all services; unchanged ones are kept.
+    """Returns the plans of all services and reuses unchanged ones.
 
     Args:
         document: The configuration.
-        former: The plans so far, whose budgets are carried over.
+        former: The previous plans, whose retry budgets are carried over.
     """
     return {
         name: _compile(name, service, former.get(name))
--- a/packages/mimosastile-core/src/mimosastile_core/replica.py
+++ b/packages/mimosastile-core/src/mimosastile_core/replica.py
@@ -1,4 +1,4 @@
-"""A VM's copy of configuration and tables, which only moves forward."""
+"""Monotonic in-memory replica of the configuration and ownership tables."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -18,12 +18,12 @@
 
 
 class Replica:
-    """Configuration and blocks as far as this VM has learned them.
+    """The newest configuration and blocks that this VM has received.
 
-    Every source is offered here: the store, a watch, a peer, the VM's own
-    compare-and-swap. A lagging read or a late message carries a lower number;
-    taking it would undo an accepted change, which one would notice as a key
-    sent to its former owner. So lower numbers are dropped.
+    Updates from the store, a watch, a peer and the VM's own compare-and-swap
+    are all offered here. A stale read or a late message carries a lower version
+    number. Applying it would undo an accepted change and send requests for a
+    key to its former owner, so lower versions are dropped.
     """
 
     __slots__ = ("_blocks", "_config", "_listeners", "_tables")
@@ -36,24 +36,24 @@
 
     @property
     def config(self) -> ConfigVersion:
-        """The newest known configuration; number 0 before the first."""
+        """The newest configuration received; number 0 before the first."""
         return self._config
 
     @property
     def blocks(self) -> dict[tables.BlockId, tables.Block]:
-        """The newest known blocks."""
+        """The newest blocks received."""
         return self._blocks
 
     def table(self, service: str) -> tables.Table | None:
-        """Returns the indexed table of a service, if any block is known."""
+        """Returns the table of a service, None before its first block."""
         return self._tables.get(service)
 
     def subscribe(self, listener: Listener) -> None:
-        """Calls the listener after each change."""
+        """Registers a listener that is called after each change."""
         self._listeners.append(listener)
 
     def offer_config(self, version: ConfigVersion) -> bool:
-        """Takes a configuration if its number is higher; True if taken."""
+        """Applies a configuration if it is newer; True if applied."""
         if version.number <= self._config.number:
             return False
         self._config = version
@@ -61,7 +61,7 @@
         return True
 
     def offer_blocks(self, blocks: tuple[tables.Block, ...]) -> bool:
-        """Takes those blocks whose version is higher; True if any was."""
+        """Applies the blocks that are newer; True if any was applied."""
         newer = [
             b
             for b in blocks
@@ -71,18 +71,18 @@
         for block in newer:
             self._blocks[block.id] = block
         for service in {b.service for b in newer}:
-            of_service = (
+            service_blocks = (
                 b for b in self._blocks.values() if b.service == service
             )
             self._tables[service] = tables.Table(
-                service, of_service, self._tables.get(service)
+                service, service_blocks, self._tables.get(service)
             )
         if newer:
             self._notify()
         return bool(newer)
 
     def pull(self, vm: str) -> messages.Pull:
-        """Returns the message that asks a peer for anything newer."""
+        """Returns the message that requests newer versions from a peer."""
         held = (
             messages.BlockVersion(at, block.version)
             for at, block in self._blocks.items()
@@ -90,7 +90,7 @@
         return messages.Pull(vm, self._config.number, tuple(held))
 
     def tables_digest(self) -> str:
-        """Returns a hash that differs if any block or version does."""
+        """Returns a digest of the identifiers and versions of all blocks."""
         digest = xxhash.xxh3_64()
         for at in sorted(self._blocks):
             version = self._blocks[at].version
@@ -98,10 +98,11 @@
         return digest.hexdigest()
 
     def delta(self, vm: str, pull: messages.Pull) -> messages.Delta:
-        """Returns what a peer lacks according to its message."""
-        known = {held.id: held.version for held in pull.blocks}
+        """Returns the versions that a peer lacks according to its request."""
+        peer_versions = {held.id: held.version for held in pull.blocks}
         newer = itertools.filterfalse(
-            lambda b: b.version <= known.get(b.id, 0), self._blocks.values()
+            lambda b: b.version <= peer_versions.get(b.id, 0),
+            self._blocks.values(),
         )
         has_config = self._config.number > pull.config_number
         return messages.Delta(
@@ -109,30 +110,32 @@
         )
 
     def merge(self, delta: messages.Delta) -> bool:
-        """Takes a peer's delta forward; True if anything changed."""
+        """Applies a peer's delta; True if anything changed."""
         config_changed = delta.configuration is not None and self.offer_config(
             delta.configuration
         )
-        made = (self._made(change) for change in delta.changes)
-        blocks = (*delta.blocks, *(b for b in made if b is not None))
+        changed_blocks = (
+            self._apply_change(change) for change in delta.changes
+        )
+        blocks = (*delta.blocks, *(b for b in changed_blocks if b is not None))
         return self.offer_blocks(blocks) or config_changed
 
-    def lacks(self, delta: messages.Delta) -> bool:
-        """Whether a merged delta named newer blocks that are not held."""
+    def misses_blocks(self, delta: messages.Delta) -> bool:
+        """Returns whether a merged delta names newer blocks not held here."""
         return any(
-            change.version > self._version(change.id)
+            change.version > self._held_version(change.id)
             for change in delta.changes
         )
 
-    def slimmed(
+    def with_changes(
         self,
         delta: messages.Delta,
         former: Mapping[tables.BlockId, tables.Block],
     ) -> messages.Delta:
-        """Returns a delta that carries changes in place of known blocks.
+        """Returns a delta with changes in place of blocks that peers hold.
 
         Args:
-            delta: What is newer.
+            delta: The newer configuration and blocks.
             former: The blocks as peers most likely still hold them.
         """
         return msgspec.structs.replace(
@@ -145,11 +148,13 @@
             ),
         )
 
-    def _made(self, change: differences.BlockChange) -> tables.Block | None:
+    def _apply_change(
+        self, change: differences.BlockChange
+    ) -> tables.Block | None:
         held = self._blocks.get(change.id)
         return differences.applied(held, change) if held else None
 
-    def _version(self, block: tables.BlockId) -> int:
+    def _held_version(self, block: tables.BlockId) -> int:
         held = self._blocks.get(block)
         return held.version if held else 0
 
--- a/packages/mimosastile-core/src/mimosastile_core/retries.py
+++ b/packages/mimosastile-core/src/mimosastile_core/retries.py
@@ -1,4 +1,4 @@
-"""Whether, when and at whose expense a failed request is sent again."""
+"""Retry policy of requests: retry budget, backoff and limits of attempts."""
 
 import enum
 
@@ -7,11 +7,11 @@
 from mimosastile_core import config
 from mimosastile_core import errors
 
-_LONGEST_BACKOFF_SECONDS = 0.1
-"""A target takes a grant without any change of the table, so waiting for a
-change alone could miss the moment; this bounds the loss."""
+_MAX_BACKOFF_SECONDS = 0.1
+"""A target may accept a grant without a table change, so waiting for a table
+change alone could miss it; this bounds the delay."""
 
-_REROUTED = frozenset(
+_NOT_RUN = frozenset(
     {
         errors.ErrorKind.WRONG_FENCE,
         errors.ErrorKind.DRAINING,
@@ -20,21 +20,21 @@
         errors.ErrorKind.NO_TARGET,
     }
 )
-"""The request did not run and another target, or the same one a little later,
-may run it."""
+"""The request did not run. Another target, or the same one a little later, may
+run it."""
 
-_UNSURE = frozenset(
+_AMBIGUOUS = frozenset(
     {errors.ErrorKind.ANSWER_LOST, errors.ErrorKind.ANSWER_BROKEN}
 )
-"""The request may have run; an idempotent one may run again."""
+"""The request may have run, so only an idempotent one may be retried."""
 
 
 class Budget:
-    """Retries that a service may make: a share of its requests.
+    """Retry budget of a service: a fraction of its requests.
 
-    Without it a brown-out is multiplied: each request that fails is sent
-    several times, and the targets that are left get several times their load.
-    One would notice more requests at the targets than callers sent.
+    Without a budget, retries amplify a brown-out: each failed request is sent
+    several times, and the remaining targets get several times their load. The
+    targets then receive more requests than callers sent.
     """
 
     __slots__ = ("_tokens",)
@@ -44,28 +44,29 @@
 
     @property
     def tokens(self) -> float:
-        """Retries that may be made now."""
+        """Number of retries available now."""
         return self._tokens
 
     def earn(self, policy: config.Retry) -> None:
-        """Counts a first send."""
+        """Adds the budget that the first send of a request earns."""
         self._tokens = min(self._tokens + policy.budget, policy.burst)
 
     def spend(self) -> bool:
-        """Takes one retry; False if none is left."""
+        """Consumes one retry; False if none is available."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
         return True
 
 
-# A wait below a clock's resolution ends before the clock has moved; the next
-# one would be as short, and the loop would spin without serving anyone else.
-_LEAST_WAIT_SECONDS = 0.001
+# A wait below the clock's resolution ends before the clock has advanced. The
+# next one would be as short, and the event loop would spin without serving
+# other requests.
+_MIN_WAIT_SECONDS = 0.001
 
 
 class Step(enum.Enum):
-    """What to do with a failed request."""
+    """Next step for a failed request."""
 
     GIVE_UP = "give_up"
     SLEEP = "sleep"
@@ -73,7 +74,7 @@
 
 
 class Decision(msgspec.Struct, frozen=True):
-    """A step and its longest duration in seconds."""
+    """The next step and its maximum duration in seconds."""
 
     step: Step
     seconds: float = 0.0
@@ -83,23 +84,23 @@
 
 
 class Attempts:
-    """What happened to one request so far.
+    """Attempts made for one request.
 
     Attributes:
-        avoid: Targets that could not take the request.
-        began: Whether a send has begun, so that a streamed body is used up.
+        avoid: Targets that failed to take the request.
+        send_started: Whether a send has begun, which consumes a streamed body.
     """
 
     __slots__ = (
         "_backoff",
         "_deadline",
-        "_divided",
         "_idempotent",
         "_sends",
+        "_sharded",
         "_streamed",
         "_waiting_since",
         "avoid",
-        "began",
+        "send_started",
     )
 
     def __init__(
@@ -107,26 +108,26 @@
         *,
         idempotent: bool,
         streamed: bool,
-        divided: bool,
+        sharded: bool,
         deadline: float,
     ) -> None:
-        """Begins with nothing sent.
+        """Creates the record for the first attempt.
 
         Args:
-            idempotent: Whether running the request twice does no harm.
+            idempotent: Whether the request may safely run twice.
             streamed: Whether its body can be read only once.
-            divided: Whether only the owner of its key may run it.
-            deadline: Time at which the caller gives up.
+            sharded: Whether only the owner of its key may run it.
+            deadline: Time in seconds at which the caller gives up.
         """
         self._idempotent = idempotent
         self._streamed = streamed
-        self._divided = divided
+        self._sharded = sharded
         self._deadline = deadline
         self._sends = 1
         self._backoff = 0.0
         self._waiting_since: float | None = None
         self.avoid: frozenset[str] = frozenset()
-        self.began = False
+        self.send_started = False
 
     def after(
         self,
@@ -134,26 +135,28 @@
         policy: config.Retry,
         budget: Budget,
         now: float,
-        chance: float,
+        jitter: float,
     ) -> Decision:
-        """Decides after a failure.
+        """Decides on the next step after a failed attempt.
 
         Args:
-            kind: What went wrong.
-            policy: The service's settings.
-            budget: The service's budget, drawn on for a second run.
-            now: The time.
-            chance: From 0 to 1, for jitter.
+            kind: Kind of the failure.
+            policy: The service's retry settings.
+            budget: The service's retry budget, consumed if the request may
+                run a second time.
+            now: Current time in seconds.
+            jitter: Random number from 0 to 1 that scales the backoff by 0.5
+                to 1.
 
         Returns:
-            What to do. Giving up means to answer the caller at once.
+            The next step. `GIVE_UP` means to respond to the caller at once.
         """
-        if self._streamed and self.began:
+        if self._streamed and self.send_started:
             return _GIVE_UP
-        pause = self._next_pause(policy, chance)
+        pause = self._next_pause(policy, jitter)
         if now + pause >= self._deadline:
             return _GIVE_UP
-        if kind in _REROUTED:
+        if kind in _NOT_RUN:
             return self._reroute(policy, now, pause)
         if self._may_resend(kind):
             return self._resend(policy, budget, pause)
@@ -161,14 +164,14 @@
 
     def _may_resend(self, kind: errors.ErrorKind) -> bool:
         if kind is errors.ErrorKind.OVERLOADED:
-            return not self._divided
-        return kind in _UNSURE and self._idempotent
+            return not self._sharded
+        return kind in _AMBIGUOUS and self._idempotent
 
-    def _next_pause(self, policy: config.Retry, chance: float) -> float:
+    def _next_pause(self, policy: config.Retry, jitter: float) -> float:
         self._backoff = min(
-            max(self._backoff * 2, policy.backoff), _LONGEST_BACKOFF_SECONDS
+            max(self._backoff * 2, policy.backoff), _MAX_BACKOFF_SECONDS
         )
-        return self._backoff * (0.5 + chance / 2)
+        return self._backoff * (0.5 + jitter / 2)
 
     def _reroute(
         self, policy: config.Retry, now: float, pause: float
@@ -176,7 +179,7 @@
         if self._waiting_since is None:
             self._waiting_since = now
         left = self._waiting_since + policy.owner_wait - now
-        if left <= _LEAST_WAIT_SECONDS:
+        if left <= _MIN_WAIT_SECONDS:
             return _GIVE_UP
         return Decision(Step.AWAIT_CHANGE, min(pause, left))
 
--- a/packages/mimosastile-core/src/mimosastile_core/splits.py
+++ b/packages/mimosastile-core/src/mimosastile_core/splits.py
@@ -1,4 +1,4 @@
-"""Splitting slices: the parts keep owner and fence, so nothing else changes."""
+"""Splits and merges of slices that leave owners and fences unchanged."""
 
 from collections.abc import Iterator
 import itertools
@@ -14,15 +14,15 @@
 ) -> result.Result[tables.Block, str]:
     """Splits slices of a block.
 
-    A slice that is moving is left whole: a proof of release may be under way
-    that names it.
+    A moving slice is not split, because a proof of release that names it may
+    be in flight.
 
     Args:
-        block: The block as it is.
+        block: The current block.
         parts: First hash of a slice to the first hashes of its parts.
 
     Returns:
-        The next version, or why nothing changes.
+        The next version of the block, or the reason why nothing changes.
     """
     pieces = tuple(
         part for piece in block.slices for part in _parts(piece, parts)
@@ -37,8 +37,8 @@
 def _parts(
     piece: tables.Slice, parts: dict[int, tuple[int, ...]]
 ) -> Iterator[tables.Slice]:
-    inside = {f for f in parts.get(piece.first, ()) if f <= piece.last}
-    firsts = sorted({piece.first} | {f for f in inside if f > piece.first})
+    starts = {f for f in parts.get(piece.first, ()) if f <= piece.last}
+    firsts = sorted({piece.first} | {f for f in starts if f > piece.first})
     if piece.next:
         firsts = [piece.first]
     ends = (*firsts[1:], piece.last + 1)
@@ -49,24 +49,28 @@
 def merge(
     block: tables.Block, firsts: frozenset[int]
 ) -> result.Result[tables.Block, str]:
-    """Joins slices to the one before them, where nothing else would change.
+    """Merges slices into their predecessors where only bounds change.
 
-    Only parts of the same owner with the same fence are joined, and none that
-    is moving: a proof that names the first part would otherwise cover keys
-    that it was not given for.
+    Only parts with the same owner and the same fence are merged, and no moving
+    ones. Otherwise a proof that names the first part would cover keys that it
+    was not issued for.
 
     Args:
-        block: The block as it is.
-        firsts: First hashes of slices that may be joined to the one before.
+        block: The current block.
+        firsts: First hashes of slices that may be merged into the previous one.
 
     Returns:
-        The next version, or why nothing changes.
+        The next version of the block, or the reason why nothing changes.
     """
     joined: list[tables.Slice] = []
     for piece in block.slices:
-        before = joined[-1] if joined else None
-        if piece.first in firsts and before and _is_twin(before, piece):
-            joined[-1] = msgspec.structs.replace(before, last=piece.last)
+        previous = joined[-1] if joined else None
+        if (
+            piece.first in firsts
+            and previous
+            and _is_mergeable(previous, piece)
+        ):
+            joined[-1] = msgspec.structs.replace(previous, last=piece.last)
         else:
             joined.append(piece)
     if len(joined) == len(block.slices):
@@ -78,17 +82,17 @@
     )
 
 
-def _is_twin(before: tables.Slice, piece: tables.Slice) -> bool:
+def _is_mergeable(previous: tables.Slice, piece: tables.Slice) -> bool:
     return (
-        before.owner == piece.owner
-        and before.fence == piece.fence
-        and not before.next
+        previous.owner == piece.owner
+        and previous.fence == piece.fence
+        and not previous.next
         and not piece.next
     )
 
 
-def neighbours(block: tables.Block) -> Iterator[tuple[int, int]]:
-    """Yields first hashes of neighbours that could be joined."""
-    for before, piece in itertools.pairwise(block.slices):
-        if _is_twin(before, piece):
-            yield before.first, piece.first
+def mergeable_pairs(block: tables.Block) -> Iterator[tuple[int, int]]:
+    """Yields the first hashes of adjacent slices that can be merged."""
+    for previous, piece in itertools.pairwise(block.slices):
+        if _is_mergeable(previous, piece):
+            yield previous.first, piece.first
--- a/packages/mimosastile-core/src/mimosastile_core/tables.py
+++ b/packages/mimosastile-core/src/mimosastile_core/tables.py
@@ -1,9 +1,10 @@
-"""Tables: which target owns which slice of a service's keys.
+"""Ownership tables: which target owns which slice of a service's keys.
 
-A service's table comes in blocks. A block is one value in the store and the
-unit of atomic change: it holds its slices, their owners and the keepers of the
-targets named in it, so that one compare-and-swap decides on an owner and on
-the keeper whose proof allowed the change, together.
+A service's table is divided into blocks. A block is one value in the store and
+the unit of atomic change. It contains its slices, their owners and the keepers
+of the targets named in it, so one compare-and-swap covers both an owner and the
+keeper whose proof allowed the change. A keeper is the entry VM through which
+alone a target receives requests and grants.
 """
 
 import bisect
@@ -20,9 +21,10 @@
 
     Attributes:
         first: Lowest hash of the range.
-        last: Highest hash of the range, inclusive.
+        last: Highest hash of the range (inclusive).
         owner: Target that owns the slice, empty for none.
-        fence: Block version at which the owner was set; it only rises.
+        fence: Fencing token: block version at which the owner was set. It never
+            decreases.
         next: Target that the slice is moving to, empty for none.
     """
 
@@ -34,11 +36,11 @@
 
 
 class FormerKeeper(msgspec.Struct, frozen=True, array_like=True):
-    """A replaced keeper that might still speak to its target.
+    """A replaced keeper that may still send to its target.
 
     Attributes:
         vm: Identifier of the entry VM.
-        boot: Identifier of the daemon's run on that VM.
+        boot: Identifier of the daemon's incarnation on that VM.
     """
 
     vm: str
@@ -46,17 +48,18 @@
 
 
 class KeeperRef(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The entry VM that speaks to a target.
+    """The keeper of a target.
 
     Attributes:
         vm: Identifier of the entry VM.
-        boot: Identifier of the daemon's run on that VM. A restarted daemon has
-            forgotten what it granted and must become keeper anew.
-        fence: Rises with every change of keeper of this target.
-        former: Replaced keepers that were not known to be silent when the
-            next one was named.
-        lost: Whether the target has not answered for as long as a grant
-            lasts. Advice for placement; it proves nothing.
+        boot: Identifier of the daemon's incarnation on that VM. A restarted
+            daemon has lost its record of grants and must become keeper again.
+        fence: Fencing token that increases with every keeper change of this
+            target.
+        former: Replaced keepers that may still have been sending when the next
+            one was set.
+        lost: Whether the target has not responded for the duration of a
+            grant. This is a hint for placement, not a proof of release.
     """
 
     vm: str
@@ -72,9 +75,10 @@
     Attributes:
         service: Name of the service.
         index: Number of the block within the service, from 0.
-        version: Rises by one with each change; owners take it as their fence.
-        slices: The slices in order; empty for a service not divided by key.
-        keepers: Target to keeper.
+        version: Increases by one with each change. The fence of a new owner is
+            the version that sets it.
+        slices: The slices in order; empty for a service not sharded by key.
+        keepers: Target to its keeper.
     """
 
     service: str
@@ -85,31 +89,31 @@
 
     @property
     def id(self) -> "BlockId":
-        """Service and index."""
+        """Identifier of the block."""
         return BlockId(self.service, self.index)
 
     def owned_by(self, target: str) -> tuple[Slice, ...]:
-        """Returns the slices that a target owns, moving ones included."""
+        """Returns the slices that a target owns, including moving ones."""
         return tuple(s for s in self.slices if s.owner == target)
 
     def reachable(self) -> set[str]:
-        """Returns the targets that have a keeper which hears them."""
+        """Returns the targets that respond to their keepers."""
         return {t for t, keeper in self.keepers.items() if not keeper.lost}
 
     def slice_at(self, first: int) -> Slice | None:
-        """Returns the slice that begins at a hash, if there is one."""
+        """Returns the slice whose first hash is given, None if none is."""
         return next((s for s in self.slices if s.first == first), None)
 
 
 class BlockId(msgspec.Struct, frozen=True, order=True):
-    """Names a block; also the last parts of its store key."""
+    """Identifier of a block, also the last two parts of its store key."""
 
     service: str
     index: int
 
 
 class Location(msgspec.Struct, frozen=True):
-    """Where a key lives according to one state of the table."""
+    """Slice and keeper of a key in one version of the table."""
 
     block: BlockId
     slice: Slice
@@ -117,25 +121,25 @@
 
 
 class _Index:
-    """The slices of one block, for look-up."""
+    """Look-up index of the slices of one block."""
 
-    __slots__ = ("block", "edges", "homes")
+    __slots__ = ("block", "locations", "starts")
 
     def __init__(self, block: Block) -> None:
         self.block = block
-        self.edges = [s.first for s in block.slices]
-        self.homes = [
+        self.starts = [s.first for s in block.slices]
+        self.locations = [
             Location(block.id, s, block.keepers.get(s.owner))
             for s in block.slices
         ]
 
 
 class Table:
-    """All known blocks of one service, indexed for look-up.
+    """Index over all cached blocks of one service.
 
-    Look-ups are two bisections with no allocation. A changed table takes over
-    the indexes of the blocks that did not change: with hundreds of blocks,
-    indexing them all for one moved slice would take a tenth of a second.
+    A look-up is two bisections without allocation. A changed table reuses the
+    indexes of unchanged blocks: with hundreds of blocks, indexing all of them
+    for one moved slice would take a tenth of a second.
     """
 
     __slots__ = ("_blocks", "_firsts", "_indexes", "_service")
@@ -146,17 +150,18 @@
         blocks: Iterable[Block],
         former: "Table | None" = None,
     ) -> None:
-        """Indexes blocks.
+        """Builds the index.
 
         Args:
             service: Name of the service.
-            blocks: All known blocks of it.
-            former: The table as it was, None for the first one.
+            blocks: All cached blocks of the service.
+            former: The previous table, whose indexes are reused; None for the
+                first one.
         """
         self._service = service
         self._blocks = {b.index: b for b in blocks}
         self._indexes: list[_Index]
-        known = (
+        reusable = (
             {id(i.block): i for i in former._indexes}  # noqa: SLF001
             if former
             else {}
@@ -166,7 +171,7 @@
             key=lambda b: b.slices[0].first,
         )
         self._firsts = [b.slices[0].first for b in ordered]
-        self._indexes = [known.get(id(b)) or _Index(b) for b in ordered]
+        self._indexes = [reusable.get(id(b)) or _Index(b) for b in ordered]
 
     @property
     def blocks(self) -> dict[int, Block]:
@@ -179,16 +184,18 @@
         return self._service
 
     def locate(self, position: int) -> Location | None:
-        """Returns the slice over a hash, None if its block is missing."""
+        """Returns the location of a hash, None if its block is missing."""
         at = bisect.bisect_right(self._firsts, position) - 1
         if at < 0:
             return None
         index = self._indexes[at]
-        home = index.homes[bisect.bisect_right(index.edges, position) - 1]
-        return home if position <= home.slice.last else None
+        location = index.locations[
+            bisect.bisect_right(index.starts, position) - 1
+        ]
+        return location if position <= location.slice.last else None
 
     def keepers(self) -> dict[str, KeeperRef]:
-        """Returns target to keeper over all blocks."""
+        """Returns a map of target to keeper over all blocks."""
         return {
             target: keeper
             for block in self._blocks.values()
@@ -197,13 +204,13 @@
 
 
 def empty_block(service: str, index: int, count: int, blocks: int) -> Block:
-    """Returns the first version of a block, with no owners yet.
+    """Returns the first version of a block, without owners.
 
     Args:
         service: Name of the service.
         index: Number of the block.
-        count: Slices in this block; 0 for a service not divided by key.
-        blocks: How many blocks the service has.
+        count: Slices in this block; 0 for a service not sharded by key.
+        blocks: Number of blocks of the service.
     """
     first, last = keys.even_ranges(blocks)[index]
     ranges = keys.even_ranges(count, first, last) if count else []
@@ -211,51 +218,53 @@
 
 
 def check_successor(old: Block, new: Block) -> result.Result[Block, str]:
-    """Checks the rules that every change of a block keeps.
+    """Checks the invariants that every change of a block must preserve.
 
-    The version rises by one, the slices cover the same range without a gap,
-    no slice's fence falls and a changed owner has a higher fence, no keeper's
-    fence falls.
+    The version increases by one. The slices cover the same range without gaps
+    or overlaps. No slice fence decreases, and a new owner has a new fence. No
+    keeper fence decreases, and a new keeper has a new fence.
 
     Args:
         old: The block before the change.
         new: The block after it.
 
     Returns:
-        The new block, or the rule that it breaks.
+        The new block, or the invariant that it violates.
     """
     if new.version != old.version + 1:
-        return result.Err("version does not rise by one")
-    if not _same_cover(old, new):
+        return result.Err("version does not increase by one")
+    if not _covers_same_range(old, new):
         return result.Err("slices leave a gap or overlap")
-    before = Table(old.service, [old])
+    old_table = Table(old.service, [old])
     for piece in new.slices:
-        home = before.locate(piece.first)
-        if home is None or piece.fence < home.slice.fence:
-            return result.Err("a slice fence falls")
-        if piece.owner != home.slice.owner and piece.fence != new.version:
+        location = old_table.locate(piece.first)
+        if location is None or piece.fence < location.slice.fence:
+            return result.Err("a slice fence decreases")
+        if piece.owner != location.slice.owner and piece.fence != new.version:
             return result.Err("an owner changes without a new fence")
     for target, keeper in old.keepers.items():
-        now = new.keepers.get(target)
-        if now is not None and now.fence < keeper.fence:
-            return result.Err("a keeper fence falls")
-        if now is not None and _other_keeper_same_fence(keeper, now):
+        new_keeper = new.keepers.get(target)
+        if new_keeper is not None and new_keeper.fence < keeper.fence:
+            return result.Err("a keeper fence decreases")
+        if new_keeper is not None and _changes_keeper_under_fence(
+            keeper, new_keeper
+        ):
             return result.Err("a keeper changes without a new fence")
     return result.Ok(new)
 
 
-def _other_keeper_same_fence(old: KeeperRef, new: KeeperRef) -> bool:
+def _changes_keeper_under_fence(old: KeeperRef, new: KeeperRef) -> bool:
     return old.fence == new.fence and (old.vm, old.boot) != (new.vm, new.boot)
 
 
-def _same_cover(old: Block, new: Block) -> bool:
+def _covers_same_range(old: Block, new: Block) -> bool:
     if not old.slices or not new.slices:
         return len(old.slices) == len(new.slices)
-    ends = zip(new.slices, new.slices[1:], strict=False)
+    pairs = zip(new.slices, new.slices[1:], strict=False)
     return (
         new.slices[0].first == old.slices[0].first
         and new.slices[-1].last == old.slices[-1].last
-        and all(a.last + 1 == b.first for a, b in ends)
+        and all(a.last + 1 == b.first for a, b in pairs)
     )
 
 
@@ -268,7 +277,7 @@
 
 
 def decode(value: bytes) -> result.Result[Block, str]:
-    """Reads a block from its store value; Err carries what is wrong."""
+    """Decodes a block from its store value; Err holds the parse error."""
     try:
         return result.Ok(_DECODER.decode(value))
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
--- a/packages/mimosastile-entry/src/mimosastile_entry/_calls.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_calls.py
@@ -67,7 +67,7 @@
     attempts = retries.Attempts(
         idempotent=treatment.idempotent,
         streamed=request.stream is not None,
-        divided=position is not None,
+        sharded=position is not None,
         deadline=request.deadline,
     )
     return result.Ok(Call(request, plan, treatment, position, attempts))
--- a/packages/mimosastile-entry/src/mimosastile_entry/_limits.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_limits.py
@@ -111,17 +111,17 @@
         if member is None:
             return None
         allowance = self._allowance(name)
-        allowance.arrive()
+        allowance.record_arrival()
         if self._admit(allowance, member):
             return None
-        if not allowance.may_ask(self._clock.now()):
+        if not allowance.may_request(self._clock.now()):
             return errors.Failure(errors.ErrorKind.MEMBER_LIMIT)
         for pause in _PAUSES:
             await asyncio.sleep(pause)
             await self._ask_for_more(name)
             if self._admit(allowance, member):
                 return None
-            allowance.full(self._clock.now())
+            allowance.record_refusal(self._clock.now())
         return errors.Failure(errors.ErrorKind.MEMBER_LIMIT)
 
     def leave(self, name: str) -> None:
@@ -198,7 +198,7 @@
                 continue
             needs = self._allowance(name).needs(now, self._asking[name])
             need = messages.MemberNeed(name, *needs)
-            dealer = limits.dealer(name, vms)
+            dealer = limits.allocator(name, vms)
             by_dealer[dealer].append(need)
             if dealer != self._vm:
                 # A book that is taken up again after another VM has dealt
@@ -236,7 +236,7 @@
         shares = []
         for need in message.needs:
             member = self._limited(need.member)
-            if member is None or limits.dealer(need.member, vms) != self._vm:
+            if member is None or limits.allocator(need.member, vms) != self._vm:
                 # The sender's list is another; it keeps to its floor until
                 # the lists agree.
                 continue
--- a/packages/mimosastile-entry/src/mimosastile_entry/_links.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_links.py
@@ -140,8 +140,8 @@
             chunks: The body.
         """
         async for chunk in chunks:
-            for at in range(0, len(chunk), links.CHUNK):
-                piece = chunk[at : at + links.CHUNK]
+            for at in range(0, len(chunk), links.CHUNK_BYTES):
+                piece = chunk[at : at + links.CHUNK_BYTES]
                 await self.send(load, len(piece))
                 yield piece
 
@@ -204,7 +204,7 @@
 
     def _dealer(self, region: str) -> str:
         direction = f"{self._region}/{region}"
-        return limits.dealer(direction, self._senders())
+        return limits.allocator(direction, self._senders())
 
     def _deal(self, message: messages.LinkNeeds) -> messages.LinkShare:
         if self._dealer(message.region) != self._vm:
--- a/packages/mimosastile-entry/src/mimosastile_entry/_loads.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_loads.py
@@ -64,7 +64,7 @@
         )
         self._vm = vm
         self._counters: dict[str, loads.Counter] = {}
-        self._boards: dict[str, loads.Board] = {}
+        self._boards: dict[str, loads.Aggregator] = {}
         self._heard: dict[str, tuple[str, ...]] = {}
         self._sent = 0
         self._bytes = 0
@@ -103,9 +103,9 @@
             },
         }
 
-    def board(self, service: str) -> loads.Board:
+    def board(self, service: str) -> loads.Aggregator:
         """Returns the reports about a service."""
-        return self._boards.setdefault(service, loads.Board())
+        return self._boards.setdefault(service, loads.Aggregator())
 
     def set_heard(self, heard: dict[str, tuple[str, ...]]) -> None:
         """Sets by service the targets that this VM keeps and hears."""
@@ -122,7 +122,7 @@
         )
 
         async def note() -> None:
-            counter.note(fence.position, self._clock.now() - began)
+            counter.record(fence.position, self._clock.now() - began)
 
         if isinstance(outcome, result.Ok):
             outcome.ok_value.on_close(note)
@@ -142,13 +142,13 @@
             report = messages.LoadReport(
                 self._vm,
                 service,
-                counter.take(table, wait, _SLICES_PER_TARGET * len(heard)),
+                counter.collect(table, wait, _SLICES_PER_TARGET * len(heard)),
                 heard,
             )
             await self._send(report)
 
     async def _send(self, report: messages.LoadReport) -> None:
-        planner = placement.usual_planner(
+        planner = placement.preferred_planner(
             report.service, self._membership.alive()
         )
         if planner == self._vm:
@@ -161,5 +161,5 @@
             await self._peers.call(listed, report, _CALL_SECONDS)
 
     def _take(self, report: messages.LoadReport) -> messages.Ack:
-        self.board(report.service).take(report, self._clock.now())
+        self.board(report.service).record(report, self._clock.now())
         return messages.Ack(self._vm)
--- a/packages/mimosastile-entry/src/mimosastile_entry/_planner.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_planner.py
@@ -97,7 +97,7 @@
             await asyncio.sleep(_TICK_SECONDS)
 
     async def _plan_service(self, name: str, service: config.Service) -> None:
-        usual = placement.usual_planner(name, self._membership.alive())
+        usual = placement.preferred_planner(name, self._membership.alive())
         if usual != self._vm:
             return
         table = self._state.replica.table(name)
@@ -137,7 +137,7 @@
         board = self._loads.board(name)
         now = self._clock.now()
         slices = [piece for block in blocks for piece in block.slices]
-        board.fade((piece.first for piece in slices), now)
+        board.decay((piece.first for piece in slices), now)
         candidates = self._candidates(name, slices, weights)
         owned = {piece.owner for piece in slices if piece.owner}
         if not slices or not owned <= {c.id for c in candidates}:
@@ -148,7 +148,7 @@
         if balance_plan.is_idle(
             slices, loads, weights.idle_below * service.slots
         ):
-            if not balance_plan.is_starved(slices, candidates):
+            if not balance_plan.is_underfilled(slices, candidates):
                 return
             # A new target gets its share by count.
             loads = {}
@@ -166,7 +166,7 @@
     async def _obey(self, block: tables.Block, service: config.Service) -> None:
         """Carries out the moves that operators have ordered."""
         live = set(self._fleet.fleet.live_targets(block.service))
-        plan = balance_plan.ordered(
+        plan = balance_plan.plan_operator_moves(
             block.slices, service.moves, live & block.reachable()
         )
         await self._carry_out(block, plan)
@@ -193,7 +193,7 @@
         weights: config.Placement,
     ) -> list[balance_plan.Candidate]:
         now = self._clock.now()
-        heard = self._loads.board(name).heard(now)
+        heard = self._loads.board(name).responding_targets(now)
         owning = {piece.owner for piece in slices if piece.owner}
         live = self._fleet.fleet.live_targets(name)
         for target in heard & set(live):
@@ -213,7 +213,9 @@
         since = self._cold_since.get(target)
         if since is None:
             return 1.0
-        return balance_plan.ramp(self._clock.now() - since, weights.ramp)
+        return balance_plan.slow_start_capacity(
+            self._clock.now() - since, weights.ramp
+        )
 
     async def _create_blocks(
         self,
@@ -222,7 +224,7 @@
         blocks: dict[int, tables.Block],
     ) -> None:
         count = service.slices if service.key else 0
-        for index in placement.needs_blocks(service.blocks, blocks):
+        for index in placement.missing_blocks(service.blocks, blocks):
             self._planned += 1
             await self._state.create(
                 tables.empty_block(name, index, count, service.blocks)
@@ -251,11 +253,11 @@
         ]
         # Before the first reports nothing is known of load.
         plan = (
-            balance_plan.rehome(slices, board.loads, heard, homeless)
+            balance_plan.reassign(slices, board.loads, heard, homeless)
             if heard
             else {
                 first: target
-                for first, target in placement.spread(block, ready).items()
+                for first, target in placement.plan_owners(block, ready).items()
                 if first in homeless
             }
         )
--- a/packages/mimosastile-entry/src/mimosastile_entry/_propagation.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_propagation.py
@@ -235,7 +235,7 @@
         replica = self._state.replica
         pull, former = replica.pull(self._vm), dict(replica.blocks)
         self._state.take(batch)
-        delta = replica.slimmed(replica.delta(self._vm, pull), former)
+        delta = replica.with_changes(replica.delta(self._vm, pull), former)
         if _numbers(delta):
             self._tellings.start(self._tell_zone(delta))
 
--- a/packages/mimosastile-entry/src/mimosastile_entry/_proving.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_proving.py
@@ -102,7 +102,7 @@
             return None
         lost = _kept.is_unheard(state, self._clock.now())
         note = functools.partial(
-            moves.note_lost,
+            moves.record_lost,
             target=state.target,
             keeper_fence=state.keeper_fence,
             lost=lost,
@@ -157,7 +157,9 @@
         finally:
             self._settling.discard(at)
 
-    def _chooser(self, block: tables.Block, lost: str) -> placement.Chooser:
+    def _chooser(
+        self, block: tables.Block, lost: str
+    ) -> placement.OwnerChooser:
         live = set(self._fleet.fleet.live_targets(block.service)) - {lost}
         now = self._clock.now()
         unheard = {
@@ -165,4 +167,6 @@
             for (at, target), kept in self._kept.items()
             if at == block.id and _kept.is_unheard(kept.state, now)
         }
-        return placement.chooser(block, (live & block.reachable()) - unheard)
+        return placement.owner_chooser(
+            block, (live & block.reachable()) - unheard
+        )
--- a/packages/mimosastile-entry/src/mimosastile_entry/_roles.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_roles.py
@@ -269,12 +269,12 @@
         """Drops former keepers that can do nothing any more."""
         settled = self._keeper.settled_fences(at)
         block = self._state.replica.blocks[at]
-        due = moves.forget_former(block, settled)
+        due = moves.drop_former_keepers(block, settled)
         now = self._clock.now()
         if due.is_err() or now < self._retry_at.get(at, 0.0):
             return
         outcome = await self._state.change(
-            at, lambda b: moves.forget_former(b, settled)
+            at, lambda b: moves.drop_former_keepers(b, settled)
         )
         if outcome.is_err():
             self._retry_at[at] = now + _RETRY_SECONDS
--- a/packages/mimosastile-entry/src/mimosastile_entry/_router.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_router.py
@@ -58,7 +58,7 @@
         "needs",
     )
 
-    def __init__(self, vm: str, place: balancing.Place) -> None:
+    def __init__(self, vm: str, place: balancing.Locality) -> None:
         """Makes the service.
 
         Args:
--- a/packages/mimosastile-entry/src/mimosastile_entry/_sending.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_sending.py
@@ -94,7 +94,7 @@
                 return _calls.failed(errors.ErrorKind.QUEUE_TIMEOUT)
             if request.stream is not None:
                 request.stream = self._links.paced(load, request.stream)
-        call.attempts.began = True
+        call.attempts.send_started = True
         return await self._peers.forward(keeper, request)
 
     async def send(
@@ -108,7 +108,7 @@
         )
         if refused is not None:
             return result.Err(refused)
-        call.attempts.began = True
+        call.attempts.send_started = True
         began = self._clock.now()
         sent: _calls.SendResult | None = None
         try:
--- a/packages/mimosastile-entry/src/mimosastile_entry/_state.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_state.py
@@ -320,13 +320,13 @@
         """
         self._replica.merge(delta)
         sender = self._fleet.peers().get(delta.vm)
-        if self._replica.lacks(delta) and sender is not None:
+        if self._replica.misses_blocks(delta) and sender is not None:
             self._tellings.start(self._catch_up(sender, delta))
 
     async def _catch_up(self, peer: fleet.Vm, delta: messages.Delta) -> None:
         for _ in range(_CATCH_UP_TRIES):
             await self.learn_from(peer)
-            if not self._replica.lacks(delta):
+            if not self._replica.misses_blocks(delta):
                 return
             await asyncio.sleep(_ASK_SECONDS)
 
--- a/packages/mimosastile-entry/src/mimosastile_entry/_targeting.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_targeting.py
@@ -36,7 +36,7 @@
 
     def __init__(
         self,
-        here: balancing.Place,
+        here: balancing.Locality,
         state: _state.StateService,
         listed: _fleet.FleetService,
         clock: ports.ClockPort,
@@ -103,13 +103,13 @@
         pool = self._pools.get(call.plan.name)
         if pool is not None:
             now = self._clock.now()
-            pool.balancer.answered(hop.target.id, now - began, now)
+            pool.balancer.record_response(hop.target.id, now - began, now)
 
     def failed(self, call: _calls.Call, hop: _calls.Hop) -> None:
         """Notes that a target was not reached or gave no answer."""
         pool = self._pools.get(call.plan.name)
         if pool is not None:
-            pool.balancer.failed(hop.target.id, self._clock.now())
+            pool.balancer.record_failure(hop.target.id, self._clock.now())
 
     def _any_target(self, call: _calls.Call) -> HopResult:
         table = self._state.replica.table(call.plan.name)
@@ -156,7 +156,7 @@
             (
                 balancing.Candidate(
                     vm.id,
-                    balancing.Place(vm.region, vm.zone),
+                    balancing.Locality(vm.region, vm.zone),
                     vm.id in live,
                 )
                 for vm in listed.targets(call.plan.name).values()
--- a/packages/mimosastile-entry/src/mimosastile_entry/daemon.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/daemon.py
@@ -72,7 +72,7 @@
         _quarantine.QuarantineService(place.id),
         _links.LinksService(place.id, place.region),
         _router.RouterService(
-            place.id, balancing.Place(place.region, place.zone)
+            place.id, balancing.Locality(place.region, place.zone)
         ),
     ]
 
--- a/packages/mimosastile-standins/src/mimosastile_standins/measures.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/measures.py
@@ -167,7 +167,7 @@
         targets = _after(targets, event)
         newer = scheme.apply(event, targets)
         loads = traces.target_loads(event.trace, newer, sorted(targets))
-        measured = balance_plan.measure(loads)
+        measured = balance_plan.measure_imbalance(loads)
         worst = max(worst, measured.worst)
         p99 = max(p99, measured.p99)
         pairs = list(zip(owners, newer, strict=True))
--- a/packages/mimosastile-standins/src/mimosastile_standins/policy.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/policy.py
@@ -342,7 +342,7 @@
     ) -> dict[tuple[str, str], balancing.Balancer]:
         made = {
             (vm.id, service): balancing.Balancer(
-                balancing.Place(vm.region, vm.zone)
+                balancing.Locality(vm.region, vm.zone)
             )
             for vm in self._entries
             for service in self._deployment.backends
@@ -354,7 +354,7 @@
 
     def _refresh(self, service: str) -> None:
         candidates = [
-            balancing.Candidate(t, balancing.Place(f.vm.region, f.vm.zone))
+            balancing.Candidate(t, balancing.Locality(f.vm.region, f.vm.zone))
             for t, f in self.targets.items()
             if f.vm.service == service
         ]
@@ -379,7 +379,7 @@
         allowance = self._allowances[vm.id, load.member]
         if not self._strategy.limited:
             return await self._route(vm, load, record)
-        allowance.arrive()
+        allowance.record_arrival()
         admitted = self._admit(allowance, member)
         if not admitted and not await self._ask(vm, load.member):
             return errors.ErrorKind.MEMBER_LIMIT
@@ -403,7 +403,7 @@
         attempts = retries.Attempts(
             idempotent=load.idempotent,
             streamed=False,
-            divided=service.key is not None,
+            sharded=service.key is not None,
             deadline=record.began + load.deadline,
         )
         while True:
@@ -459,9 +459,11 @@
         await asyncio.sleep(delay)
         balancer.end(target)
         if kind is None:
-            balancer.answered(target, virtual.now() - began, virtual.now())
+            balancer.record_response(
+                target, virtual.now() - began, virtual.now()
+            )
         elif kind is not errors.ErrorKind.OVERLOADED:
-            balancer.failed(target, virtual.now())
+            balancer.record_failure(target, virtual.now())
         return kind
 
     async def _at_keeper(
@@ -504,15 +506,17 @@
     async def _ask(self, vm: fleet.Vm, name: str) -> bool:
         """Asks the member's dealer for a larger share, as the daemon does."""
         allowance = self._allowances[vm.id, name]
-        if not allowance.may_ask(virtual.now()):
+        if not allowance.may_request(virtual.now()):
             return False
-        at = self._entries[self._names.index(limits.dealer(name, self._names))]
+        at = self._entries[
+            self._names.index(limits.allocator(name, self._names))
+        ]
         for pause in _ASK_PAUSES:
             await asyncio.sleep(pause + 2 * self._delay(vm, at))
             self._report(vm.id, name, 1)
             if self._admit(allowance, self._members[name]):
                 return True
-            allowance.full(virtual.now())
+            allowance.record_refusal(virtual.now())
         return False
 
     def _admit(
--- a/packages/mimosastile-standins/src/mimosastile_standins/policy_link.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/policy_link.py
@@ -79,10 +79,10 @@
 
     async def download(self, sender: int) -> None:
         """Sends an archive without end."""
-        window = asyncio.Semaphore(_WINDOW // links.CHUNK)
+        window = asyncio.Semaphore(_WINDOW // links.CHUNK_BYTES)
         while True:
             await window.acquire()
-            await self._wait(sender, links.CHUNK, config.Priority.BULK)
+            await self._wait(sender, links.CHUNK_BYTES, config.Priority.BULK)
             asyncio.ensure_future(self._chunk(window))
 
     async def desk(self) -> None:
@@ -95,10 +95,10 @@
         await asyncio.gather(*calls)
 
     async def _chunk(self, window: asyncio.Semaphore) -> None:
-        await self._pipe.carry(links.CHUNK)
+        await self._pipe.carry(links.CHUNK_BYTES)
         window.release()
         if virtual.now() >= self._from:
-            self.outcome.bulk_bytes += links.CHUNK
+            self.outcome.bulk_bytes += links.CHUNK_BYTES
 
     async def _page(self) -> None:
         began = virtual.now()
--- a/packages/mimosastile-standins/src/mimosastile_standins/traces.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/traces.py
@@ -104,7 +104,7 @@
         self._keep()
         self._change(
             moves.start_moves(
-                self._block, placement.spread(self._block, self._places)
+                self._block, placement.plan_owners(self._block, self._places)
             ).unwrap()
         )
 
@@ -133,13 +133,13 @@
         """A target's grants lapse; its keeper names new owners."""
         self._places.pop(target)
         proof = moves.Lapsed(target, self._block.keepers[target].fence)
-        chosen = placement.chooser(self._block, list(self._places))
+        chosen = placement.owner_chooser(self._block, list(self._places))
         self._change(moves.finish_moves(self._block, proof, chosen).unwrap())
 
     def leave(self, target: str, trace: Sequence[baselines.Key]) -> None:
         """A target is drained: moves are planned, acknowledged, finished."""
         self._places.pop(target)
-        plan = balance_plan.rehome(
+        plan = balance_plan.reassign(
             self._block.slices,
             slice_loads(self._block, trace),
             self._candidates(),
@@ -175,7 +175,9 @@
                 target,
                 zone,
                 region,
-                balance_plan.ramp(self._cold.get(target, 99), _RAMP_ROUNDS),
+                balance_plan.slow_start_capacity(
+                    self._cold.get(target, 99), _RAMP_ROUNDS
+                ),
             )
             for target, (region, zone) in self._places.items()
         ]
--- a/tests/core/test_balance_plan.py
+++ b/tests/core/test_balance_plan.py
@@ -1,4 +1,4 @@
-"""Tests of the planning of moves and splits."""
+"""Tests of load rebalancing by moves and splits of slices."""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -46,17 +46,17 @@
 
 
 class TestLevel:
-    """Uneven load is evened out with few moves."""
+    """An uneven load is levelled with few moves."""
 
-    def test_even_load_is_left_alone(self):
-        """Nothing moves, nothing is split."""
+    def test_even_load_gives_an_empty_plan(self):
+        """The plan has neither moves nor splits."""
         slices = _slices(["a", "b"] * 8)
         loads = _loads(slices, [1.0] * 16)
         made = balance_plan.plan(slices, loads, _candidates("a", "b"), WEIGHTS)
         assert made == balance_plan.Plan()
 
     def test_new_target_gets_its_share(self):
-        """It waits for no other target to leave."""
+        """Slices move to it although no other target leaves."""
         slices = _slices(["a", "b"] * 12)
         loads = _loads(slices, [1.0] * 24)
         made = balance_plan.plan(
@@ -66,7 +66,7 @@
         assert len(made.moves) == 8
 
     def test_cold_target_gets_a_smaller_share(self):
-        """It ramps up."""
+        """Its capacity is reduced during the slow start."""
         slices = _slices(["a", "b"] * 12)
         loads = _loads(slices, [1.0] * 24)
         cold = _candidates("a", "b", "c", c=0.25)
@@ -74,7 +74,7 @@
         assert 1 <= len(made.moves) <= 4
 
     def test_moves_in_flight_are_bounded(self):
-        """Those under way count."""
+        """Moves already in flight count toward the bound."""
         slices = list(_slices(["a"] * 40))
         slices[0] = tables.Slice(slices[0].first, slices[0].last, "a", 2, "b")
         weights = config.Placement(moves_in_flight=5)
@@ -83,7 +83,7 @@
         assert len(made.moves) == 4
 
     def test_unlisted_owner_loses_its_slices(self):
-        """The emptiest target gets the largest first."""
+        """The largest slices go first, each to the least filled target."""
         slices = _slices(["a", "gone", "b", "gone"])
         loads = _loads(slices, [1.0, 3.0, 3.0, 1.0])
         made = balance_plan.plan(slices, loads, _candidates("a", "b"), FREE)
@@ -91,25 +91,25 @@
         assert len(made.moves) == 2
 
     @pytest.mark.parametrize("noise", [0.0, 0.01, 0.02])
-    def test_chance_moves_nothing(self, noise):
-        """Three keys on two targets are as even as they can be."""
+    def test_noise_moves_nothing(self, noise):
+        """Three slices on two targets cannot be levelled further."""
         slices = _slices(["a", "a", "b"])
         loads = _loads(slices, [1.0 - noise, 1.0, 1.0 - 2 * noise])
         made = balance_plan.plan(slices, loads, _candidates("a", "b"), FREE)
         assert made.moves == {}
 
-    def test_slice_that_has_just_moved_rests(self):
-        """Whatever its load is now."""
+    def test_recently_moved_slice_stays(self):
+        """It is excluded from the plan at any load."""
         slices = _slices(["a"] * 4)
         loads = _loads(slices, [1.0] * 4)
-        resting = {s.first for s in slices[:3]}
+        recently_moved = {s.first for s in slices[:3]}
         made = balance_plan.plan(
-            slices, loads, _candidates("a", "b"), FREE, resting
+            slices, loads, _candidates("a", "b"), FREE, recently_moved
         )
         assert set(made.moves) <= {slices[3].first}
 
     def test_own_zone_is_preferred(self):
-        """Among targets that are as good."""
+        """It goes before another zone among targets with enough headroom."""
         slices = _slices(["a"] * 6 + ["b"] * 3 + ["c"] * 3)
         places = [
             balance_plan.Candidate("a", "z1", "r1"),
@@ -125,7 +125,7 @@
         ("churn", "moves_made"), [(1.0, True), (200, False)]
     )
     def test_weights_decide(self, churn, moves_made):
-        """A service that dreads churn keeps a slightly uneven load."""
+        """With a high churn weight a slight imbalance is kept."""
         slices = _slices(["a"] * 10 + ["b"] * 7)
         loads = _loads(slices, [1.0] * 17)
         weights = config.Placement(churn=churn)
@@ -137,8 +137,8 @@
         st.lists(st.floats(0.01, 10), min_size=8, max_size=60),
         st.integers(2, 6),
     )
-    def test_never_makes_the_fullest_fuller(self, weights, count):
-        """Whatever the loads are."""
+    def test_maximum_load_never_increases(self, weights, count):
+        """Property test over random loads and target counts."""
         names = [f"t{i}" for i in range(count)]
         slices = _slices([names[i * i % count] for i in range(len(weights))])
         loads = _loads(slices, weights)
@@ -151,12 +151,12 @@
 class TestHotKey:
     """One key takes a large part of all requests.
 
-    Its slice cannot be moved without making another target as full, and the
-    other keys beside it wait with it.
+    Moving its slice would overload another target in the same way, and the
+    other keys of the slice would become unavailable with it.
     """
 
     def test_becomes_a_slice_of_its_own(self):
-        """The cut is made around the key."""
+        """The slice is split on both sides of the key."""
         slices = _slices(["a", "b"] * 2)
         loads = _loads(slices, [1.0] * 4)
         piece = slices[0]
@@ -165,8 +165,8 @@
         made = balance_plan.plan(slices, loads, _candidates("a", "b"), WEIGHTS)
         assert made.splits[piece.first] == (piece.first, hot, hot + 1)
 
-    def test_new_target_gets_a_share_beside_it(self):
-        """The target that the key fills gives nothing and stops nothing."""
+    def test_new_target_gets_slices_despite_a_hot_key(self):
+        """The target with the hot key gives none and does not end the plan."""
         slices = _slices(["a"] + ["b"] * 8 + ["c"] * 8)
         loads = _loads(slices, [50.0] + [1.0] * 16)
         names = _candidates("a", "b", "c", "fresh")
@@ -175,61 +175,67 @@
         assert slices[0].first not in made.moves
 
     def test_slice_without_a_hot_key_is_halved(self):
-        """So that one half can move."""
+        """One half can then be moved."""
         slices = _slices(["a", "b"] * 2)
         loads = _loads(slices, [9.0, 1.0, 1.0, 1.0])
         made = balance_plan.plan(slices, loads, _candidates("a", "b"), WEIGHTS)
         assert len(made.splits[slices[0].first]) == 2
 
 
-class TestOrdered:
-    """Operators order a key to a target."""
+class TestOperatorMoves:
+    """An operator orders the move of a key to a target."""
 
-    def test_key_is_cut_out_then_moved(self):
-        """Once it is where they want it, nothing more is planned."""
+    def test_key_is_split_off_then_moved(self):
+        """The split comes first; the next plan moves the key alone."""
         block = tables.Block("s", 0, 5, _slices(["a", "b"]))
-        first = balance_plan.ordered(block.slices, {"k": "b"}, {"a", "b"})
-        other = balance_plan.ordered(block.slices, {"k": "a"}, {"a", "b"})
+        first = balance_plan.plan_operator_moves(
+            block.slices, {"k": "b"}, {"a", "b"}
+        )
+        other = balance_plan.plan_operator_moves(
+            block.slices, {"k": "a"}, {"a", "b"}
+        )
         cut, wanted = (first, "b") if first.splits else (other, "a")
         after = splits.split(block, cut.splits).unwrap()
-        plan = balance_plan.ordered(after.slices, {"k": wanted}, {"a", "b"})
+        plan = balance_plan.plan_operator_moves(
+            after.slices, {"k": wanted}, {"a", "b"}
+        )
         at = keys.key_hash("k")
         assert plan.moves == {at: wanted}
         assert plan.splits == {}
 
     def test_target_that_is_not_ready_gets_nothing(self):
-        """The order waits."""
+        """The order stays pending."""
         slices = _slices(["a", "a"])
-        made = balance_plan.ordered(slices, {"k": "b"}, {"a"})
+        made = balance_plan.plan_operator_moves(slices, {"k": "b"}, {"a"})
         assert made == balance_plan.Plan()
 
 
-class TestRamp:
-    """A target that has just started is cold."""
+class TestSlowStart:
+    """The capacity of a target that has just started is reduced."""
 
     @pytest.mark.parametrize(
         ("age", "seconds", "share"),
         [(0, 30, 0.1), (15, 30, 0.5), (30, 30, 1), (99, 30, 1), (0, 0, 1)],
     )
-    def test_share_grows_with_age(self, age, seconds, share):
-        """From a tenth to the whole."""
-        assert balance_plan.ramp(age, seconds) == share
+    def test_capacity_grows_with_age(self, age, seconds, share):
+        """It grows from a tenth to the full capacity."""
+        assert balance_plan.slow_start_capacity(age, seconds) == share
 
 
-class TestMeasure:
-    """How even loads are."""
+class TestImbalance:
+    """Imbalance of the loads of targets."""
 
     def test_worst_over_mean(self):
-        """1 is even; nothing at all is even too."""
-        assert balance_plan.measure({"a": 3.0, "b": 1.0}).worst == 1.5
-        assert balance_plan.measure({}).worst == 1.0
+        """1 is even; an empty distribution counts as even."""
+        assert balance_plan.measure_imbalance({"a": 3.0, "b": 1.0}).worst == 1.5
+        assert balance_plan.measure_imbalance({}).worst == 1.0
 
 
-class TestPlannedChangeIsLegal:
-    """Plans become versions of a block that keep its rules."""
+class TestPlannedChangeIsValid:
+    """Applied plans give block versions that preserve the invariants."""
 
     def test_split_and_moves_are_successors(self):
-        """The rules of `check_successor` hold."""
+        """`check_successor` accepts each step."""
         slices = _slices(["a"] * 4 + ["b"] * 2)
         block = tables.Block("s", 0, 5, slices)
         loads = _loads(slices, [9.0, 1, 1, 1, 1, 1])
--- a/tests/core/test_differences.py
+++ b/tests/core/test_differences.py
@@ -77,9 +77,9 @@
         change = differences.between(first, second)
         delta = messages.Delta("x", changes=(change,))
         assert not copy.merge(delta)
-        assert copy.lacks(delta)
+        assert copy.misses_blocks(delta)
         copy.merge(messages.Delta("x", blocks=(second,)))
-        assert not copy.lacks(delta)
+        assert not copy.misses_blocks(delta)
 
     def test_late_change_changes_nothing(self):
         """It overtook nobody."""
@@ -89,4 +89,4 @@
         change = differences.between(BLOCK, first)
         delta = messages.Delta("x", changes=(change,))
         assert not copy.merge(delta)
-        assert not copy.lacks(delta)
+        assert not copy.misses_blocks(delta)
--- a/tests/core/test_limits.py
+++ b/tests/core/test_limits.py
@@ -1,4 +1,4 @@
-"""Tests of members' limits over all entry VMs together."""
+"""Tests of members' limits across all entry VMs."""
 
 import random
 
@@ -10,7 +10,7 @@
 
 
 class TestWaterFill:
-    """Dividing a limit by need."""
+    """Division of a limit by max-min fairness."""
 
     @pytest.mark.parametrize(
         ("wanted", "total", "base", "expected"),
@@ -23,48 +23,48 @@
         ],
     )
     def test_shares(self, wanted, total, base, expected):
-        """Small needs are met first, large ones get even shares."""
+        """Small needs are met first; larger ones get equal shares."""
         assert limits.water_fill(wanted, total, base) == expected
 
 
-class TestDealer:
-    """Who deals a member's limits."""
+class TestAllocator:
+    """Choice of the VM that allocates a member's limits."""
 
-    def test_every_vm_finds_the_same(self):
+    def test_every_vm_computes_the_same(self):
         """The order of the list does not matter."""
-        found = {limits.dealer("m", v) for v in (VMS, reversed(VMS))}
+        found = {limits.allocator("m", v) for v in (VMS, reversed(VMS))}
         assert len(found) == 1
 
     def test_members_are_spread(self):
-        """No VM deals for all."""
-        assert len({limits.dealer(f"m{n}", VMS) for n in range(50)}) > 5
+        """No VM is the allocator of all members."""
+        assert len({limits.allocator(f"m{n}", VMS) for n in range(50)}) > 5
 
 
 class _Deployment:
-    """Entry VMs that report to one dealer at random moments."""
+    """Entry VMs that report to one allocator at random times."""
 
     def __init__(self, limit, seed):
         self.limit = limit
-        self.chance = random.Random(seed)
+        self.random = random.Random(seed)
         self.now = 0.0
         self.ledger = limits.Ledger(0.0, whole=True)
         self.allowances = {vm: limits.Allowance(0.0) for vm in VMS}
 
-    def step(self, vm, wanted, cut=(), lost=0.0):
+    def step(self, vm, wanted, isolated=(), loss=0.0):
         self.now += 0.02
         allowance = self.allowances[vm]
         while allowance.in_use < wanted and allowance.admit(
             self.limit, 0.0, len(VMS), self.now
         ):
             pass
-        asking = max(wanted - allowance.in_use, 0)
+        waiting = max(wanted - allowance.in_use, 0)
         while allowance.in_use > wanted:
             allowance.release()
-        need, _ = allowance.needs(self.now, asking)
-        if vm in cut:
+        need, _ = allowance.needs(self.now, waiting)
+        if vm in isolated:
             return
         share = self.ledger.report(vm, need, self.limit, VMS, self.now)
-        if self.chance.random() >= lost:
+        if self.random.random() >= loss:
             allowance.grant(share, 0.0, self.now)
 
     @property
@@ -73,94 +73,96 @@
 
 
 class TestSum:
-    """A member's requests come through all entry VMs at once.
+    """A member's requests arrive at all entry VMs at once.
 
-    If each VM kept the limit by itself, a member would get ten times as much
-    as it pays for, at the cost of the others.
+    If each VM enforced the limit separately, a member would get ten times as
+    much as it pays for, at the cost of the others.
     """
 
     @pytest.mark.parametrize("limit", [10, 40, 200])
     def test_sum_never_exceeds_the_limit(self, limit):
-        """Also while needs change and replies are lost."""
-        made = _Deployment(limit, seed=1)
+        """The limit also holds while needs change and replies are lost."""
+        deployment = _Deployment(limit, seed=1)
         for _ in range(3000):
-            vm = made.chance.choice(VMS)
-            made.step(vm, made.chance.choice((0, 2, limit)), lost=0.3)
-            assert made.in_use <= limit
+            vm = deployment.random.choice(VMS)
+            deployment.step(
+                vm, deployment.random.choice((0, 2, limit)), loss=0.3
+            )
+            assert deployment.in_use <= limit
 
     def test_all_of_the_limit_can_be_used_through_one_vm(self):
-        """What the others do not need moves there, but for their floors."""
-        made = _Deployment(100, seed=1)
+        """Unneeded shares move there, except the guaranteed ones."""
+        deployment = _Deployment(100, seed=1)
         for _ in range(50):
             for vm in VMS:
-                made.step(vm, 1000 if vm == "e0" else 0)
-        assert made.allowances["e0"].in_use >= 55
-        assert made.in_use <= 100
+                deployment.step(vm, 1000 if vm == "e0" else 0)
+        assert deployment.allowances["e0"].in_use >= 55
+        assert deployment.in_use <= 100
 
     def test_vms_with_equal_needs_use_the_whole_limit(self):
-        """The balancer spreads callers evenly."""
-        made = _Deployment(100, seed=1)
+        """This is the usual case, as callers are balanced over the VMs."""
+        deployment = _Deployment(100, seed=1)
         for _ in range(50):
             for vm in VMS:
-                made.step(vm, 1000)
-        assert made.in_use == 100
+                deployment.step(vm, 1000)
+        assert deployment.in_use == 100
 
 
-class TestCutOff:
-    """A zone cannot reach the dealer any more.
+class TestIsolatedZone:
+    """A zone can no longer reach the allocator.
 
-    It serves its members with less; what the others get on top must not add
-    up to more than the limit.
+    It serves its members with the guaranteed shares. The sum with the shares of
+    the other zones must not exceed the limit.
     """
 
-    def test_floor_is_served_and_the_sum_holds(self):
-        """Shares lapse; the floor stays."""
-        made = _Deployment(40, seed=1)
+    def test_guaranteed_share_is_served_within_the_limit(self):
+        """Shares expire; the guaranteed share remains."""
+        deployment = _Deployment(40, seed=1)
         for _ in range(40):
             for vm in VMS:
-                made.step(vm, 1000)
-        cut = set(VMS[:3])
+                deployment.step(vm, 1000)
+        isolated = set(VMS[:3])
         for _ in range(100):
             for vm in VMS:
-                idle = vm in cut and made.chance.random() < 0.5
-                made.step(vm, 0 if idle else 1000, cut)
-                assert made.in_use <= 40
-        for vm in cut:
-            made.step(vm, 1000, cut)
-        assert all(made.allowances[vm].in_use == 2 for vm in cut)
+                idle = vm in isolated and deployment.random.random() < 0.5
+                deployment.step(vm, 0 if idle else 1000, isolated)
+                assert deployment.in_use <= 40
+        for vm in isolated:
+            deployment.step(vm, 1000, isolated)
+        assert all(deployment.allowances[vm].in_use == 2 for vm in isolated)
 
     def test_overrun_is_bounded_for_limits_below_the_number_of_vms(self):
-        """At most one for each VM that the dealer does not hear."""
-        made = _Deployment(4, seed=1)
-        cut = set(VMS[:3])
+        """At most one request for each VM without contact to the allocator."""
+        deployment = _Deployment(4, seed=1)
+        isolated = set(VMS[:3])
         for wanted in [0] * 30 + [1000] * 300:
             for vm in VMS:
-                made.step(vm, wanted, cut)
-        assert made.in_use <= 4 + len(cut)
-        assert all(made.allowances[vm].in_use == 1 for vm in cut)
+                deployment.step(vm, wanted, isolated)
+        assert deployment.in_use <= 4 + len(isolated)
+        assert all(deployment.allowances[vm].in_use == 1 for vm in isolated)
 
 
-class TestNewDealer:
-    """The dealer's VM is lost and another one begins with an empty book."""
+class TestNewAllocator:
+    """The allocator VM is lost; another one starts with an empty ledger."""
 
     def test_no_share_is_raised_while_old_ones_may_be_valid(self):
-        """The old shares are not known yet."""
-        made = _Deployment(100, seed=1)
+        """The old shares are not recorded yet."""
+        deployment = _Deployment(100, seed=1)
         for _ in range(50):
             for vm in VMS:
-                made.step(vm, 1000 if vm in VMS[:5] else 0)
-        made.ledger = limits.Ledger(made.now, whole=True)
+                deployment.step(vm, 1000 if vm in VMS[:5] else 0)
+        deployment.ledger = limits.Ledger(deployment.now, whole=True)
         for _ in range(50):
             for vm in reversed(VMS):
-                made.step(vm, 1000)
-                assert made.in_use <= 100
+                deployment.step(vm, 1000)
+                assert deployment.in_use <= 100
 
 
 class TestRate:
-    """A member sends more requests a second than it may."""
+    """A member sends requests above its rate limit."""
 
     def test_admitted_over_ten_seconds(self):
-        """The share of the rate, and one second's worth at the start."""
+        """The rate limit and one second of initial burst."""
         allowance = limits.Allowance(0.0)
         admitted = 0
         for n in range(10000):
--- a/tests/core/test_links.py
+++ b/tests/core/test_links.py
@@ -1,4 +1,4 @@
-"""Tests of the budget of the link between regions."""
+"""Tests of the bandwidth budget of the link between regions."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from mimosastile_core import limits
 from mimosastile_core import links
 
-DESK = config.Priority.INTERACTIVE
+INTERACTIVE = config.Priority.INTERACTIVE
 SUBMISSION = config.Priority.SUBMISSION
 BULK = config.Priority.BULK
 TOTAL = 1000.0
@@ -23,22 +23,22 @@
 
 
 class TestBudget:
-    """What requests and answers may take."""
+    """Bandwidth left for requests and responses."""
 
-    def test_control_traffic_is_kept_free(self):
-        """Heartbeats and tables must not wait behind downloads."""
+    def test_control_traffic_is_reserved(self):
+        """Heartbeats and tables must not queue behind downloads."""
         link = config.Link(1000, 0.9, 100)
         assert links.budget(link) == 800.0
 
 
 class TestDownloadsFillTheLink:
-    """Archive downloads would take all of the link for minutes.
+    """Archive downloads could fill the link for minutes.
 
-    An editor's page would wait behind them.
+    An editor's page would queue behind them.
     """
 
     def test_bulk_keeps_to_the_share(self):
-        """Over ten seconds, but for one chunk."""
+        """Checked over ten seconds, apart from one chunk."""
         pacer, now, sent = _pacer(), 0.0, 0
         while now < 10.0:
             pacer.grant(TOTAL, now)
@@ -47,53 +47,55 @@
             now += wait
         assert sent == pytest.approx(10 * TOTAL, rel=0.02)
 
-    def test_desk_goes_at_once_and_bulk_pays(self):
-        """The desk's bytes are taken from what downloads get."""
+    def test_interactive_bytes_go_at_once_and_delay_bulk(self):
+        """Interactive bytes are taken from the bandwidth of downloads."""
         pacer = _pacer()
         while not _wait(pacer, 100, BULK, 1.0):
             pass
-        assert _wait(pacer, 300, DESK, 1.0) == 0.0
+        assert _wait(pacer, 300, INTERACTIVE, 1.0) == 0.0
         assert _wait(pacer, 100, BULK, 1.0) > 0.3
 
-    def test_classes_wait_in_their_order(self):
-        """Submissions wait before the desk does, and bulk before them."""
+    def test_classes_wait_in_order_of_priority(self):
+        """At the same debt, bulk waits longest and interactive not at all."""
         pacer = _pacer()
         for _ in range(7):
-            _wait(pacer, 100, DESK, 0.0)
-        waits = [_wait(pacer, 1, p, 0.0) for p in (DESK, SUBMISSION, BULK)]
+            _wait(pacer, 100, INTERACTIVE, 0.0)
+        waits = [
+            _wait(pacer, 1, p, 0.0) for p in (INTERACTIVE, SUBMISSION, BULK)
+        ]
         assert waits[0] == 0.0
         assert 0.0 < waits[1] < waits[2]
 
-    def test_desk_waits_as_well_when_it_alone_is_too_much(self):
-        """A link cannot carry more than it does."""
+    def test_interactive_requests_wait_when_they_exceed_the_link(self):
+        """Their debt is bounded."""
         pacer = _pacer()
         for _ in range(30):
-            _wait(pacer, 100, DESK, 0.0)
-        assert _wait(pacer, 100, DESK, 0.0) > 0.0
+            _wait(pacer, 100, INTERACTIVE, 0.0)
+        assert _wait(pacer, 100, INTERACTIVE, 0.0) > 0.0
 
 
 class TestShares:
-    """The direction is dealt out by need."""
+    """The budget of a direction is allocated by need."""
 
-    def test_whoever_waited_asks_for_enough(self):
-        """Doubling from next to nothing would take seconds."""
+    def test_delayed_vm_requests_a_large_share(self):
+        """Doubling from a tiny share would take seconds."""
         pacer = links.Pacer(0.0)
         pacer.grant(2.0, 0.0)
         while not pacer.wait(1000, BULK, TOTAL, 1, 0.0):
             pass
         assert pacer.need(0.1).wanted >= 64 << 10
 
-    def test_lapsed_share_leaves_the_floor(self):
-        """The dealer is not reached."""
+    def test_expired_share_leaves_the_guaranteed_one(self):
+        """The allocator is unreachable."""
         pacer = links.Pacer(0.0)
         pacer.grant(TOTAL, 0.0)
         now = limits.SHARE_SECONDS + 1
-        _wait(pacer, 10000, DESK, now)
+        _wait(pacer, 10000, INTERACTIVE, now)
         wait = _wait(pacer, 1, BULK, now)
         assert wait > 10000 / TOTAL * 10
 
-    def test_busy_vm_gets_what_the_others_leave(self):
-        """Within a few reports."""
+    def test_busy_vm_gets_the_unneeded_shares(self):
+        """Its share grows within a few reports."""
         ledger = limits.Ledger(0.0)
         vms = ["a", "b", "c"]
         pacers = {vm: links.Pacer(0.0) for vm in vms}
@@ -114,9 +116,9 @@
 
 
 class TestMeter:
-    """The link is paid for by volume."""
+    """Byte counts for a link that is paid for by volume."""
 
-    def test_by_region_member_and_service(self):
+    def test_counts_by_region_member_and_service(self):
         """The names appear in the dump."""
         meter = links.Meter()
         meter.count("r", "m", "s", 5)
--- a/tests/core/test_plans.py
+++ b/tests/core/test_plans.py
@@ -1,4 +1,4 @@
-"""Tests of prepared services."""
+"""Tests of compiled service configurations."""
 
 import pytest
 
@@ -15,12 +15,12 @@
 
 
 class TestTreatment:
-    """Class and idempotency of each request."""
+    """Priority class and idempotency of each request."""
 
     @pytest.mark.parametrize("method", ["GET", "POST", "X"])
     @pytest.mark.parametrize("path", ["/", "/archive/1", "/archive/index/2"])
-    def test_same_as_the_configurations_own_reading(self, path, method):
-        """The prepared form must not change the meaning."""
+    def test_same_as_the_uncompiled_configuration(self, path, method):
+        """Compilation must not change priorities or idempotency."""
         route = config.route_for(SERVICE, path, method)
         plan = plans.compile_plans(config.Document({"s": SERVICE}), {})["s"]
         treatment = plan.treatment(path, method)
@@ -28,15 +28,15 @@
         assert treatment.idempotent == config.is_idempotent(route, method)
 
     def test_budget_survives_a_new_configuration(self):
-        """Each patch would otherwise grant a fresh burst of retries."""
+        """Otherwise each patch would grant another burst of retries."""
         former = plans.compile_plans(config.Document({"s": SERVICE}), {})
         former["s"].budget.spend()
         changed = config.Document({"s": config.Service(slots=2)})
         newer = plans.compile_plans(changed, former)
         assert newer["s"].budget is former["s"].budget
 
-    def test_invented_methods_do_not_fill_memory(self):
-        """What is remembered per method is bounded."""
+    def test_arbitrary_methods_do_not_fill_memory(self):
+        """The cache of settings per method is bounded."""
         plan = plans.compile_plans(config.Document({"s": SERVICE}), {})["s"]
         for n in range(1000):
             plan.treatment("/", f"M{n}")
--- a/tests/core/test_replica.py
+++ b/tests/core/test_replica.py
@@ -1,4 +1,4 @@
-"""Tests of the replica."""
+"""Tests of the replica of configuration and tables."""
 
 import pytest
 
@@ -16,34 +16,34 @@
 
 
 class TestForwardOnly:
-    """A lagging read or a late message brings a lower number.
+    """A stale read or a late message carries a lower version number.
 
-    Taking it would undo an accepted change, and requests would go to the
+    Applying it would undo an accepted change, and requests would go to the
     former owner of a key.
     """
 
-    @pytest.mark.parametrize(("number", "taken"), [(1, 0), (2, 0), (3, 1)])
-    def test_config_number_never_falls(self, number, taken):
-        """Only a higher number is taken."""
+    @pytest.mark.parametrize(("number", "applied"), [(1, 0), (2, 0), (3, 1)])
+    def test_config_number_never_decreases(self, number, applied):
+        """Only a higher number is applied."""
         copy = replica.Replica()
         copy.offer_config(_version(2))
-        assert copy.offer_config(_version(number)) is bool(taken)
+        assert copy.offer_config(_version(number)) is bool(applied)
         assert copy.config.number == max(2, number)
 
-    @pytest.mark.parametrize(("version", "taken"), [(1, 0), (2, 0), (3, 1)])
-    def test_block_version_never_falls(self, version, taken):
-        """Only a higher version is taken."""
+    @pytest.mark.parametrize(("version", "applied"), [(1, 0), (2, 0), (3, 1)])
+    def test_block_version_never_decreases(self, version, applied):
+        """Only a higher version is applied."""
         copy = replica.Replica()
         copy.offer_blocks((_block(2),))
-        assert copy.offer_blocks((_block(version),)) is bool(taken)
+        assert copy.offer_blocks((_block(version),)) is bool(applied)
         assert copy.table("s").blocks[0].version == max(2, version)
 
 
 class TestDelta:
-    """Peers tell each other what is newer."""
+    """Peers exchange newer versions."""
 
     def test_brings_a_peer_up_to_date(self):
-        """After one exchange both hold the same."""
+        """After one exchange both hold the same versions."""
         ahead, behind = replica.Replica(), replica.Replica()
         ahead.offer_config(_version(4))
         ahead.offer_blocks((_block(3),))
@@ -53,7 +53,7 @@
         assert behind.blocks == ahead.blocks
 
     def test_carries_nothing_to_an_equal_peer(self):
-        """An equal peer costs no block."""
+        """No block is sent to a peer with equal versions."""
         one = replica.Replica()
         one.offer_blocks((_block(3),))
         delta = one.delta("a", one.pull("b"))
--- a/tests/core/test_splits.py
+++ b/tests/core/test_splits.py
@@ -1,4 +1,4 @@
-"""Tests of splitting and joining slices."""
+"""Tests of splits and merges of slices."""
 
 from mimosastile_core import grants
 from mimosastile_core import splits
@@ -20,7 +20,7 @@
     """Parts keep owner and fence."""
 
     def test_parts_cover_the_same_range(self):
-        """And the successor keeps the rules."""
+        """`check_successor` accepts the split block."""
         after = splits.split(BLOCK, {0: (0, 4, 5)}).unwrap()
         assert tables.check_successor(BLOCK, after).is_ok()
         assert [(s.first, s.last) for s in after.slices[:3]] == [
@@ -30,40 +30,40 @@
         ]
         assert {s.fence for s in after.slices[:3]} == {3}
 
-    def test_moving_slice_is_left_whole(self):
-        """A proof may be under way that names it."""
+    def test_moving_slice_is_not_split(self):
+        """A proof of release that names it may be in flight."""
         assert splits.split(BLOCK, {10: (10, 15)}).is_err()
 
-    def test_edges_outside_are_ignored(self):
+    def test_bounds_outside_a_slice_are_ignored(self):
         """The table may have changed since the plan."""
         assert splits.split(BLOCK, {0: (0, 12), 5: (5, 7)}).is_err()
 
 
 class TestMerge:
-    """Joining parts again."""
+    """Merges of adjacent parts."""
 
-    def test_parts_of_one_slice_are_joined(self):
-        """The table is as it was before the split."""
+    def test_parts_of_one_slice_are_merged(self):
+        """The slices equal those before the split."""
         parts = splits.split(BLOCK, {0: (0, 4, 5)}).unwrap()
-        pairs = frozenset(b for _, b in splits.neighbours(parts))
+        pairs = frozenset(b for _, b in splits.mergeable_pairs(parts))
         after = splits.merge(parts, pairs).unwrap()
         assert after.slices == BLOCK.slices
         assert tables.check_successor(parts, after).is_ok()
 
-    def test_other_owner_fence_or_move_is_not_joined(self):
-        """Each of these would change who may run what."""
+    def test_other_owner_fence_or_move_is_not_merged(self):
+        """Each such merge would change which target may run a key."""
         assert splits.merge(BLOCK, frozenset({10, 20})).is_err()
 
 
 class TestSplitOfGrantedSlice:
-    """A slice is split and its second part moved before its owner hears.
+    """A slice is split and its second part moved before its owner is updated.
 
-    The owner holds a grant for the whole. If the part counted as released
+    The owner holds a grant for the whole slice. If the part counted as released
     because no grant begins with it, its keys would run on two servers.
     """
 
     def test_part_is_not_released_while_the_whole_is_granted(self):
-        """Only an acknowledged set without any overlap shows it."""
+        """Release requires an acknowledged set without any overlap."""
         kept = grants.KeptTarget(
             tables.BlockId("s", 0), "a", 1, grants.Timing(), 0.0, True
         )
--- a/tests/core/test_tables.py
+++ b/tests/core/test_tables.py
@@ -1,4 +1,4 @@
-"""Tests of tables."""
+"""Tests of ownership tables."""
 
 import msgspec
 import pytest
@@ -19,7 +19,7 @@
 
 
 class TestLocate:
-    """Looking up the owner of a hash."""
+    """Look-up of the owner of a hash."""
 
     @pytest.mark.parametrize(
         ("position", "owner"),
@@ -31,24 +31,24 @@
         ],
     )
     def test_finds_the_covering_slice(self, position, owner):
-        """Both ends of a range belong to it."""
+        """Both bounds of a range are inclusive."""
         found = tables.Table("s", [_block("a", "b")]).locate(position)
         assert found is not None
         assert found.slice.owner == owner
         assert found.keeper is not None
 
     def test_missing_block_has_no_location(self):
-        """A hash in a block that is not known yet has no owner."""
+        """A hash in a block that is not cached yet has no location."""
         block = tables.empty_block("s", 1, 4, 2)
         assert tables.Table("s", [block]).locate(0) is None
 
 
 class TestChangedTable:
-    """One block of many has changed."""
+    """A table in which one of several blocks has changed."""
 
     @pytest.mark.parametrize("changed", range(3))
-    def test_equals_a_table_made_anew(self, changed):
-        """Taking over what did not change makes no difference."""
+    def test_equals_a_newly_built_table(self, changed):
+        """Reused indexes give the same locations."""
         blocks = [tables.empty_block("s", i, 4, 3) for i in range(3)]
         former = tables.Table("s", blocks)
         first = blocks[changed].slices[0].first
@@ -64,12 +64,12 @@
 
 
 class TestCheckSuccessor:
-    """The rules that every change keeps."""
+    """The invariants that every change must preserve."""
 
     @pytest.mark.parametrize(
         ("change", "rule"),
         [
-            ({"version": 3}, "rise by one"),
+            ({"version": 3}, "increase by one"),
             ({"version": 2, "slices": ()}, "gap"),
             ({"version": 2, "slices": _block("b", "a").slices}, "new fence"),
             (
@@ -78,14 +78,14 @@
             ),
         ],
     )
-    def test_refuses_a_broken_rule(self, change, rule):
-        """The reason names the rule."""
+    def test_rejects_a_violated_invariant(self, change, rule):
+        """The error names the invariant."""
         old = _block("a", "b")
         new = msgspec.structs.replace(old, **change)
         assert rule in tables.check_successor(old, new).unwrap_err()
 
-    def test_takes_a_good_change(self):
-        """A split that keeps owner and fence is fine."""
+    def test_accepts_a_valid_change(self):
+        """A split that keeps owner and fence is valid."""
         old = _block("a", "b")
         first, second = old.slices
         middle = first.last // 2
@@ -98,14 +98,14 @@
 
 
 class TestEncoding:
-    """Store values."""
+    """Encoding of blocks as store values."""
 
     def test_round_trip(self):
-        """What is written is what is read."""
+        """A decoded block equals the encoded one."""
         block = _block("a", "b")
         assert tables.decode(tables.encode(block)).unwrap() == block
 
     @pytest.mark.parametrize("value", [b"", b"{", b"[]", b'{"service": 1}'])
     def test_damaged_value_is_an_error(self, value):
-        """Damage is reported, never raised."""
+        """A damaged value gives an Err and raises nothing."""
         assert tables.decode(value).is_err()
