--- a/packages/mimosastile-core/src/mimosastile_core/balance_plan.py
+++ b/packages/mimosastile-core/src/mimosastile_core/balance_plan.py
@@ -130,7 +130,7 @@
     slices: Sequence[tables.Slice],
     loads: Mapping[int, SliceLoad],
     candidates: Sequence[Candidate],
-    unowned: Collection[int],
+    orphaned: Collection[int],
 ) -> dict[int, str]:
     """Assigns new owners to the given slices by load.
 
@@ -138,15 +138,15 @@
         slices: All slices of a service.
         loads: First hash of a slice to its load, where reported.
         candidates: Targets that may receive slices.
-        unowned: First hashes of the slices that need a new owner.
+        orphaned: First hashes of the slices that need a new owner.
 
     Returns:
         First hash of a slice to its new target.
     """
     if not candidates:
         return {}
-    kept = [s for s in slices if s.first not in unowned]
-    moving = [s for s in slices if s.first in unowned]
+    kept = [s for s in slices if s.first not in orphaned]
+    moving = [s for s in slices if s.first in orphaned]
     assignment = _Assignment(kept, loads, candidates)
     assignment.load |= _Assignment(moving, loads, candidates).load
     return _assign(moving, assignment)
@@ -265,7 +265,7 @@
     if not candidates or not slices:
         return Plan()
     assignment = _Assignment(slices, loads, candidates)
-    moves = _assign_unowned(slices, assignment)
+    moves = _assign_orphaned(slices, assignment)
     in_flight = sum(1 for s in slices if s.next)
     budget = weights.moves_in_flight - in_flight
     fills = [assignment.fill(c.id) for c in candidates]
@@ -284,23 +284,23 @@
 """Fill below which a target receives slices although none is overloaded."""
 
 
-def _assign_unowned(
+def _assign_orphaned(
     slices: Sequence[tables.Slice], assignment: _Assignment
 ) -> dict[int, str]:
-    """Assigns slices without a candidate as owner to the emptiest targets."""
-    unowned = [
+    """Assigns slices whose owner is not a candidate."""
+    orphaned = [
         s for s in slices if (s.next or s.owner) not in assignment.by_target
     ]
-    return _assign(unowned, assignment)
+    return _assign(orphaned, assignment)
 
 
 def _assign(
-    unowned: list[tables.Slice], assignment: _Assignment
+    orphaned: list[tables.Slice], assignment: _Assignment
 ) -> dict[int, str]:
     """Assigns slices to the least filled targets, largest slice first."""
     moves: dict[int, str] = {}
     for piece in sorted(
-        unowned, key=lambda s: (-assignment.load[s.first], s.first)
+        orphaned, key=lambda s: (-assignment.load[s.first], s.first)
     ):
         receiver = min(
             assignment.by_target, key=lambda t: (assignment.fill(t), t)
@@ -367,6 +367,7 @@
     budget: int,
     excluded: set[int],
 ) -> dict[int, str]:
+    """Plans moves from overloaded targets to the least filled ones."""
     moves: dict[int, str] = {}
     slice_count = max(1, sum(map(len, assignment.by_target.values())))
     # A target that is filled by a single hot key has no slice to give. It must
--- a/packages/mimosastile-core/src/mimosastile_core/limits.py
+++ b/packages/mimosastile-core/src/mimosastile_core/limits.py
@@ -92,7 +92,7 @@
 class Ledger:
     """The allocator's record of the shares of one limit."""
 
-    __slots__ = ("_began", "_holdings", "_whole")
+    __slots__ = ("_holdings", "_started_at", "_whole")
 
     def __init__(self, now: float, *, whole: bool = False) -> None:
         """Creates an empty ledger.
@@ -104,7 +104,7 @@
             whole: Whether shares are rounded up to whole numbers, as for
                 concurrency limits.
         """
-        self._began = now
+        self._started_at = now
         self._whole = whole
         self._holdings: dict[str, _Holding] = {}
 
@@ -139,7 +139,7 @@
             # Rounding the shares of many VMs down would leave much unused.
             fair = math.ceil(fair)
         share = min(fair, limit - others)
-        if now < self._began + SHARE_SECONDS:
+        if now < self._started_at + SHARE_SECONDS:
             share = min(share, max(need.held, guaranteed))
         share = max(share, 0.0)
         self._holdings[vm].granted = share
@@ -216,12 +216,12 @@
         "_arrivals",
         "_arrivals_since",
         "_concurrency",
+        "_granted_until",
         "_offered",
         "_rate",
         "_refilled_at",
         "_refused_until",
         "_tokens",
-        "_until",
         "in_use",
     )
 
@@ -229,7 +229,7 @@
         self.in_use = 0
         self._concurrency = 0.0
         self._rate = 0.0
-        self._until = now
+        self._granted_until = now
         self._tokens = 1.0
         self._refilled_at = now
         self._offered = 0.0
@@ -291,7 +291,7 @@
         if seconds > 0:
             newest = self._arrivals / seconds
             self._offered += (newest - self._offered) * min(seconds, 1.0)
-        is_valid = now < self._until
+        is_valid = now < self._granted_until
         concurrency = Need(
             self._concurrency if is_valid else 0.0,
             self.in_use,
@@ -313,12 +313,16 @@
         """
         self._concurrency = concurrency
         self._rate = rate
-        self._until = sent_at + SHARE_SECONDS
+        self._granted_until = sent_at + SHARE_SECONDS
 
     def _share(
         self, granted: float, limit: float, count: int, now: float
     ) -> float:
-        share = granted if now < self._until else guaranteed_share(limit, count)
+        share = (
+            granted
+            if now < self._granted_until
+            else guaranteed_share(limit, count)
+        )
         return min(share, limit)
 
     def _take_token(self, rate: float, now: float) -> bool:
--- a/packages/mimosastile-core/src/mimosastile_core/links.py
+++ b/packages/mimosastile-core/src/mimosastile_core/links.py
@@ -37,12 +37,12 @@
 
     __slots__ = (
         "_granted",
+        "_granted_until",
+        "_period_started_at",
         "_rate",
         "_refilled_at",
         "_sent",
-        "_since",
         "_tokens",
-        "_until",
         "_waited",
     )
 
@@ -54,11 +54,11 @@
         """
         self._granted = 0.0
         self._rate = 0.0
-        self._until = now
+        self._granted_until = now
         self._tokens = 0.0
         self._refilled_at = now
         self._sent = 0
-        self._since = now
+        self._period_started_at = now
         self._waited = False
 
     def wait(
@@ -84,7 +84,7 @@
         """
         share = (
             self._granted
-            if now < self._until
+            if now < self._granted_until
             else limits.guaranteed_share(total, count)
         )
         rate = max(min(share, total), 1.0)
@@ -101,9 +101,9 @@
 
     def need(self, now: float) -> limits.Need:
         """Returns the report to the allocator and starts a new period."""
-        seconds = max(now - self._since, _MIN_WAIT_SECONDS)
+        seconds = max(now - self._period_started_at, _MIN_WAIT_SECONDS)
         rate = self._sent / seconds
-        granted = self._granted if now < self._until else 0.0
+        granted = self._granted if now < self._granted_until else 0.0
         # A VM whose requests had to wait could use more than its share.
         wanted = (
             2 * max(rate, granted, _MIN_WANTED_BYTES_PER_SECOND)
@@ -111,7 +111,7 @@
             else rate
         )
         self._sent = 0
-        self._since = now
+        self._period_started_at = now
         self._waited = False
         return limits.Need(granted, 0.0, wanted)
 
@@ -123,7 +123,7 @@
             sent_at: Time at which this VM sent the report, in seconds.
         """
         self._granted = rate
-        self._until = sent_at + limits.SHARE_SECONDS
+        self._granted_until = sent_at + limits.SHARE_SECONDS
 
 
 class Meter:
--- a/packages/mimosastile-core/src/mimosastile_core/loads.py
+++ b/packages/mimosastile-core/src/mimosastile_core/loads.py
@@ -42,9 +42,9 @@
         sums: dict[int, float] = collections.defaultdict(float)
         hottest: dict[int, tuple[float, int]] = {}
         for position, seconds in self._seconds.items():
-            home = table.locate(position)
-            if home is not None:
-                first = home.slice.first
+            location = table.locate(position)
+            if location is not None:
+                first = location.slice.first
                 sums[first] += seconds
                 hottest[first] = max(
                     hottest.get(first, (0.0, 0)), (seconds, position)
--- a/tests/core/test_balance_plan.py
+++ b/tests/core/test_balance_plan.py
@@ -45,7 +45,7 @@
     return held
 
 
-class TestLevel:
+class TestRebalancing:
     """An uneven load is levelled with few moves."""
 
     def test_even_load_gives_an_empty_plan(self):
--- a/tests/core/test_limits.py
+++ b/tests/core/test_limits.py
@@ -72,7 +72,7 @@
         return sum(a.in_use for a in self.allowances.values())
 
 
-class TestSum:
+class TestSumOfShares:
     """A member's requests arrive at all entry VMs at once.
 
     If each VM enforced the limit separately, a member would get ten times as
--- a/tests/core/test_loads.py
+++ b/tests/core/test_loads.py
@@ -30,8 +30,8 @@
         counter = loads.Counter()
         for position, seconds in ((1, 2.0), (3, 4.0), (12, 1.0)):
             counter.record(position, seconds)
-        taken = counter.collect(TABLE, 2.0, 1)
-        assert taken == (messages.SliceReport(0, 3.0, 3, 2.0),)
+        reports = counter.collect(TABLE, 2.0, 1)
+        assert reports == (messages.SliceReport(0, 3.0, 3, 2.0),)
 
     def test_collect_resets_the_counter(self):
         """Collected seconds are not counted again."""
