--- a/packages/mimosastile-gateway/src/mimosastile_gateway/admission_service.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/admission_service.py
@@ -1,8 +1,9 @@
-"""Asking for places at contended targets, and giving them as a target's gate.
+"""Admission control for contended targets: requesting and granting permits.
 
-Only places are asked for and given back at a gate; requests go from their own
-VM to the target as always. So a gate that dies takes no request along: those
-that wait ask elsewhere, and those that run are not concerned.
+The gate of a target is the VM that runs its admission queue. Only permits are
+requested from and returned to a gate; requests go from their own VM directly to
+the target. So a gate that crashes takes no request with it: waiting requests
+ask elsewhere, and running ones are not affected.
 """
 
 import asyncio
@@ -18,42 +19,44 @@
 from mimosastile_gateway import datagrams
 from mimosastile_gateway import settings
 
-_ANSWER_SECONDS = 0.2
-"""Longest wait for a gate's word, several times the way to another region and
-back; then it is asked once more, as datagrams may be lost."""
-_TRIES = 2
-"""Questions without any word after which a gate is taken for lost."""
-_AGAIN_SECONDS = 0.5
-"""Time after which a request that waits asks again, for the case that the
-decision was lost."""
-_DONE_SECONDS = 0.01
-"""Time for which places that are given back are gathered. The few requests
-that wait at the target itself cover it."""
-_LEAST_PAUSE = 0.002
-"""Shortest time until a limit lets the next request go."""
-_IDLE_QUEUES = 512
-"""Targets whose queues are kept though nothing waits there; what they have
-learned of a target's speed is of use when it is contended again."""
-
-
-_NUMBERS = 1 << 30
-"""Requests are numbered from somewhere below this."""
+_RESPONSE_TIMEOUT_SECONDS = 0.2
+"""Longest wait for a gate's first response, several round trips to another
+region. Then the request is repeated, as datagrams may be lost."""
+_MAX_UNANSWERED_REQUESTS = 2
+"""Consecutive requests without any response after which a gate counts as
+lost."""
+_DECISION_TIMEOUT_SECONDS = 0.5
+"""Time after which a waiting request asks again, in case the decision was
+lost."""
+_DONE_BATCH_SECONDS = 0.01
+"""Time for which returned permits are batched. The few requests that wait at
+the target itself cover this delay."""
+_MIN_PACING_WAIT_SECONDS = 0.002
+"""Shortest wait for a rate limit to allow the next request."""
+_QUEUE_PRUNE_THRESHOLD = 512
+"""Number of targets from which idle queues are dropped. Below it they are kept:
+what they have measured of a target's speed is of use when it is contended
+again."""
+
+
+_MAX_FIRST_NUMBER = 1 << 30
+"""Upper bound of the random first request number."""
 
 
 class ChannelPort(Protocol):
-    """The way to other VMs."""
+    """Datagram connection to other VMs."""
 
     def send(self, address: str, message: datagrams.Message) -> None:
-        """Sends a message; it may be lost."""
+        """Sends a message, which may be lost."""
 
 
 class Permit:
-    """A place at a target.
+    """A permit to send one request to a target.
 
     Attributes:
-        gate: Address of the VM that gave it.
+        gate: Address of the VM that granted it.
         target: The target.
-        number: Tells this VM's requests apart.
+        number: Number of the request, unique within this VM.
     """
 
     __slots__ = ("gate", "number", "target")
@@ -65,76 +68,81 @@
 
 
 class AdmissionService:
-    """Both sides of admission to contended targets.
+    """Requests permits from gates, and grants them as a gate.
 
     Attributes:
-        address: Where this VM hears its peers.
-        stopping: Whether it takes no further requests as a gate.
+        address: Address at which this VM receives messages of its peers.
+        stopping: Whether this VM, as a gate, takes no further requests.
     """
 
     __slots__ = (
         "_cluster",
         "_channel",
         "_clock",
-        "_done",
-        "_numbers",
-        "_paced",
-        "_pending",
-        "_places",
+        "_done_batches",
+        "_last_number",
+        "_paced_targets",
+        "_pending_decisions",
+        "_permit_counts",
         "_queues",
         "_settings",
-        "_waiting",
+        "_waiting_counts",
         "address",
         "stopping",
     )
 
     def __init__(
         self,
-        configured: settings.GatewaySettings,
+        gateway_settings: settings.GatewaySettings,
         channel: ChannelPort,
-        known: cluster_state.ClusterState,
+        cluster: cluster_state.ClusterState,
         timer: clock.Clock,
     ) -> None:
-        """Makes one that has no place and gives none.
+        """Creates a service without permits.
 
         Args:
-            configured: Settings of this VM.
-            channel: The way to other VMs.
-            known: What this VM believes.
+            gateway_settings: Settings of this VM.
+            channel: Connection to other VMs.
+            cluster: This VM's view of the cluster.
             timer: The clock.
         """
-        self._settings = configured
+        self._settings = gateway_settings
         self._channel = channel
-        self._cluster = known
+        self._cluster = cluster
         self._clock = timer
         self._queues: dict[str, admission.AdmissionQueue] = {}
-        # Not from 0: a gate may still know places of this VM's last run.
-        self._numbers = round(_NUMBERS * timer.random())
-        self._paced: set[str] = set()
-        self._pending: dict[int, asyncio.Future[datagrams.Decision]] = {}
-        self._places: collections.Counter[tuple[str, str]] = (
+        # The first number is random: a gate may still have permits recorded of
+        # this VM's previous incarnation.
+        self._last_number = round(_MAX_FIRST_NUMBER * timer.random())
+        self._paced_targets: set[str] = set()
+        self._pending_decisions: dict[
+            int, asyncio.Future[datagrams.Decision]
+        ] = {}
+        self._permit_counts: collections.Counter[tuple[str, str]] = (
             collections.Counter()
         )
-        self._waiting: collections.Counter[str] = collections.Counter()
-        self._done: dict[str, datagrams.Done] = {}
-        self.address = configured.vm.peers
+        self._waiting_counts: collections.Counter[str] = collections.Counter()
+        self._done_batches: dict[str, datagrams.Done] = {}
+        self.address = gateway_settings.vm.peers
         self.stopping = False
 
-    def waiting(self) -> dict[str, int]:
-        """Returns this VM's requests that wait at gates, by target."""
-        return {name: count for name, count in self._waiting.items() if count}
+    def waiting_counts(self) -> dict[str, int]:
+        """Returns how many requests of this VM wait at gates, by target."""
+        return {
+            name: count for name, count in self._waiting_counts.items() if count
+        }
 
     def dump(self) -> dict[str, int]:
-        """Returns what waits at this VM as a gate, by target."""
+        """Returns how many requests wait at this VM as a gate, by target."""
         return {
             name: queue.waiting
             for name, queue in self._queues.items()
             if not queue.idle
         }
 
-    # This VM asks.
+    # Requesting permits.
 
-    async def enter(
+    async def request_permit(
         self,
         gate: str,
         target: str,
@@ -142,116 +150,118 @@
         on_time: float,
         left: float,
         work: float,
-        own: int,
+        own_requests: int,
     ) -> Permit | admission.Refusal | None:
-        """Waits until a gate gives a place or refuses one.
+        """Waits until a gate grants or refuses a permit.
 
         Args:
-            gate: Address of the VM that admits.
+            gate: Address of the gate.
             target: The target.
-            priority: The request's rank; 0 is the most urgent.
-            on_time: Seconds within which its answer is on time.
-            left: Seconds until its deadline.
-            work: Seconds that such requests run for.
-            own: Requests that this VM has at the target. A gate counts those
-                that it has not admitted itself as well.
+            priority: The request's priority; 0 is the most urgent.
+            on_time: Seconds for which a response would be on time.
+            left: Seconds until the request's deadline.
+            work: Mean run time of such requests, in seconds.
+            own_requests: Number of this VM's requests at the target. The gate
+                also counts those that it has not admitted itself.
 
         Returns:
-            The place, or the refusal; None if the gate does not answer or is
-            none.
+            The permit, or the refusal; None if the gate does not respond or is
+            not the target's gate.
         """
-        self._numbers += 1
-        number = self._numbers
+        self._last_number += 1
+        number = self._last_number
         began = self._clock.now()
-        self._waiting[target] += 1
+        self._waiting_counts[target] += 1
         verdict: admission.Verdict | None = None
         try:
-            misses = 0
-            while misses < _TRIES:
-                gone = self._clock.now() - began
-                if gone > left:
+            unanswered = 0
+            while unanswered < _MAX_UNANSWERED_REQUESTS:
+                elapsed = self._clock.now() - began
+                if elapsed > left:
                     break
-                ask = datagrams.Ask(
+                request = datagrams.Ask(
                     target,
                     number,
                     priority,
-                    round(1000 * (on_time - gone)),
-                    round(1000 * (left - gone)),
+                    round(1000 * (on_time - elapsed)),
+                    round(1000 * (left - elapsed)),
                     round(1000 * work),
-                    max(own - self._places[gate, target], 0),
+                    max(own_requests - self._permit_counts[gate, target], 0),
                 )
-                decided = await self._asked(gate, ask)
-                if decided is None:
-                    misses += 1
+                decision = await self._request_decision(gate, request)
+                if decision is None:
+                    unanswered += 1
                     continue
-                misses = 0
-                verdict = decided.verdict
+                unanswered = 0
+                verdict = decision.verdict
                 if verdict is admission.Verdict.ADMITTED:
-                    self._places[gate, target] += 1
+                    self._permit_counts[gate, target] += 1
                     return Permit(gate, target, number)
                 if verdict is admission.Verdict.REFUSED:
-                    return admission.Refusal(decided.wait / 1000)
+                    return admission.Refusal(decision.wait / 1000)
                 if verdict is None:
                     return None
             return None
         finally:
-            self._waiting[target] -= 1
+            self._waiting_counts[target] -= 1
             if verdict in (None, admission.Verdict.WAITS):
-                # A decision may still be on its way.
-                self._tell_done(gate, target, number, answered=False)
+                # A decision may still be in flight.
+                self._queue_done(gate, target, number, answered=False)
 
-    def give_back(self, place: Permit, *, answered: bool) -> None:
-        """Gives a place back.
+    def return_permit(self, permit: Permit, *, answered: bool) -> None:
+        """Returns a permit to its gate.
 
         Args:
-            place: The place.
-            answered: Whether the target has answered the request.
+            permit: The permit.
+            answered: Whether the target responded to the request.
         """
-        key = (place.gate, place.target)
-        self._places[key] -= 1
-        if not self._places[key]:
-            del self._places[key]
-        self._tell_done(
-            place.gate, place.target, place.number, answered=answered
+        key = (permit.gate, permit.target)
+        self._permit_counts[key] -= 1
+        if not self._permit_counts[key]:
+            del self._permit_counts[key]
+        self._queue_done(
+            permit.gate, permit.target, permit.number, answered=answered
         )
 
-    async def _asked(
-        self, gate: str, ask: datagrams.Ask
+    async def _request_decision(
+        self, gate: str, request: datagrams.Ask
     ) -> datagrams.Decision | None:
-        """Asks a gate; returns its last word, None if there is none."""
+        """Sends a request to a gate; returns its last decision, if any."""
         loop = asyncio.get_running_loop()
-        word = self._pending[ask.number] = loop.create_future()
-        said: datagrams.Decision | None = None
+        future = self._pending_decisions[request.number] = loop.create_future()
+        decision: datagrams.Decision | None = None
         try:
-            self._send(gate, ask)
-            async with asyncio.timeout(_ANSWER_SECONDS):
-                said = await word
-            if said.verdict is admission.Verdict.WAITS:
-                word = self._pending[ask.number] = loop.create_future()
-                async with asyncio.timeout(_AGAIN_SECONDS):
-                    said = await word
+            self._send(gate, request)
+            async with asyncio.timeout(_RESPONSE_TIMEOUT_SECONDS):
+                decision = await future
+            if decision.verdict is admission.Verdict.WAITS:
+                future = self._pending_decisions[request.number] = (
+                    loop.create_future()
+                )
+                async with asyncio.timeout(_DECISION_TIMEOUT_SECONDS):
+                    decision = await future
         except TimeoutError:
-            return said
+            return decision
         finally:
-            del self._pending[ask.number]
-        return said
+            del self._pending_decisions[request.number]
+        return decision
 
-    def _tell_done(
+    def _queue_done(
         self, gate: str, target: str, number: int, *, answered: bool
     ) -> None:
-        gathered = self._done.get(gate)
-        if gathered is None:
-            gathered = self._done[gate] = datagrams.Done({}, {})
+        batch = self._done_batches.get(gate)
+        if batch is None:
+            batch = self._done_batches[gate] = datagrams.Done({}, {})
             asyncio.get_running_loop().call_later(
-                0.0 if gate == self.address else _DONE_SECONDS,
+                0.0 if gate == self.address else _DONE_BATCH_SECONDS,
                 self._send_done,
                 gate,
             )
-        places = gathered.answered if answered else gathered.others
-        places.setdefault(target, []).append(number)
+        numbers_by_target = batch.answered if answered else batch.others
+        numbers_by_target.setdefault(target, []).append(number)
 
     def _send_done(self, gate: str) -> None:
-        self._send(gate, self._done.pop(gate))
+        self._send(gate, self._done_batches.pop(gate))
 
     def _send(self, address: str, message: datagrams.Message) -> None:
         if address == self.address:
@@ -259,87 +269,94 @@
         else:
             self._channel.send(address, message)
 
-    # This VM is asked.
+    # Granting permits.
 
     def receive(self, sender: str, message: datagrams.Message) -> None:
-        """Takes a message of a VM, or of this one."""
+        """Handles a message from another VM or from this one."""
         _receive(message, self, sender)
 
-    def decide(self, sender: str, asked: datagrams.Ask) -> None:
-        """Decides on a request and says so."""
-        queue = self._queue(asked.target)
+    def decide(self, sender: str, request: datagrams.Ask) -> None:
+        """Decides on a request for a permit and sends the decision."""
+        queue = self._queue(request.target)
         if queue is None:
-            none = datagrams.Decision(asked.number, None, 0)
-            self._send(sender, none)
+            not_admitting = datagrams.Decision(request.number, None, 0)
+            self._send(sender, not_admitting)
             return
         now = self._clock.now()
-        cold = self._cluster.cold_seconds(asked.target)
+        cold = self._cluster.cold_seconds(request.target)
         if cold:
             refused = datagrams.Decision(
-                asked.number, admission.Verdict.REFUSED, round(1000 * cold)
+                request.number, admission.Verdict.REFUSED, round(1000 * cold)
             )
             self._send(sender, refused)
             return
-        queue.pace = self._pace(asked.target)
-        ask = admission.PermitRequest(
+        queue.pace = self._rate_limiter(request.target)
+        permit_request = admission.PermitRequest(
             sender,
-            asked.number,
-            asked.priority,
-            asked.on_time / 1000,
-            asked.left / 1000,
-            max(asked.work, 0) / 1000,
-            # Fewer than none would make room at the target.
-            max(asked.held, 0),
+            request.number,
+            request.priority,
+            request.on_time / 1000,
+            request.left / 1000,
+            max(request.work, 0) / 1000,
+            # A negative number would add capacity at the target.
+            max(request.held, 0),
         )
-        self._tell([queue.ask(ask, now)])
+        self._send_decisions([queue.ask(permit_request, now)])
         if queue.waiting:
-            # Waits pass even if no place is given back.
-            self._turn(asked.target)
+            # Waits expire even if no permit is returned.
+            self._advance(request.target)
 
     def receive_decision(self, decision: datagrams.Decision) -> None:
-        """Takes a gate's word."""
-        pending = self._pending.get(decision.number)
-        if pending is not None and not pending.done():
-            pending.set_result(decision)
+        """Handles a gate's decision."""
+        future = self._pending_decisions.get(decision.number)
+        if future is not None and not future.done():
+            future.set_result(decision)
 
     def receive_done(self, sender: str, done: datagrams.Done) -> None:
-        """Takes places back."""
+        """Handles returned permits."""
         now = self._clock.now()
-        for places, answered in ((done.answered, True), (done.others, False)):
-            for target, numbers in places.items():
+        for numbers_by_target, answered in (
+            (done.answered, True),
+            (done.others, False),
+        ):
+            for target, numbers in numbers_by_target.items():
                 queue = self._queues.get(target)
                 for number in numbers if queue else ():
                     assert queue is not None
-                    self._tell(
+                    self._send_decisions(
                         queue.done(sender, number, now, answered=answered)
                     )
 
-    def _turn(self, target: str) -> None:
-        """Decides on those that wait, also when a limit lets the next go."""
+    def _advance(self, target: str) -> None:
+        """Decides on waiting requests, now and whenever a rate limit allows."""
         queue = self._queues.get(target)
         if queue is None:
             return
         now = self._clock.now()
-        queue.pace = self._pace(target)
-        self._tell(queue.turn(now))
-        if queue.pace is None or not queue.waiting or target in self._paced:
+        queue.pace = self._rate_limiter(target)
+        self._send_decisions(queue.turn(now))
+        if (
+            queue.pace is None
+            or not queue.waiting
+            or target in self._paced_targets
+        ):
             return
-        wait = max(queue.pace.wait(now), _LEAST_PAUSE)
-        self._paced.add(target)
-        asyncio.get_running_loop().call_later(wait, self._next_paced, target)
+        wait = max(queue.pace.wait(now), _MIN_PACING_WAIT_SECONDS)
+        self._paced_targets.add(target)
+        asyncio.get_running_loop().call_later(wait, self._advance_paced, target)
 
-    def _next_paced(self, target: str) -> None:
-        self._paced.discard(target)
-        self._turn(target)
+    def _advance_paced(self, target: str) -> None:
+        self._paced_targets.discard(target)
+        self._advance(target)
 
-    def _pace(self, target: str) -> limits.RateLimiter | None:
-        """Returns the pace that a target's limit sets, if it has one."""
+    def _rate_limiter(self, target: str) -> limits.RateLimiter | None:
+        """Returns the rate limiter for a target's limit, if it has one."""
         entry = self._cluster.directory.get(target)
         if entry is None:
             return None
         return self._cluster.limits.pace(target, entry.target.born)
 
-    def _tell(self, decisions: Iterable[admission.Decision]) -> None:
+    def _send_decisions(self, decisions: Iterable[admission.Decision]) -> None:
         for decision in decisions:
             self._send(
                 decision.ask.vm,
@@ -351,9 +368,9 @@
             )
 
     def _queue(self, target: str) -> admission.AdmissionQueue | None:
-        """Returns a target's queue here; None if this VM admits nobody."""
+        """Returns a target's queue; None if this VM admits none to it."""
         if self.stopping:
-            # Those that wait here still get their places.
+            # Requests that already wait here still get their permits.
             return None
         found = self._queues.get(target)
         if found is not None:
@@ -361,17 +378,17 @@
         entry = self._cluster.directory.get(target)
         if entry is None:
             return None
-        if len(self._queues) >= _IDLE_QUEUES:
+        if len(self._queues) >= _QUEUE_PRUNE_THRESHOLD:
             self._queues = {
                 name: queue
                 for name, queue in self._queues.items()
                 if not queue.idle
             }
-        beyond = self._settings.rooms.admitted
-        made = self._queues[target] = admission.AdmissionQueue(
-            entry.target.slots, beyond
+        extra_permits = self._settings.rooms.admitted
+        new_queue = self._queues[target] = admission.AdmissionQueue(
+            entry.target.slots, extra_permits
         )
-        return made
+        return new_queue
 
 
 @functools.singledispatch
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/candidates.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/candidates.py
@@ -1,7 +1,8 @@
-"""Targets that may run a request, before their load is looked at.
+"""Filters the targets that may run a request, before load balancing.
 
-Filters by place come first, then those that concern single targets: what the
-request was sent to already, cold targets, targets that cannot be reached.
+Filters by zone and region come first. Then come those that concern single
+targets: targets that the request was already sent to, cold targets, limited
+targets and those in backoff, and unreachable targets.
 """
 
 import collections
@@ -23,106 +24,110 @@
 from mimosastile_gateway import pending
 from mimosastile_gateway import settings
 
-_NO_PLACE_SECONDS = 1.0
-"""Retry-After of a request that no target may run because of its place, or
-since all leave: operators change that, others take the place of those that
-leave, and the keys of a service move within about a second."""
-_NOBODY_SECONDS = 0.5
-"""Time within which a VM that has started hears how many there are."""
+_EXCLUDED_RETRY_AFTER_SECONDS = 1.0
+"""Retry-After of a request that no target may run because of its zone or
+region, or because all targets leave. Operators change the former, new targets
+replace leaving ones, and the keys of a service move within about a second."""
+_MEMBERSHIP_DISCOVERY_SECONDS = 0.5
+"""Time within which a VM that has started learns the number of VMs."""
 
-_Key = tuple[str, tuple[str, ...]]
+_CacheKey = tuple[str, tuple[str, ...]]
 
 
 class Candidates:
-    """Filters the targets of requests."""
+    """Filters targets by zone, region, backoff, rate limit and warm-up."""
 
     __slots__ = (
         "_admission",
         "_cluster",
         "_clock",
         "_cold_sends",
-        "_count",
-        "_pools",
-        "_ready",
+        "_vm_count",
+        "_sampling_pools",
+        "_eligible_targets",
         "_balancer",
         "_settings",
     )
 
     def __init__(
         self,
-        configured: settings.GatewaySettings,
-        known: cluster_state.ClusterState,
+        gateway_settings: settings.GatewaySettings,
+        cluster: cluster_state.ClusterState,
         balancer: load_balancing.LoadBalancer,
         admission: admission_service.AdmissionService,
         timer: clock.Clock,
-        count: Callable[[], int],
+        vm_count: Callable[[], int],
     ) -> None:
-        """Makes filters that follow what a VM knows.
+        """Creates filters that follow a VM's view of the cluster.
 
         Args:
-            configured: Settings of this VM.
-            known: What this VM believes.
+            gateway_settings: Settings of this VM.
+            cluster: This VM's view of the cluster.
             balancer: Loads of targets.
-            admission: Knows this VM's address as the only sender of a target.
+            admission: Gives this VM's address, by which it is recognized as the
+                gate of a target.
             timer: The clock.
-            count: Returns how many VMs there are.
+            vm_count: Returns the number of VMs.
         """
-        self._settings = configured
-        self._cluster = known
+        self._settings = gateway_settings
+        self._cluster = cluster
         self._balancer = balancer
         self._admission = admission
         self._clock = timer
-        self._count = count
+        self._vm_count = vm_count
         self._cold_sends = warmup.SendRate()
-        self._ready: dict[_Key, list[directory.Target]] = {}
-        self._pools: dict[tuple[str, tuple[str, ...], str], sampling.Pool] = {}
-        known.subscribe(self._forget_ready)
+        self._eligible_targets: dict[_CacheKey, list[directory.Target]] = {}
+        self._sampling_pools: dict[
+            tuple[str, tuple[str, ...], str], sampling.Pool
+        ] = {}
+        cluster.subscribe(self._clear_caches)
 
-    def sent(self, target: directory.Target, *, admitted: bool) -> None:
-        """Notes a request that is sent to a target.
+    def record_send(self, target: directory.Target, *, admitted: bool) -> None:
+        """Counts a request that is sent to a target against its limits.
 
         Args:
             target: The target.
-            admitted: Whether its gate has admitted it, and counted it.
+            admitted: Whether its gate has admitted the request, and counted it.
         """
         now = self._clock.now()
         if self._cluster.cold_seconds(target.id):
             self._cold_sends.note(target.id, now)
-        pace = self._cluster.limits.pace(target.id, target.born)
-        if pace is None or admitted:
+        rate_limiter = self._cluster.limits.pace(target.id, target.born)
+        if rate_limiter is None or admitted:
             return
         gate = self._balancer.gate(target.id, now)
         if gate == self._admission.address:
-            pace.take(now)
+            rate_limiter.take(now)
         else:
-            pace.take_share(self._count(), now, alone=gate is None)
+            rate_limiter.take_share(self._vm_count(), now, alone=gate is None)
 
-    def only_limited(self, call: pending.Call) -> directory.Target | None:
-        """Returns a target if all that may run a request have named a limit.
+    def choose_limited(self, call: pending.Call) -> directory.Target | None:
+        """Returns a target if all that may run a request have a rate limit.
 
-        A request then waits for its turn at the gate of one, in place of
-        those that go where there is room.
+        The request then waits at the gate of that target. Otherwise load
+        balancing chooses among the targets that can take it now. Targets are
+        drawn at random, weighted by their limits.
 
         Args:
             call: A request without a key.
         """
-        pace = self._cluster.limits.pace
+        limiter_of = self._cluster.limits.pace
         if not self._cluster.limits.any:
             return None
         untried = self.untried(call, self._clock.now())
-        paces = {t.id: pace(t.id, t.born) for t in untried}
-        if not untried or not all(paces.values()):
+        rate_limiters = {t.id: limiter_of(t.id, t.born) for t in untried}
+        if not untried or not all(rate_limiters.values()):
             return None
 
-        def drawn(target: directory.Target) -> float:
-            found = paces[target.id]
+        def random_rate(target: directory.Target) -> float:
+            found = rate_limiters[target.id]
             return found.rate * self._clock.random() if found else 0.0
 
-        return max(untried, key=drawn)
+        return max(untried, key=random_rate)
 
-    def _forget_ready(self) -> None:
-        self._ready = {}
-        self._pools = {}
+    def _clear_caches(self) -> None:
+        self._eligible_targets = {}
+        self._sampling_pools = {}
 
     def eligible(
         self, call: pending.Call, now: float
@@ -130,7 +135,7 @@
         """Returns the targets that may run a request without a key."""
         regions = call.route.regions
         key = call.service.name, regions
-        found = self._ready.get(key)
+        found = self._eligible_targets.get(key)
         if found is not None:
             return found
         allows = self._cluster.eligibility.allows
@@ -138,13 +143,13 @@
             call.service.name, now, lambda t: allows(t.zone, regions)
         )
         if found and self._cluster.directory.is_ready(found[0].id):
-            # All are ready then. Without a ready one the choice changes with
-            # the time.
-            self._ready[key] = found
+            # All are ready then. While none is ready, the result changes with
+            # time and must not be cached.
+            self._eligible_targets[key] = found
         return found
 
     def untried(self, call: pending.Call, now: float) -> list[directory.Target]:
-        """Returns targets that a request was not sent to, or else all.
+        """Returns the targets not yet tried, or all if every one was tried.
 
         Args:
             call: The request.
@@ -153,87 +158,90 @@
         service = call.service.name
         usable = self.eligible(call, now)
         if call.service.keyed:
-            # A target without keys runs nothing.
+            # A target that owns no keys runs no requests of a keyed service.
             assignment = self._cluster.assignments.get(service)
             owners = set(assignment.owners) if assignment else set()
             usable = [t for t in usable if t.id in owners]
-        fresh = [t for t in usable if t.id not in call.tried]
-        return fresh or usable
+        not_tried = [t for t in usable if t.id not in call.tried_targets]
+        return not_tried or usable
 
-    def draw(
-        self, call: pending.Call, asked: Collection[str]
+    def sample(
+        self, call: pending.Call, found_full: Collection[str]
     ) -> list[directory.Target]:
-        """Returns targets that may run a request, at random.
+        """Returns a random sample of the targets that may run a request.
 
         Args:
             call: The request.
-            asked: Those that have just been found full.
+            found_full: Identifiers of targets that were just found full.
         """
         now = self._clock.now()
         route = call.route
         latency = route.target_latency or math.inf
         key = call.service.name, route.regions, route.name
-        drawn = self._pools.get(key)
-        if drawn is None:
-            drawn = sampling.pool(
+        pool = self._sampling_pools.get(key)
+        if pool is None:
+            pool = sampling.pool(
                 self.eligible(call, now),
                 self._settings.vm.id,
                 lambda t: self._balancer.distance(t, route.name, latency),
             )
-            if key[:2] in self._ready:
-                self._pools[key] = drawn
+            if key[:2] in self._eligible_targets:
+                self._sampling_pools[key] = pool
 
-        def unfit(target: directory.Target) -> bool:
+        def is_unavailable(target: directory.Target) -> bool:
             return (
-                target.id in asked
+                target.id in found_full
                 or self._balancer.load(target.id).rest_until > now
                 or self.send_wait(target, call) > 0
             )
 
         count = self._balancer.policy.probes
         found = sampling.sample(
-            drawn,
+            pool,
             count,
             self._clock.random,
-            lambda t: t.id in call.tried or unfit(t),
+            lambda t: t.id in call.tried_targets or is_unavailable(t),
+        )
+        return found or sampling.sample(
+            pool, count, self._clock.random, is_unavailable
         )
-        return found or sampling.sample(drawn, count, self._clock.random, unfit)
 
     def send_wait(self, target: directory.Target, call: pending.Call) -> float:
-        """Returns the seconds until this VM may send to a target by itself."""
+        """Returns the seconds until this VM may send without a permit."""
         wait = self._cold_wait(target, call)
         if self._cluster.limits.any:
             wait = max(wait, self._limit_wait(target))
         if self._cluster.backoffs.any:
-            wait = max(wait, self.rest_wait(target))
+            wait = max(wait, self.backoff_wait(target))
         return wait
 
-    def rest_wait(self, target: directory.Target) -> float:
-        """Returns for how many seconds a target wants nothing from this VM."""
+    def backoff_wait(self, target: directory.Target) -> float:
+        """Returns the seconds left of a target's backoff towards this VM."""
         backoffs = self._cluster.backoffs
         return backoffs.left(target.id, target.born, self._clock.now())
 
     def _limit_wait(self, target: directory.Target) -> float:
-        """Returns the seconds until a target's limit lets this VM send."""
-        pace = self._cluster.limits.pace(target.id, target.born)
-        if pace is None:
+        """Returns the seconds until a target's limit allows this VM to send."""
+        rate_limiter = self._cluster.limits.pace(target.id, target.born)
+        if rate_limiter is None:
             return 0.0
         now = self._clock.now()
         gate = self._balancer.gate(target.id, now)
         if gate == self._admission.address:
-            return pace.wait(now)
-        vms = self._count()
+            return rate_limiter.wait(now)
+        vms = self._vm_count()
         if vms == 1:
-            # It leads and is the sender, or knows nobody yet.
-            return _NOBODY_SECONDS
-        return pace.share_wait(vms, now, alone=gate is None)
+            # This VM leads and is the only sender, or has not received the
+            # membership yet.
+            return _MEMBERSHIP_DISCOVERY_SECONDS
+        return rate_limiter.share_wait(vms, now, alone=gate is None)
 
     def _cold_wait(self, target: directory.Target, call: pending.Call) -> float:
         """Returns the seconds until this VM may send to a cold target.
 
         Returns:
-            0 for a warm one; for a cold one, until its rate allows another
-            request, or until it is warm if another VM sends to it.
+            0 for a warm target. For a cold one, the time until its rate allows
+            another request, or until it is warm if another VM sends to it.
         """
         cold = self._cluster.cold_seconds(target.id)
         if not cold:
@@ -245,78 +253,95 @@
         return min(self._cold_sends.wait(target.id, rate, now), cold)
 
     def owner(
-        self, call: pending.Call, *, excluded: bool = False
+        self, call: pending.Call, *, include_excluded: bool = False
     ) -> directory.Target | None:
-        """Returns the owner of a request's key that may get it.
+        """Returns the owner of a request's key if it may get the request.
 
         Args:
             call: The request.
-            excluded: Whether one that may not run it because of its place is
-                returned as well.
+            include_excluded: Whether to return an owner also if its zone or
+                region excludes it.
         """
         assert call.key is not None
         owner = self._cluster.owner(call.service.name, call.key)
         if owner is None:
             return None
-        known = self._cluster.directory
-        entry = known.get(owner)
-        if entry is None or not known.may_get_work(owner, self._clock.now()):
+        target_directory = self._cluster.directory
+        entry = target_directory.get(owner)
+        if entry is None or not target_directory.may_get_work(
+            owner, self._clock.now()
+        ):
             return None
         target = entry.target
         regions = call.route.regions
-        if not excluded and self._cluster.owner_excluded(target.zone, regions):
+        if not include_excluded and self._cluster.owner_excluded(
+            target.zone, regions
+        ):
             return None
         return target
 
-    def excluded(
+    def exclusion_failure(
         self, call: pending.Call, now: float
     ) -> result.Err[errors.Failure] | None:
-        """Refuses a request that no target may get, by place or as it leaves.
+        """Refuses a request that no target may get.
+
+        All targets are excluded by their zone or region, or leave.
 
         Returns:
-            The refusal; None if some target may run it.
+            The refusal; None if any target may run the request.
         """
         regions = call.route.regions
         if call.key is not None:
-            return self._owner_excluded(call)
-        known = self._cluster.directory
+            return self._owner_exclusion_failure(call)
+        target_directory = self._cluster.directory
         if self.eligible(call, now):
             return None
-        if known.all_leave(call.service.name):
-            return _no_place(f"all targets of {call.service.name} leave")
+        if target_directory.all_leave(call.service.name):
+            return _refuse_excluded(
+                f"all targets of {call.service.name} are leaving"
+            )
         reasons = collections.Counter(
-            why.value
-            for target in known.ready(call.service.name)
+            exclusion.value
+            for target in target_directory.ready(call.service.name)
             if (
-                why := self._cluster.eligibility.exclusion(target.zone, regions)
+                exclusion := self._cluster.eligibility.exclusion(
+                    target.zone, regions
+                )
             )
         )
         if not reasons:
             return None
-        counted = ", ".join(f"{n} {why}" for why, n in reasons.items())
-        return _no_place(f"targets of {call.service.name}: {counted}")
+        summary = ", ".join(f"{n} {reason}" for reason, n in reasons.items())
+        return _refuse_excluded(
+            f"no eligible target of {call.service.name}: {summary}"
+        )
 
-    def _owner_excluded(
+    def _owner_exclusion_failure(
         self, call: pending.Call
     ) -> result.Err[errors.Failure] | None:
         """Refuses a request for a key whose owner may not run it.
 
         Returns:
-            The refusal; None if the owner may, or the key is about to move.
+            The refusal; None if the owner may run it, or the key is about to
+            move.
         """
-        owner = self.owner(call, excluded=True)
+        owner = self.owner(call, include_excluded=True)
         if owner is None:
             return None
-        why = self._cluster.owner_excluded(owner.zone, call.route.regions)
-        if why is None:
+        exclusion = self._cluster.owner_excluded(owner.zone, call.route.regions)
+        if exclusion is None:
             return None
-        evacuated = why is eligibility.Exclusion.EVACUATED
+        evacuated = exclusion is eligibility.Exclusion.EVACUATED
         if evacuated and self._cluster.eligible_owners(call.service):
             return None
-        return _no_place(f"{owner.id} in {owner.zone} is {why.value}")
+        return _refuse_excluded(
+            f"{owner.id} in {owner.zone} is {exclusion.value}"
+        )
 
 
-def _no_place(detail: str) -> result.Err[errors.Failure]:
-    """Refuses a request that none of its targets may get."""
+def _refuse_excluded(detail: str) -> result.Err[errors.Failure]:
+    """Returns the refusal of a request that none of its targets may get."""
     kind = errors.ErrorKind.NO_TARGET
-    return result.Err(errors.Failure(kind, detail, _NO_PLACE_SECONDS))
+    return result.Err(
+        errors.Failure(kind, detail, _EXCLUDED_RETRY_AFTER_SECONDS)
+    )
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/daemon.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/daemon.py
@@ -268,7 +268,7 @@
         self._stopping = True
         self._callers.stopping = True
         self._admission.stopping = True
-        self._forwarder.end_by(began + grace - _LAST_ANSWER_SECONDS)
+        self._forwarder.cap_deadlines(began + grace - _LAST_ANSWER_SECONDS)
         self._events.write("daemon", "stopping", grace=grace)
         await asyncio.gather(
             self._leader_role.hand_over(min(1.5, grace / 2)),
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
@@ -1,4 +1,4 @@
-"""Brings callers' requests to targets, and the answers back."""
+"""Forwards callers' requests to targets and returns the responses."""
 
 import asyncio
 import collections
@@ -31,7 +31,7 @@
 from mimosastile_gateway import ports
 from mimosastile_gateway import settings
 
-_HOP_BY_HOP = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
         b"content-length",
@@ -46,130 +46,135 @@
         b"upgrade",
     }
 )
-"""Headers that concern one connection only."""
+"""Hop-by-hop headers, which are never forwarded."""
 _REJECT_STATUSES = frozenset({400, 421, 429, 503})
-"""Statuses with which a target may say that it has not run a request."""
-_TURNED_AWAY = 503
-"""Status with which a target may say for how long it wants nothing."""
-_CROWDED = frozenset({errors.ErrorKind.REJECTED, errors.ErrorKind.ANSWER_LOST})
-"""Failures by which a target may show that it is full."""
-_LOGGED_BYTES = 64
-"""Bytes of an unreadable header that a log line holds."""
-_APPLY_SHARE = 0.9
-"""Part of the time within which a version has to be in force that the view of
-the configuration may be old for a request to be told that no route leads
-there."""
-_ASK_SECONDS = 0.25
-"""Longest wait for the leader's word that there is no newer version: the way to
-another region and back, ten times."""
-_FIXED_SHARE = 0.8
-_RATIO_SHARE = 0.9
-"""Parts of the bound on repeats that are used; the rest covers requests that
-are counted in another window than their repeats."""
-
-Sent = result.Result[http_server.Outgoing, errors.Failure]
+"""Statuses with which a target may report that it did not run a request."""
+_BACKOFF_STATUS = 503
+"""Status whose response may ask for a backoff (Retry-After)."""
+_OVERLOAD_KINDS = frozenset(
+    {errors.ErrorKind.REJECTED, errors.ErrorKind.ANSWER_LOST}
+)
+"""Failures that may show that a target is full."""
+_MAX_LOGGED_HEADER_BYTES = 64
+"""Longest part of an unreadable header value that is logged."""
+_MAX_CONFIGURATION_AGE_SHARE = 0.9
+"""How old the view of the configuration may be for a request to be refused for
+want of a route, as a share of the time within which a version has to be in
+force."""
+_LEADER_QUERY_TIMEOUT_SECONDS = 0.25
+"""Longest wait for the leader to confirm that there is no newer version: ten
+times the round trip to another region."""
+_FIXED_RETRY_SHARE = 0.8
+_RETRY_RATIO_SHARE = 0.9
+"""Shares of the bounds on retries that are used. The rest covers requests that
+are counted in another window than their retries."""
+
+SendResult = result.Result[http_server.Outgoing, errors.Failure]
 
 
 class Forwarder:
-    """Decides for each request where it goes, how often and what it answers."""
+    """Dispatches each request, retries it and builds the response."""
 
     __slots__ = (
-        "_allowances",
+        "_retry_budgets",
         "_cluster",
         "_calls",
         "_crashes",
         "_clock",
         "_counts",
-        "_ends",
+        "_latest_deadline",
         "_events",
         "_metrics",
-        "_names",
+        "_header_names",
         "_retry_ages",
         "_membership",
         "_dispatcher",
         "_pool",
-        "_read_notice",
+        "_read_feedback",
         "_balancer",
         "_settings",
     )
 
     def __init__(
         self,
-        configured: settings.GatewaySettings,
+        gateway_settings: settings.GatewaySettings,
         names: ports.HeaderNames,
-        read_notice: Callable[
+        read_feedback: Callable[
             [Iterable[tuple[bytes, bytes]]], target_feedback.TargetFeedback
         ],
         pool: http_client.Pool,
-        known: cluster_state.ClusterState,
+        cluster: cluster_state.ClusterState,
         balancer: load_balancing.LoadBalancer,
         own_membership: membership.Membership,
         dispatcher: dispatching.Dispatcher,
         crashes: crash_detection.CrashDetector,
-        measured: metrics.Metrics,
+        request_metrics: metrics.Metrics,
         timer: clock.Clock,
-        log: events.Events,
+        event_log: events.Events,
     ) -> None:
-        self._settings = configured
-        self._names = names
-        self._read_notice = read_notice
+        self._settings = gateway_settings
+        self._header_names = names
+        self._read_feedback = read_feedback
         self._pool = pool
-        self._cluster = known
+        self._cluster = cluster
         self._balancer = balancer
         self._membership = own_membership
-        self._metrics = measured
+        self._metrics = request_metrics
         self._clock = timer
-        self._events = log
+        self._events = event_log
         self._dispatcher = dispatcher
         self._crashes = crashes
         self._retry_ages: dict[str, caller_retries.RetryAge] = {}
-        self._allowances: dict[str, retry_budget.RetryBudget] = {}
+        self._retry_budgets: dict[str, retry_budget.RetryBudget] = {}
         self._counts: collections.Counter[str] = collections.Counter()
         self._calls: set[pending.Call] = set()
-        self._ends = math.inf
+        self._latest_deadline = math.inf
 
     def dump(self) -> dict[str, object]:
-        """Returns counts of outcomes and what waits."""
+        """Returns counts of outcomes and of requests in progress."""
         now = self._clock.now()
         return {
             "outcomes": dict(self._counts),
-            "waiting": self._dispatcher.waiting(),
+            "waiting": self._dispatcher.queue_lengths(),
             "under_way": self._balancer.own(),
             "repeats_left": {
-                name: round(left.left(now), 1)
-                for name, left in self._allowances.items()
+                name: round(budget.left(now), 1)
+                for name, budget in self._retry_budgets.items()
             },
         }
 
     async def handle(
         self, incoming: http_server.Incoming
     ) -> http_server.Outgoing:
-        """Answers a caller's request."""
-        call = self._classify(incoming)
-        if _is_unrouted(call) and not self._configuration_is_new():
-            await self._membership.ask_leader(_ASK_SECONDS)
-            call = self._classify(incoming)
-            if _is_unrouted(call) and not self._configuration_is_new():
-                call = errors.failed(errors.ErrorKind.CONFIGURATION_OLD)
-        if isinstance(call, result.Err):
-            return self._refused(None, incoming, call.err_value)
-        taken = call.ok_value
-        self._calls.add(taken)
+        """Returns the response to a caller's request."""
+        classified = self._classify(incoming)
+        if _is_unrouted(classified) and not self._configuration_is_current():
+            await self._membership.ask_leader(_LEADER_QUERY_TIMEOUT_SECONDS)
+            classified = self._classify(incoming)
+            if (
+                _is_unrouted(classified)
+                and not self._configuration_is_current()
+            ):
+                classified = errors.failed(errors.ErrorKind.CONFIGURATION_OLD)
+        if isinstance(classified, result.Err):
+            return self._refuse(None, incoming, classified.err_value)
+        call = classified.ok_value
+        self._calls.add(call)
         try:
-            return await self._forward(taken)
+            return await self._forward(call)
         finally:
-            self._calls.discard(taken)
+            self._calls.discard(call)
 
-    def end_by(self, at: float) -> None:
-        """Has all requests answered by some time, also those still to come.
+    def cap_deadlines(self, at: float) -> None:
+        """Caps the deadlines of all present and future requests.
 
-        A target that has no room for a request may keep it without a word for
-        longer than this process lives.
+        A target without a free slot may hold a request without any response for
+        longer than this process runs.
 
         Args:
-            at: The time, on the loop's clock.
+            at: The latest deadline, on the loop's clock.
         """
-        self._ends = at
+        self._latest_deadline = at
         for call in self._calls:
             if call.deadline <= at:
                 continue
@@ -177,7 +182,7 @@
             if call.timer is not None:
                 call.timer.reschedule(at - self._settings.requests.margin)
 
-    # Reading a request.
+    # Classifying a request.
 
     def _classify(
         self, incoming: http_server.Incoming
@@ -198,122 +203,133 @@
         service = configuration.services.get(name)
         if service is None:
             return errors.failed(
-                errors.ErrorKind.NO_TARGET, f"No service {name}."
+                errors.ErrorKind.NO_TARGET, f"Service {name} is not configured."
             )
-        call = self._call(incoming, route, service)
+        call = self._make_call(incoming, route, service)
         call.version = configuration.version
         return result.Ok(call)
 
-    def _configuration_is_new(self) -> bool:
-        """Whether no version is missing that has to be in force by now."""
-        bound = self._settings.bounds.configuration * _APPLY_SHARE
+    def _configuration_is_current(self) -> bool:
+        """Whether this VM has every version that has to be in force by now."""
+        bound = (
+            self._settings.bounds.configuration * _MAX_CONFIGURATION_AGE_SHARE
+        )
         age = self._cluster.configuration_age
         return age is not None and age < bound
 
-    def _call(
+    def _make_call(
         self,
         incoming: http_server.Incoming,
         route: routes.Route,
         service: routes.Service,
     ) -> pending.Call:
-        names = self._names
+        names = self._header_names
         attempt = incoming.header(names.attempt) or b""
         seconds = route.timeout
-        wait = incoming.header(names.deadline)
-        if wait is not None and wait.isdigit():
-            seconds = min(seconds, int(wait) / 1000)
+        deadline_header = incoming.header(names.deadline)
+        if deadline_header is not None and deadline_header.isdigit():
+            seconds = min(seconds, int(deadline_header) / 1000)
         call = pending.Call(
             incoming,
             route,
             service,
             attempt,
-            min(incoming.at + seconds, self._ends),
+            min(incoming.at + seconds, self._latest_deadline),
         )
-        if wait is not None and wait.isdigit():
-            known = self._retry_ages.setdefault(
+        if deadline_header is not None and deadline_header.isdigit():
+            retry_age = self._retry_ages.setdefault(
                 route.name, caller_retries.RetryAge()
             )
-            call.tried_for = known.tried_for(int(wait) / 1000)
+            call.prior_retry_seconds = retry_age.tried_for(
+                int(deadline_header) / 1000
+            )
         key = incoming.header(names.key)
         if service.keyed and _is_key(key):
             call.key = int(key or b"0")
             self._membership.asked(service.name, call.key)
-        call.head = [
+        call.header_lines = [
             name + b": " + value
             for name, value in incoming.headers
-            if name not in _HOP_BY_HOP
+            if name not in _HOP_BY_HOP_HEADERS
             and name not in (names.deadline, names.expected_target)
         ]
         call.fingerprint = _fingerprint(incoming, key)
         call.ticket = self._dispatcher.ticket(route.priority)
-        self._allowance(service.name).request(self._clock.now())
+        self._retry_budget(service.name).request(self._clock.now())
         return call
 
-    def _allowance(self, service: str) -> retry_budget.RetryBudget:
+    def _retry_budget(self, service: str) -> retry_budget.RetryBudget:
         bounds = self._settings.bounds
-        fixed = bounds.retry_fixed * _FIXED_SHARE / self._membership.count
-        found = self._allowances.get(service)
-        if found is None:
-            found = self._allowances[service] = retry_budget.RetryBudget(
-                bounds.retry_ratio * _RATIO_SHARE, bounds.retry_window, fixed
+        fixed = bounds.retry_fixed * _FIXED_RETRY_SHARE / self._membership.count
+        budget = self._retry_budgets.get(service)
+        if budget is None:
+            budget = self._retry_budgets[service] = retry_budget.RetryBudget(
+                bounds.retry_ratio * _RETRY_RATIO_SHARE,
+                bounds.retry_window,
+                fixed,
             )
-        found.set_fixed(fixed)
-        return found
+        budget.set_fixed(fixed)
+        return budget
 
-    # Trying.
+    # Attempts.
 
     async def _forward(self, call: pending.Call) -> http_server.Outgoing:
         last: errors.Failure | None = None
         while True:
             if self._crashes.held(call.fingerprint, self._clock.now()):
                 held = errors.Failure(errors.ErrorKind.HELD_BACK)
-                failure = _final(call, last, held)
-                return self._refused(call, call.incoming, failure)
-            found = await self._dispatcher.find(call)
-            if isinstance(found, result.Err):
-                failure = _final(call, last, found.err_value)
-                return self._refused(call, call.incoming, failure)
-            sent = await self._send(call, found.ok_value)
+                failure = _final_failure(call, last, held)
+                return self._refuse(call, call.incoming, failure)
+            acquired = await self._dispatcher.acquire_target(call)
+            if isinstance(acquired, result.Err):
+                failure = _final_failure(call, last, acquired.err_value)
+                return self._refuse(call, call.incoming, failure)
+            sent = await self._send(call, acquired.ok_value)
             if isinstance(sent, result.Ok):
                 return sent.ok_value
             last = sent.err_value
-            if not self._may_repeat(call, last):
-                return self._refused(call, call.incoming, last)
+            if not self._may_retry(call, last):
+                return self._refuse(call, call.incoming, last)
             if last.kind is errors.ErrorKind.WRONG_FENCE:
-                await self._dispatcher.await_owner(call, found.ok_value)
+                await self._dispatcher.await_owner_change(
+                    call, acquired.ok_value
+                )
             if last.kind is errors.ErrorKind.UNREACHABLE:
-                await self._dispatcher.await_reachable(call, found.ok_value)
+                await self._dispatcher.await_reachable(call, acquired.ok_value)
 
-    def _may_repeat(self, call: pending.Call, failure: errors.Failure) -> bool:
-        """Whether a request is sent once more after a failure."""
+    def _may_retry(self, call: pending.Call, failure: errors.Failure) -> bool:
+        """Whether a request may be sent again after a failure."""
         now = self._clock.now()
-        ran = failure.answer.ran is not errors.Ran.NO
-        call.maybe_ran = call.maybe_ran or ran
+        maybe_ran = failure.answer.ran is not errors.Ran.NO
+        call.maybe_ran = call.maybe_ran or maybe_ran
         if call.incoming.left:
-            # It was not cut off, as it might have run; nobody waits for more.
+            # The request was not cancelled, as it may have run. Its caller has
+            # left, so no further attempt is of use.
             return False
         if failure.kind is errors.ErrorKind.UNREACHABLE:
-            # Nothing arrived anywhere, so it is no repeat.
+            # No target received the request, so this is not a retry.
             return now < self._dispatcher.latest_start(call)
         if call.maybe_ran and not call.repeatable:
             return False
-        if call.sends >= call.route.attempts and ran:
+        if call.send_count >= call.route.attempts and maybe_ran:
             return False
         if now >= self._dispatcher.latest_start(call):
             return False
-        return self._allowance(call.service.name).take(now)
+        return self._retry_budget(call.service.name).take(now)
 
     # Sending.
 
-    async def _send(self, call: pending.Call, target: directory.Target) -> Sent:
+    async def _send(
+        self, call: pending.Call, target: directory.Target
+    ) -> SendResult:
         began = self._clock.now()
         call.basis = self._basis(target)
-        call.tried.add(target.id)
+        call.tried_targets.add(target.id)
         load = self._balancer.load(target.id)
-        call.waited = load.under_way(began) > target.slots
-        sends = call.sends
+        call.maybe_queued = load.under_way(began) > target.slots
+        sends = call.send_count
         call.answered = False
-        sent: Sent
+        sent: SendResult
         try:
             async with asyncio.timeout_at(
                 call.deadline - self._settings.requests.margin
@@ -321,100 +337,109 @@
                 sent = await self._exchange(call, target)
                 call.answered = sent.is_ok()
         except TimeoutError:
-            sent = self._late(call, target, sends)
+            sent = self._timeout_failure(call, target, sends)
         finally:
             call.timer = None
-            self._dispatcher.leave(call, target)
-        self._note(call, target, sent, began)
+            self._dispatcher.finish(call, target)
+        self._record_outcome(call, target, sent, began)
         return sent
 
     def _basis(self, target: directory.Target) -> pending.Basis:
-        """Returns what a target is chosen by, for the log."""
+        """Returns the state by which a target is chosen, for the log."""
         now = self._clock.now()
         entry = self._cluster.directory.get(target.id)
         return pending.Basis(
             entry.standing.value if entry else "",
             round(now - entry.since, 3) if entry else 0.0,
-            _rounded(self._cluster.registrations_age),
-            _rounded(self._cluster.configuration_age),
+            _round_age(self._cluster.registrations_age),
+            _round_age(self._cluster.configuration_age),
         )
 
-    def _late(
+    def _timeout_failure(
         self, call: pending.Call, target: directory.Target, sends: int
-    ) -> Sent:
-        """Says what a request is whose time ran out at a target."""
-        if call.sends == sends:
-            # It was still waiting for a connection.
-            self._unreachable(target)
+    ) -> SendResult:
+        """Returns the failure of a request that timed out at a target."""
+        if call.send_count == sends:
+            # The request was still waiting for a connection.
+            self._record_unreachable(target)
             return errors.failed(
-                errors.ErrorKind.QUEUE_TIMEOUT, f"{target.id}: no connection."
+                errors.ErrorKind.QUEUE_TIMEOUT,
+                f"No connection to {target.id} in time.",
             )
         return errors.failed(
-            errors.ErrorKind.DEADLINE, f"{target.id} did not answer."
+            errors.ErrorKind.DEADLINE, f"{target.id} did not respond in time."
         )
 
-    def _unreachable(self, target: directory.Target) -> None:
-        """Notes that a target takes no connection."""
+    def _record_unreachable(self, target: directory.Target) -> None:
+        """Records that a target accepts no connection."""
         now = self._clock.now()
         self._balancer.load(target.id).unreachable(now)
-        deaths = self._crashes.unreachable(target.id, now, self._clock.new_id())
-        if deaths:
-            self._membership.report_crashes(deaths)
+        crashes = self._crashes.unreachable(
+            target.id, now, self._clock.new_id()
+        )
+        if crashes:
+            self._membership.report_crashes(crashes)
             self._events.write(
                 "requests",
                 "target_died",
                 target=target.id,
-                requests=[death.fingerprint for death in deaths],
+                requests=[crash.fingerprint for crash in crashes],
             )
 
     async def _exchange(
         self, call: pending.Call, target: directory.Target
-    ) -> Sent:
-        configured = self._settings.requests
-        idle = configured.idle if call.repeatable else configured.idle_careful
+    ) -> SendResult:
+        request_settings = self._settings.requests
+        idle = (
+            request_settings.idle
+            if call.repeatable
+            else request_settings.idle_careful
+        )
         try:
             connection = await self._pool.connect(
-                target.address, idle, configured.connect
+                target.address, idle, request_settings.connect
             )
         except http_client.NotSentError as error:
-            self._unreachable(target)
+            self._record_unreachable(target)
             return errors.failed(errors.ErrorKind.UNREACHABLE, str(error))
-        whole = False
+        usable = False
         try:
             reply = connection.start(
-                self._request(call, target),
-                (self._names.attempt, call.attempt),
+                self._encode_request(call, target),
+                (self._header_names.attempt, call.attempt),
                 no_body=call.incoming.method == "HEAD",
             )
             began = self._clock.now()
-            call.sends += 1
+            call.send_count += 1
             if not call.repeatable:
                 call.incoming.cancellable = False
-            await connection.wait_whole(reply, configured.buffer_bytes)
-            whole = reply.complete
-            self._learn(target, reply, began)
-            answer = self._answer(call, target, connection, reply)
-            whole = whole or answer.is_ok()
-            return answer
+            await connection.wait_whole(reply, request_settings.buffer_bytes)
+            usable = reply.complete
+            self._apply_feedback(target, reply, began)
+            outcome = self._interpret_response(call, target, connection, reply)
+            usable = usable or outcome.is_ok()
+            return outcome
         except http_client.NotSentError as error:
             return errors.failed(errors.ErrorKind.UNREACHABLE, str(error))
         except http_client.AnswerLostError as error:
             return errors.failed(errors.ErrorKind.ANSWER_LOST, str(error))
         finally:
             call.incoming.cancellable = True
-            if not whole:
+            if not usable:
                 connection.abort()
             elif reply.complete:
                 self._pool.give_back(connection, target.address)
 
-    def _request(self, call: pending.Call, target: directory.Target) -> bytes:
-        names = self._names
+    def _encode_request(
+        self, call: pending.Call, target: directory.Target
+    ) -> bytes:
+        names = self._header_names
         incoming = call.incoming
         margin = self._settings.requests.margin
         left = max(call.deadline - margin - self._clock.now(), 0.001)
         lines = [
             b"%b %b HTTP/1.1" % (incoming.method.encode(), incoming.target),
-            *call.head,
+            *call.header_lines,
             b"%b: %d" % (names.deadline, int(left * 1000)),
             b"%b: %b" % (names.expected_target, target.id.encode()),
         ]
@@ -422,86 +447,93 @@
             lines.append(b"Content-Length: %d" % len(incoming.body))
         return b"\r\n".join(lines) + b"\r\n\r\n" + incoming.body
 
-    def _answer(
+    def _interpret_response(
         self,
         call: pending.Call,
         target: directory.Target,
         connection: http_client.Connection,
         reply: http_client.Reply,
-    ) -> Sent:
-        """Decides what an answer means."""
-        names = self._names
+    ) -> SendResult:
+        """Maps a target's response to a caller's response or a failure."""
+        names = self._header_names
         status = reply.status
         if status in _REJECT_STATUSES and reply.header(names.not_run):
-            answering = reply.header(names.target)
-            if status == 421 and answering not in (None, target.id.encode()):
+            responder_id = reply.header(names.target)
+            if status == 421 and responder_id not in (None, target.id.encode()):
                 return errors.failed(
                     errors.ErrorKind.TARGET_REPLACED,
-                    f"{target.address} is {answering!r}, not {target.id}.",
+                    f"{target.address} is {responder_id!r}, not {target.id}.",
                 )
             if status == 421:
                 return errors.failed(
-                    errors.ErrorKind.WRONG_FENCE, f"{target.id} said 421."
+                    errors.ErrorKind.WRONG_FENCE,
+                    f"{target.id} responded with 421.",
                 )
             return errors.failed(
-                errors.ErrorKind.REJECTED, f"{target.id} said {status}."
+                errors.ErrorKind.REJECTED,
+                f"{target.id} rejected it with {status}.",
             )
         if 200 <= status < 300 and reply.header(names.seal) is None:
             return errors.failed(
-                errors.ErrorKind.ANSWER_BROKEN, f"{target.id}: no signature."
+                errors.ErrorKind.ANSWER_BROKEN,
+                f"Response of {target.id} is unsigned.",
             )
-        if status >= 500 and reply.complete and self._has_repeat(call):
+        if status >= 500 and reply.complete and self._has_retry_left(call):
             return errors.failed(
-                errors.ErrorKind.TARGET_FAILED, f"{target.id} said {status}."
+                errors.ErrorKind.TARGET_FAILED,
+                f"{target.id} failed with {status}.",
             )
         headers = tuple(
             (name, value)
             for name, value in reply.headers
-            if name not in _HOP_BY_HOP
+            if name not in _HOP_BY_HOP_HEADERS
         )
         body = reply.take()
         if reply.complete:
             return result.Ok(http_server.Outgoing(status, headers, body))
-        rest = self._stream(connection, reply, target)
-        return result.Ok(http_server.Outgoing(status, headers, body, rest))
+        remaining_body = self._stream(connection, reply, target)
+        return result.Ok(
+            http_server.Outgoing(status, headers, body, remaining_body)
+        )
 
-    def _learn(
+    def _apply_feedback(
         self,
         target: directory.Target,
         reply: http_client.Reply,
         sent_at: float,
     ) -> None:
-        """Takes what a target says of itself in an answer."""
-        answering = reply.header(self._names.target)
-        if answering not in (None, target.id.encode()):
+        """Applies the target feedback in a response's headers."""
+        responder_id = reply.header(self._header_names.target)
+        if responder_id not in (None, target.id.encode()):
             return
-        notice = self._read_notice(reply.headers)
-        if notice.load is not None:
-            self._balancer.record_load(target, notice.load)
-        sealed = reply.header(self._names.seal) is not None
-        # Only an answer of the target's own work shows that it has no limit.
+        feedback = self._read_feedback(reply.headers)
+        if feedback.load is not None:
+            self._balancer.record_load(target, feedback.load)
+        sealed = reply.header(self._header_names.seal) is not None
+        # Only a response that the target itself produced can show that it has
+        # no limit.
         sent_at = sent_at if sealed else -math.inf
-        if self._cluster.apply_feedback(target, notice, sent_at):
+        if self._cluster.apply_feedback(target, feedback, sent_at):
             self._membership.report_soon()
-        if reply.status == _TURNED_AWAY and notice.rest:
-            self._cluster.record_backoff(target, notice.rest)
-        for name, value in notice.unreadable:
+        if reply.status == _BACKOFF_STATUS and feedback.rest:
+            self._cluster.record_backoff(target, feedback.rest)
+        for name, value in feedback.unreadable:
             self._events.write(
                 "targets",
                 "notice_unreadable",
                 target=target.id,
                 header=name.decode("latin-1"),
-                value=value[:_LOGGED_BYTES].decode("latin-1"),
+                value=value[:_MAX_LOGGED_HEADER_BYTES].decode("latin-1"),
             )
 
-    def _has_repeat(self, call: pending.Call) -> bool:
-        """Whether a target's own failure need not be the caller's answer."""
+    def _has_retry_left(self, call: pending.Call) -> bool:
+        """Whether a retry may replace a target's own failure."""
         now = self._clock.now()
         return (
             call.repeatable
-            and call.sends < call.route.attempts
+            and call.send_count < call.route.attempts
             and now < self._dispatcher.latest_start(call)
-            and self._allowance(call.service.name).left(now) >= 1
+            and self._retry_budget(call.service.name).left(now) >= 1
         )
 
     async def _stream(
@@ -510,50 +542,50 @@
         reply: http_client.Reply,
         target: directory.Target,
     ) -> AsyncIterator[bytes]:
-        """Passes the rest of a large answer on as it comes."""
-        whole = False
+        """Streams the rest of a large response body."""
+        usable = False
         try:
-            while piece := await connection.wait_more(reply):
-                yield piece
-            whole = True
+            while chunk := await connection.wait_more(reply):
+                yield chunk
+            usable = True
         finally:
-            if whole:
+            if usable:
                 self._pool.give_back(connection, target.address)
             else:
                 connection.abort()
 
-    def _note(
+    def _record_outcome(
         self,
         call: pending.Call,
         target: directory.Target,
-        sent: Sent,
+        sent: SendResult,
         began: float,
     ) -> None:
-        """Learns from the outcome of a send."""
+        """Updates load, feedback and crash detection after a send."""
         now = self._clock.now()
         load = self._balancer.load(target.id)
         if isinstance(sent, result.Ok):
             self._crashes.answered(target.id)
             self._membership.answered(target.id)
-            answer = sent.ok_value
-            if answer.status < 500 and answer.rest is None:
+            response = sent.ok_value
+            if response.status < 500 and response.rest is None:
                 self._balancer.answered(
                     call.route.name,
                     target.id,
-                    (now - began) / (call.runs or 1.0),
-                    len(answer.body) + len(call.incoming.body),
+                    (now - began) / (call.expected_runs or 1.0),
+                    len(response.body) + len(call.incoming.body),
                     now,
-                    waited=call.waited and not call.runs,
+                    waited=call.maybe_queued and not call.expected_runs,
                 )
-            elif answer.status >= 500:
+            elif response.status >= 500:
                 load.failed(now)
-            self._passed(call, target, answer, now)
+            self._record_passed(call, target, response, now)
             return
         failure = sent.err_value
         if failure.kind is errors.ErrorKind.TARGET_REPLACED:
             self._membership.ended(target)
         elif failure.kind is errors.ErrorKind.WRONG_FENCE:
-            call.rejects += 1
+            call.reject_count += 1
             if call.key is not None:
                 self._membership.report_miss(
                     call.service.name, call.key, target.id
@@ -562,7 +594,7 @@
                 load.failed(now)
         elif failure.kind is not errors.ErrorKind.UNREACHABLE:
             load.failed(now)
-        if call.key is not None and failure.kind in _CROWDED:
+        if call.key is not None and failure.kind in _OVERLOAD_KINDS:
             self._membership.report_full_target(target.id)
         if failure.kind is errors.ErrorKind.ANSWER_LOST:
             self._crashes.lost(target.id, call.fingerprint, now)
@@ -575,24 +607,24 @@
             target=target.id,
             kind=failure.kind.value,
             why=failure.detail,
-            sends=call.sends,
-            took_ms=_ms(now - began),
-            left_ms=_ms(call.deadline - now),
+            sends=call.send_count,
+            took_ms=_to_milliseconds(now - began),
+            left_ms=_to_milliseconds(call.deadline - now),
             under_way=load.under_way(now),
         )
 
-    # Answers.
+    # Responses to callers.
 
-    def _passed(
+    def _record_passed(
         self,
         call: pending.Call,
         target: directory.Target,
-        answer: http_server.Outgoing,
+        response: http_server.Outgoing,
         now: float,
     ) -> None:
-        took = now - call.began
+        elapsed = now - call.received_at
         self._counts["passed"] += 1
-        self._metrics.record(call.route.name, "passed", took)
+        self._metrics.record(call.route.name, "passed", elapsed)
         self._events.write(
             "requests",
             "passed",
@@ -600,14 +632,14 @@
             route=call.route.name,
             key=call.key,
             target=target.id,
-            status=answer.status,
-            sends=call.sends,
-            took_ms=_ms(took),
+            status=response.status,
+            sends=call.send_count,
+            took_ms=_to_milliseconds(elapsed),
             configuration=call.version,
             basis=call.basis,
         )
 
-    def _refused(
+    def _refuse(
         self,
         call: pending.Call | None,
         incoming: http_server.Incoming,
@@ -615,15 +647,17 @@
     ) -> http_server.Outgoing:
         if failure.answer.router_retries and not failure.retry_after:
             failure = errors.Failure(
-                failure.kind, failure.detail, dispatching.SOON_SECONDS
+                failure.kind,
+                failure.detail,
+                dispatching.REROUTE_RETRY_AFTER_SECONDS,
             )
         now = self._clock.now()
-        attempt = incoming.header(self._names.attempt) or b""
-        took = now - incoming.at
+        attempt = incoming.header(self._header_names.attempt) or b""
+        elapsed = now - incoming.at
         kind = failure.kind.value
         self._counts[kind] += 1
         route = call.route.name if call else ""
-        self._metrics.record(route, kind, took)
+        self._metrics.record(route, kind, elapsed)
         configuration = self._cluster.configuration
         self._events.write(
             "requests",
@@ -635,38 +669,38 @@
             kind=kind,
             status=failure.answer.status,
             why=failure.detail,
-            sends=call.sends if call else 0,
-            took_ms=_ms(took),
+            sends=call.send_count if call else 0,
+            took_ms=_to_milliseconds(elapsed),
             retry_after=failure.wait,
             configuration=configuration.version if configuration else None,
-            configuration_age=_rounded(self._cluster.configuration_age),
+            configuration_age=_round_age(self._cluster.configuration_age),
         )
         headers: list[tuple[bytes, bytes]] = [
             (b"content-type", b"text/plain; charset=utf-8")
         ]
         if attempt:
-            headers.append((self._names.attempt, attempt))
+            headers.append((self._header_names.attempt, attempt))
         if failure.answer.ran is errors.Ran.NO and failure.wait:
             headers.append((b"retry-after", b"%g" % failure.wait))
         text = failure.answer.text.encode() + b"\n"
         return http_server.Outgoing(failure.answer.status, tuple(headers), text)
 
 
-def _final(
-    call: pending.Call, last: errors.Failure | None, found: errors.Failure
+def _final_failure(
+    call: pending.Call, last: errors.Failure | None, current: errors.Failure
 ) -> errors.Failure:
-    """Returns the failure that a caller hears.
+    """Returns the failure that the caller gets.
 
-    "Not run" is said only if no send may have run: a later refusal takes
-    nothing back.
+    It may say "not run" only if no send can have run: a later refusal does not
+    revoke an earlier send.
     """
     if call.maybe_ran and last is not None and not call.repeatable:
         return last
-    return found
+    return current
 
 
 def _fingerprint(incoming: http_server.Incoming, key: bytes | None) -> str:
-    """Returns what identifies a request that comes again."""
+    """Returns a fingerprint that is the same whenever a request is repeated."""
     caller = incoming.header(b"authorization") or b""
     path, _, query = incoming.target.decode("latin-1").partition("?")
     return quarantine.fingerprint(
@@ -679,9 +713,9 @@
 
 
 def _is_unrouted(
-    call: result.Result[pending.Call, errors.Failure],
+    classified: result.Result[pending.Call, errors.Failure],
 ) -> bool:
-    failure = call.err()
+    failure = classified.err()
     return failure is not None and failure.kind is errors.ErrorKind.NO_ROUTE
 
 
@@ -689,9 +723,9 @@
     return value is not None and value.isdigit() and int(value) < ranges.KEYS
 
 
-def _rounded(age: float | None) -> float | None:
+def _round_age(age: float | None) -> float | None:
     return None if age is None else round(age, 3)
 
 
-def _ms(seconds: float) -> int:
+def _to_milliseconds(seconds: float) -> int:
     return round(seconds * 1000)
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/load_probing.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/load_probing.py
@@ -1,4 +1,4 @@
-"""Asks targets for their present load before a request is sent to one."""
+"""Probes targets for their current load before a request is dispatched."""
 
 import asyncio
 from collections.abc import Iterable
@@ -15,19 +15,19 @@
 from mimosastile_gateway import events
 from mimosastile_gateway import ports
 
-_SECONDS = 0.1
-"""Longest wait for a target's load: twice the way to another region and back,
-with a new connection. A target that is later is not chosen."""
-_MORE_SECONDS = 0.01
-"""Wait for further answers after the first one, and as long again as that
-took."""
+_RESPONSE_TIMEOUT_SECONDS = 0.1
+"""Longest wait for a target's load: twice the round trip to another region,
+with a new connection. A target that responds later is not chosen."""
+_EXTRA_WAIT_SECONDS = 0.01
+"""Wait for further responses after the first one, in addition to the time that
+the first one took."""
 
 
 class LoadProber:
-    """Health checks whose answers count for one choice."""
+    """Health checks whose load reports serve one dispatching decision."""
 
     __slots__ = (
-        "_asking",
+        "_running_probes",
         "_cluster",
         "_clock",
         "_events",
@@ -38,86 +38,93 @@
     def __init__(
         self,
         health: ports.HealthPort,
-        known: cluster_state.ClusterState,
+        cluster: cluster_state.ClusterState,
         balancer: load_balancing.LoadBalancer,
         timer: clock.Clock,
-        log: events.Events,
+        event_log: events.Events,
     ) -> None:
-        """Makes one.
+        """Creates a prober.
 
         Args:
             health: Makes health checks.
-            known: What this VM believes.
+            cluster: This VM's view of the cluster.
             balancer: Loads of targets.
             timer: The clock.
-            log: Where it logs.
+            event_log: The event log.
         """
-        self._asking: set[asyncio.Future[directory.Target | None]] = set()
+        self._running_probes: set[asyncio.Future[directory.Target | None]] = (
+            set()
+        )
         self._health = health
-        self._cluster = known
+        self._cluster = cluster
         self._balancer = balancer
         self._clock = timer
-        self._events = log
+        self._events = event_log
 
-    async def ask(
+    async def probe(
         self, targets: Iterable[directory.Target], service: routes.Service
     ) -> list[directory.Target]:
-        """Asks some targets for their load.
+        """Probes targets for their load.
 
         Args:
             targets: The targets.
             service: Their service.
 
         Returns:
-            Those that have said it just now.
+            The targets that have just reported their load.
         """
         began = self._clock.now()
-        asking = {
-            asyncio.ensure_future(self._ask(target, service.health_path))
+        running = {
+            asyncio.ensure_future(self._probe(target, service.health_path))
             for target in targets
         }
-        for task in asking:
-            # One that nobody waits for any more still brings a load.
-            self._asking.add(task)
-            task.add_done_callback(self._asking.discard)
-        said: list[directory.Target] = []
-        left: float | None = None
-        while asking:
-            done, asking = await asyncio.wait(
-                asking, timeout=left, return_when=asyncio.FIRST_COMPLETED
+        for task in running:
+            # A probe still updates the recorded load after the wait for it has
+            # ended.
+            self._running_probes.add(task)
+            task.add_done_callback(self._running_probes.discard)
+        responded: list[directory.Target] = []
+        timeout: float | None = None
+        while running:
+            done, running = await asyncio.wait(
+                running, timeout=timeout, return_when=asyncio.FIRST_COMPLETED
             )
             if not done:
                 break
-            said.extend(t for task in done if (t := task.result()) is not None)
-            if said and left is None:
-                left = self._clock.now() - began + _MORE_SECONDS
-        return said
+            responded.extend(
+                t for task in done if (t := task.result()) is not None
+            )
+            if responded and timeout is None:
+                timeout = self._clock.now() - began + _EXTRA_WAIT_SECONDS
+        return responded
 
-    async def _ask(
+    async def _probe(
         self, target: directory.Target, path: str
     ) -> directory.Target | None:
-        """Asks one target; returns it if it has said its load."""
-        answer = await self._health.check(target, path, _SECONDS)
-        if isinstance(answer, result.Err):
-            self._failed(target, answer.err_value)
+        """Probes one target; returns it if it reported its load."""
+        checked = await self._health.check(
+            target, path, _RESPONSE_TIMEOUT_SECONDS
+        )
+        if isinstance(checked, result.Err):
+            self._record_failure(target, checked.err_value)
             return None
-        return target if self._take(target, answer.ok_value) else None
+        return target if self._record_report(target, checked.ok_value) else None
 
-    def _take(
+    def _record_report(
         self, target: directory.Target, report: target_feedback.HealthReport
     ) -> bool:
         if report.cold_seconds:
             self._cluster.directory.record_cold(
                 target.id, report.cold_seconds, self._clock.now()
             )
-        notice = report.notice
-        self._cluster.apply_feedback(target, notice)
-        if notice.load is None:
+        feedback = report.notice
+        self._cluster.apply_feedback(target, feedback)
+        if feedback.load is None:
             return False
-        self._balancer.record_load(target, notice.load)
+        self._balancer.record_load(target, feedback.load)
         return True
 
-    def _failed(
+    def _record_failure(
         self, target: directory.Target, failure: errors.Failure
     ) -> None:
         load = self._balancer.load(target.id)
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
@@ -505,8 +505,8 @@
             self._full_target_requests,
             collections.Counter(),
         )
-        wanted.update(self._queues.waiting())
-        wanted.update(self._admission.waiting())
+        wanted.update(self._queues.lengths())
+        wanted.update(self._admission.waiting_counts())
         ended, self._ended = tuple(self._ended), []
         deaths, self._deaths = tuple(self._deaths), []
         alive, self._alive = tuple(self._alive), set()
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/pending.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/pending.py
@@ -1,4 +1,4 @@
-"""A caller's request on its way to a target."""
+"""A caller's request while it is being forwarded."""
 
 import asyncio
 
@@ -9,83 +9,85 @@
 from mimosastile_gateway import http_server
 from mimosastile_gateway import wait_queues
 
-_GUESS_SHARE = 0.35
-"""Share of a route's target latency that its work is guessed to take."""
+_WORK_ESTIMATE_SHARE = 0.35
+"""Estimated work of a route's requests as a share of its target latency."""
 
 
 class Basis(msgspec.Struct, frozen=True):
-    """What this VM knew when it chose a request's target.
+    """State by which a VM chose a request's target.
 
     Attributes:
-        standing: How the target stood.
-        standing_age: Seconds for which it may have stood so.
-        registrations_age: Seconds since all registrations were surely known,
-            None if they never were.
+        status: The target's status.
+        status_age: Longest time in seconds that the target may have had it.
+        registrations_age: Seconds since the view of the registrations was
+            certainly complete, None if it never was.
         configuration_age: The same for the configuration.
     """
 
-    standing: str
-    standing_age: float
+    status: str = msgspec.field(name="standing")
+    status_age: float = msgspec.field(name="standing_age")
     registrations_age: float | None
     configuration_age: float | None
 
 
 class Call:
-    """One request, and what has become of it so far.
+    """A request and the state of its attempts.
 
     Attributes:
-        answered: Whether its last target has answered it.
+        answered: Whether the last target responded.
         attempt: Identifier of the caller's attempt.
-        basis: What its last target was chosen by, None before the first.
-        began: When it was read.
-        deadline: When its caller stops waiting.
-        fingerprint: What identifies it when it comes again.
-        guess: Seconds of work, while nothing is known of its route.
-        head: Its header lines for a target.
-        incoming: As it came.
-        key: Its key, None if its service has none.
-        maybe_ran: Whether a target may have run it.
-        place: Its place at a contended target.
-        rejects: How many targets have rejected its key.
-        route: Its route.
-        runs: Runs that its last target said it would take, with those that
-            waited there; 0 if it did not say.
-        sends: How often it was sent.
+        basis: The state by which the last target was chosen, None before the
+            first.
+        received_at: When the request was read.
+        deadline: When the caller stops waiting.
+        fingerprint: The same whenever the request is repeated.
+        work_estimate: Estimated seconds of work, used until the route has a
+            measured mean.
+        header_lines: The header lines that go to a target.
+        incoming: The request as received.
+        key: The request's key, None if the service is not keyed.
+        maybe_ran: Whether a target may have run the request.
+        permit: Its permit at a contended target.
+        reject_count: How many targets have rejected the key.
+        route: The request's route.
+        expected_runs: Expected time at the last target in run times, with the
+            requests waiting there; 0 if the target did not report it.
+        send_count: How often the request was sent.
         service: The service that it goes to.
-        ticket: Its turn among those that wait in this VM.
-        timer: Ends its exchange with a target, None outside of one.
-        tried: Targets that it was sent to.
-        tried_for: Seconds for which its caller had been trying before.
-        unreachable: How often its target took no connection.
-        version: Version of the configuration that decides on it.
-        waited: Whether it may have waited at its last target.
+        ticket: Its ticket in this VM's wait queues.
+        timer: Times out the exchange with a target, None outside of one.
+        tried_targets: Identifiers of the targets that it was sent to.
+        prior_retry_seconds: How long the caller had been retrying before.
+        unreachable_count: How often the target was unreachable.
+        version: Version of the configuration that was applied.
+        maybe_queued: Whether the request may have waited at the last target.
     """
 
     __slots__ = (
         "answered",
         "attempt",
         "basis",
-        "began",
+        "received_at",
         "deadline",
         "fingerprint",
-        "guess",
-        "head",
+        "work_estimate",
+        "header_lines",
         "incoming",
         "key",
         "maybe_ran",
-        "place",
-        "rejects",
+        "permit",
+        "reject_count",
         "route",
-        "runs",
-        "sends",
+        "expected_runs",
+        "send_count",
         "service",
         "ticket",
         "timer",
-        "tried",
-        "tried_for",
-        "unreachable",
+        "tried_targets",
+        "prior_retry_seconds",
+        "unreachable_count",
         "version",
-        "waited",
+        "maybe_queued",
     )
 
     def __init__(
@@ -100,28 +102,28 @@
         self.route = route
         self.service = service
         self.attempt = attempt
-        self.began = incoming.at
+        self.received_at = incoming.at
         self.deadline = deadline
-        self.guess = route.target_latency * _GUESS_SHARE
+        self.work_estimate = route.target_latency * _WORK_ESTIMATE_SHARE
         self.key: int | None = None
         self.fingerprint = ""
-        self.head: list[bytes] = []
-        self.sends = 0
-        self.runs = 0.0
-        self.rejects = 0
-        self.unreachable = 0
+        self.header_lines: list[bytes] = []
+        self.send_count = 0
+        self.expected_runs = 0.0
+        self.reject_count = 0
+        self.unreachable_count = 0
         self.version = -1
         self.maybe_ran = False
-        self.waited = False
+        self.maybe_queued = False
         self.answered = False
-        self.tried: set[str] = set()
-        self.tried_for = 0.0
-        self.place: admission_service.Permit | None = None
+        self.tried_targets: set[str] = set()
+        self.prior_retry_seconds = 0.0
+        self.permit: admission_service.Permit | None = None
         self.timer: asyncio.Timeout | None = None
         self.ticket: wait_queues.Ticket
         self.basis: Basis | None = None
 
     @property
     def repeatable(self) -> bool:
-        """Whether it may run more than once."""
+        """Whether the request may run more than once."""
         return self.route.kind.repeatable
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/wait_queues.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/wait_queues.py
@@ -1,4 +1,4 @@
-"""Requests that wait until a target has room for them."""
+"""Priority queues of requests that wait until a target has a free slot."""
 
 import asyncio
 import heapq
@@ -6,7 +6,7 @@
 
 
 class _Waiter:
-    """One waiting request."""
+    """A waiting request."""
 
     __slots__ = ("future", "order")
 
@@ -17,12 +17,12 @@
         self.future = future
 
     def __lt__(self, other: "_Waiter") -> bool:
-        """Whether this one goes first."""
+        """Whether this request goes first."""
         return self.order < other.order
 
 
 class Ticket:
-    """A request's place in a queue; kept when it has to wait again."""
+    """A request's position in a queue, kept when it waits again."""
 
     __slots__ = ("order",)
 
@@ -31,37 +31,37 @@
 
 
 class WaitQueues:
-    """Queues by name, urgent requests first, then in order of arrival."""
+    """Wait queues by name, ordered by priority, then by arrival."""
 
-    __slots__ = ("_numbers", "_queues")
+    __slots__ = ("_sequence", "_queues")
 
     def __init__(self) -> None:
         self._queues: dict[str, list[_Waiter]] = {}
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
 
     def ticket(self, priority: int) -> Ticket:
-        """Returns a new place.
+        """Returns a ticket for a new request.
 
         Args:
-            priority: Rank of the request; 0 is the most urgent.
+            priority: The request's priority; 0 is the most urgent.
         """
-        return Ticket((priority, next(self._numbers)))
+        return Ticket((priority, next(self._sequence)))
 
-    def ahead(self, queue: str, ticket: Ticket) -> int:
-        """Returns how many requests wait before a place."""
+    def count_ahead(self, queue: str, ticket: Ticket) -> int:
+        """Returns the number of requests that wait ahead of a ticket."""
         waiting = self._queues.get(queue, ())
         return sum(w.order < ticket.order for w in waiting)
 
-    def waiting(self) -> dict[str, int]:
+    def lengths(self) -> dict[str, int]:
         """Returns the length of each queue."""
         return {name: len(queue) for name, queue in self._queues.items()}
 
     async def wait(self, queue: str, ticket: Ticket, seconds: float) -> None:
-        """Waits for a turn, or for some time.
+        """Waits until the request is woken or the time is over.
 
         Args:
             queue: Name of the queue.
-            ticket: The place.
+            ticket: The request's ticket.
             seconds: Longest wait.
         """
         loop = asyncio.get_running_loop()
@@ -80,8 +80,8 @@
             if not waiting and self._queues.get(queue) is waiting:
                 del self._queues[queue]
 
-    def next(self, queue: str) -> None:
-        """Gives the first of a queue its turn."""
+    def wake_next(self, queue: str) -> None:
+        """Wakes the first waiting request of a queue."""
         waiting = self._queues.get(queue)
         while waiting:
             waiter = heapq.heappop(waiting)
@@ -90,7 +90,7 @@
                 return
 
     def wake_all(self) -> None:
-        """Gives everyone a turn, in order, after a change of the targets."""
+        """Wakes all requests in order, after a change of the targets."""
         for waiting in list(self._queues.values()):
             for waiter in sorted(waiting):
                 if not waiter.future.done():
--- a/tests/gateway/test_admission_service.py
+++ b/tests/gateway/test_admission_service.py
@@ -67,7 +67,7 @@
 
 
 def _enter(vm, *, gate=GATE, target="a", left=1.5, own=0):
-    return vm.enter(gate, target, 1, 0.4, left, WORK, own)
+    return vm.request_permit(gate, target, 1, 0.4, left, WORK, own)
 
 
 def _play(scenario):
@@ -91,10 +91,10 @@
             second = asyncio.create_task(_enter(vm))
             await asyncio.sleep(0.1)
             assert not second.done()
-            assert vm.waiting() == {"a": 1}
-            vm.give_back(first, answered=True)
+            assert vm.waiting_counts() == {"a": 1}
+            vm.return_permit(first, answered=True)
             assert isinstance(await second, admission_service.Permit)
-            assert vm.waiting() == {}
+            assert vm.waiting_counts() == {}
 
         _play(scenario)
 
@@ -115,7 +115,7 @@
         """Places cost less than a tenth of a kilobyte each way."""
 
         async def scenario(network, gate, other):
-            other.give_back(await _enter(other), answered=True)
+            other.return_permit(await _enter(other), answered=True)
             await asyncio.sleep(0.1)
             sizes = [
                 len(datagrams._ENCODER.encode(message))
@@ -137,7 +137,7 @@
             await asyncio.sleep(0.05)
             third = asyncio.create_task(_enter(gate))
             await asyncio.sleep(0.01)
-            gate.give_back(first, answered=True)
+            gate.return_permit(first, answered=True)
             assert isinstance(await third, admission_service.Permit)
 
         _play(scenario)
@@ -170,7 +170,7 @@
             waiting = asyncio.create_task(_enter(other))
             await asyncio.sleep(0.1)
             network.lost = 1
-            gate.give_back(first, answered=True)
+            gate.return_permit(first, answered=True)
             began = virtual.now()
             assert isinstance(await waiting, admission_service.Permit)
             assert virtual.now() - began < 0.6
@@ -213,7 +213,7 @@
             began = virtual.now()
             assert await _enter(other) is None
             assert virtual.now() - began < 0.05
-            gate.give_back(first, answered=True)
+            gate.return_permit(first, answered=True)
             assert isinstance(await waiting, admission_service.Permit)
 
         _play(scenario)
@@ -229,7 +229,7 @@
             asked = asyncio.create_task(_enter(other, gate=OTHER, own=1))
             await asyncio.sleep(0.01)
             assert not asked.done()
-            other.give_back(place, answered=True)
+            other.return_permit(place, answered=True)
             asked.cancel()
 
         _play(scenario)
--- a/tests/gateway/test_candidates.py
+++ b/tests/gateway/test_candidates.py
@@ -105,9 +105,9 @@
             world.evacuate(*evacuated)
             found = world.candidates.eligible(call, virtual.now())
             assert _names(found) == expected
-            refused = world.candidates.excluded(call, virtual.now())
+            refused = world.candidates.exclusion_failure(call, virtual.now())
             assert (refused is None) is bool(expected)
-            drawn = world.candidates.draw(call, ())
+            drawn = world.candidates.sample(call, ())
             assert _names(drawn) <= expected
 
         _play(check)
@@ -129,7 +129,7 @@
             world.own(owner)
             world.evacuate(*evacuated)
             call = world.call(regions, key=7)
-            found = world.candidates.excluded(call, virtual.now())
+            found = world.candidates.exclusion_failure(call, virtual.now())
             assert (found is not None) is refused
             assert (world.candidates.owner(call) is None) is refused
             if refused:
@@ -143,9 +143,9 @@
 
         def check(world):
             call = world.call()
-            assert len(world.candidates.draw(call, ())) == 2
+            assert len(world.candidates.sample(call, ())) == 2
             world.evacuate("z")
-            assert _names(world.candidates.draw(call, ())) == {"c"}
+            assert _names(world.candidates.sample(call, ())) == {"c"}
             world.evacuate(revision=10)
             found = world.candidates.eligible(call, virtual.now())
             assert _names(found) == {"a", "b", "c"}
@@ -176,7 +176,7 @@
                 world.balancer.replace_gates({"a": sender}, virtual.now())
             target = known.get("a").target
             for _ in range(sent):
-                world.candidates.sent(target, admitted=False)
+                world.candidates.record_send(target, admitted=False)
             wait = world.candidates.send_wait(target, world.call())
             assert (wait > 0) is waits
             assert wait <= 3.0
--- a/tests/gateway/test_dispatching.py
+++ b/tests/gateway/test_dispatching.py
@@ -39,7 +39,7 @@
         self.asked = []
         self.left = 0
 
-    async def enter(self, *asked):
+    async def request_permit(self, *asked):
         """Answers a request."""
         self.asked.append(asked)
         try:
@@ -49,9 +49,9 @@
             raise
         return self.answer
 
-    def give_back(self, place, *, answered):
+    def return_permit(self, permit, *, answered):
         """Takes a place back."""
-        self.given_back.append((place, answered))
+        self.given_back.append((permit, answered))
 
 
 class Peers:
@@ -136,10 +136,10 @@
         async def scenario(world):
             world.name_gate()
             call = world.call()
-            target = (await world.dispatcher.find(call)).ok_value
+            target = (await world.dispatcher.acquire_target(call)).ok_value
             assert (target.id, world.balancer.load("a").own) == ("a", 1)
             call.answered = True
-            world.dispatcher.leave(call, target)
+            world.dispatcher.finish(call, target)
             assert world.balancer.load("a").own == 0
             assert world.gate.given_back == [(world.gate.answer, True)]
 
@@ -151,7 +151,9 @@
         async def scenario(world):
             world.name_gate()
             world.gate.answer = admission.Refusal(2.5)
-            failure = (await world.dispatcher.find(world.call())).err_value
+            failure = (
+                await world.dispatcher.acquire_target(world.call())
+            ).err_value
             assert failure.kind is errors.ErrorKind.OVERLOADED
             assert failure.retry_after == 2.5
 
@@ -163,7 +165,9 @@
         async def scenario(world):
             world.name_gate()
             world.gate.answer = None
-            target = (await world.dispatcher.find(world.call())).ok_value
+            target = (
+                await world.dispatcher.acquire_target(world.call())
+            ).ok_value
             assert target.id == "a"
             assert len(world.gate.asked) == 1
 
@@ -178,7 +182,9 @@
         async def scenario(world):
             world.name_gate()
             world.gate.seconds = 5.0
-            finding = asyncio.create_task(world.dispatcher.find(world.call()))
+            finding = asyncio.create_task(
+                world.dispatcher.acquire_target(world.call())
+            )
             await asyncio.sleep(0.1)
             world.assign("b")
             target = (await finding).ok_value
@@ -199,7 +205,7 @@
             world.name_gate()
             world.gate.seconds = 2.5
             call = world.call(seconds=4.0)
-            finding = asyncio.create_task(world.dispatcher.find(call))
+            finding = asyncio.create_task(world.dispatcher.acquire_target(call))
             world.cluster.apply_target(fakes.target("a", leaving=True))
             found = await finding
             assert found.is_err()
@@ -216,7 +222,9 @@
 
         async def scenario(world):
             world.name_gate()
-            finding = asyncio.create_task(world.dispatcher.find(world.call()))
+            finding = asyncio.create_task(
+                world.dispatcher.acquire_target(world.call())
+            )
             await asyncio.sleep(seconds)
             finding.cancel()
             await asyncio.gather(finding, return_exceptions=True)
@@ -231,7 +239,7 @@
 
         async def scenario(world):
             world.name_gate()
-            await world.dispatcher.find(world.call(latency=0.0))
+            await world.dispatcher.acquire_target(world.call(latency=0.0))
             assert world.gate.asked[0][3] == pytest.approx(1.5)
 
         _play(scenario)
@@ -245,7 +253,9 @@
 
         async def scenario(world):
             world.assign("")
-            finding = asyncio.create_task(world.dispatcher.find(world.call()))
+            finding = asyncio.create_task(
+                world.dispatcher.acquire_target(world.call())
+            )
             await asyncio.sleep(0.3)
             world.assign("b")
             assert (await finding).ok_value.id == "b"
@@ -262,12 +272,14 @@
             world.assign("")
             await asyncio.sleep(0.8)
             began = virtual.now()
-            found = await world.dispatcher.find(world.call(seconds=0.8))
+            found = await world.dispatcher.acquire_target(
+                world.call(seconds=0.8)
+            )
             assert found.err_value.kind is errors.ErrorKind.NO_OWNER
             assert found.err_value.retry_after == pytest.approx(1.34, abs=0.01)
             assert virtual.now() == began
             patient = asyncio.create_task(
-                world.dispatcher.find(world.call(seconds=3.0))
+                world.dispatcher.acquire_target(world.call(seconds=3.0))
             )
             await asyncio.sleep(1.3)
             world.assign("b")
@@ -289,7 +301,7 @@
             call.deadline -= world.dispatcher.latest_start(call) - virtual.now()
             while world.dispatcher.latest_start(call) <= virtual.now():
                 call.deadline = math.nextafter(call.deadline, math.inf)
-            assert (await world.dispatcher.find(call)).is_err()
+            assert (await world.dispatcher.acquire_target(call)).is_err()
 
         _play(scenario)
 
@@ -318,7 +330,7 @@
             world = World()
             call = world.call(seconds=4.0)
             target = world.cluster.directory.get("a").target
-            call.unreachable = 8
+            call.unreachable_count = 8
             began = virtual.now()
             loop = asyncio.get_running_loop()
             loop.call_later(0.1, world.assign, "b")
@@ -334,7 +346,7 @@
             world = World()
             call = world.call(seconds=0.3)
             target = world.cluster.directory.get("a").target
-            call.unreachable = 8
+            call.unreachable_count = 8
             await world.dispatcher.await_reachable(call, target)
             assert virtual.now() <= world.dispatcher.latest_start(call) + 0.01
 
--- a/tests/gateway/test_world.py
+++ b/tests/gateway/test_world.py
@@ -518,8 +518,8 @@
     @pytest.fixture(autouse=True)
     def _patient(self, monkeypatch):
         """Has probes wait for all answers, however busy this machine is."""
-        monkeypatch.setattr(load_probing, "_SECONDS", 10.0)
-        monkeypatch.setattr(load_probing, "_MORE_SECONDS", 10.0)
+        monkeypatch.setattr(load_probing, "_RESPONSE_TIMEOUT_SECONDS", 10.0)
+        monkeypatch.setattr(load_probing, "_EXTRA_WAIT_SECONDS", 10.0)
 
     def test_slow_targets_are_avoided(self):
         """Guards against work for a target that says it is slow now."""
