--- a/tests/gateway/test_admission_service.py
+++ b/tests/gateway/test_admission_service.py
@@ -1,4 +1,4 @@
-"""Places at contended targets: asked for, given, lost on the way."""
+"""Requesting, granting and losing permits for contended targets."""
 
 import asyncio
 
@@ -20,42 +20,42 @@
 
     Attributes:
         lost: How many of the next datagrams are lost.
-        silent: Addresses that nothing reaches.
+        unreachable: Addresses that no datagram reaches.
         sent: All messages with their receivers.
     """
 
     def __init__(self):
         self.lost = 0
-        self.silent = set()
+        self.unreachable = set()
         self.sent = []
         self._vms = {}
 
     def join(self, address, slots=1, admitted=0):
-        """Adds a VM that knows one target."""
+        """Adds a VM whose cluster view holds one target."""
         timer, log = fakes.VirtualClock(), fakes.Lines()
-        configured = fakes.configured()
-        configured.rooms = load_balancing.Policy(admitted=admitted)
-        known = fakes.known(timer, log, fakes.target("a", slots=slots))
-        made = admission_service.AdmissionService(
-            configured, Port(self, address), known, timer
+        gateway_settings = fakes.configured()
+        gateway_settings.rooms = load_balancing.Policy(admitted=admitted)
+        cluster = fakes.known(timer, log, fakes.target("a", slots=slots))
+        service = admission_service.AdmissionService(
+            gateway_settings, FakeChannel(self, address), cluster, timer
         )
-        made.address = address
-        self._vms[address] = made
-        return made
+        service.address = address
+        self._vms[address] = service
+        return service
 
-    def carry(self, sender, receiver, message):
-        """Brings a datagram over, unless it is lost."""
+    def deliver(self, sender, receiver, message):
+        """Delivers a datagram, unless it is lost."""
         self.sent.append((receiver, message))
         if self.lost:
             self.lost -= 1
-        elif not self.silent & {sender, receiver}:
+        elif not self.unreachable & {sender, receiver}:
             asyncio.get_running_loop().call_later(
                 0.012, self._vms[receiver].receive, sender, message
             )
 
 
-class Port:
-    """One VM's way into the network."""
+class FakeChannel:
+    """One VM's connection to the network."""
 
     def __init__(self, network, address):
         self._network = network
@@ -63,14 +63,14 @@
 
     def send(self, address, message):
         """Sends a message."""
-        self._network.carry(self._address, address, message)
+        self._network.deliver(self._address, address, message)
 
 
-def _enter(vm, *, gate=GATE, target="a", left=1.5, own=0):
+def _request_permit(vm, *, gate=GATE, target="a", left=1.5, own=0):
     return vm.request_permit(gate, target, 1, 0.4, left, WORK, own)
 
 
-def _play(scenario):
+def _run_scenario(scenario):
     async def main():
         network = Network()
         await scenario(network, network.join(GATE), network.join(OTHER))
@@ -78,17 +78,17 @@
     virtual.run(main())
 
 
-class TestPlaces:
-    """A place at a time."""
+class TestPermits:
+    """One permit at a time."""
 
     @pytest.mark.parametrize("where", [GATE, OTHER])
-    def test_given_in_turn(self, where):
-        """The second request waits until the first one is done."""
+    def test_granted_in_order(self, where):
+        """The second request waits until the first permit is returned."""
 
         async def scenario(network, gate, other):
             vm = {GATE: gate, OTHER: other}[where]
-            first = await _enter(vm)
-            second = asyncio.create_task(_enter(vm))
+            first = await _request_permit(vm)
+            second = asyncio.create_task(_request_permit(vm))
             await asyncio.sleep(0.1)
             assert not second.done()
             assert vm.waiting_counts() == {"a": 1}
@@ -96,26 +96,26 @@
             assert isinstance(await second, admission_service.Permit)
             assert vm.waiting_counts() == {}
 
-        _play(scenario)
+        _run_scenario(scenario)
 
     def test_refused_at_once(self):
-        """What cannot be served in time hears so with the first answer."""
+        """The first response refuses a request that cannot run in time."""
 
         async def scenario(network, gate, other):
-            await _enter(gate)
+            await _request_permit(gate)
             began = virtual.now()
-            refused = await _enter(other, left=0.15)
+            refused = await _request_permit(other, left=0.15)
             assert isinstance(refused, admission.Refusal)
             assert refused.seconds > 0
             assert virtual.now() - began < 0.05
 
-        _play(scenario)
+        _run_scenario(scenario)
 
     def test_messages_are_small(self):
-        """Places cost less than a tenth of a kilobyte each way."""
+        """A permit costs less than a tenth of a kilobyte in all messages."""
 
         async def scenario(network, gate, other):
-            other.return_permit(await _enter(other), answered=True)
+            other.return_permit(await _request_permit(other), answered=True)
             await asyncio.sleep(0.1)
             sizes = [
                 len(datagrams._ENCODER.encode(message))
@@ -124,50 +124,51 @@
             assert len(sizes) == 3
             assert sum(sizes) < 100
 
-        _play(scenario)
+        _run_scenario(scenario)
 
     def test_caller_leaves(self):
-        """A request that waits is given up; the next one gets its turn."""
+        """A waiting request is cancelled; the next one gets its permit."""
 
         async def scenario(network, gate, other):
-            first = await _enter(gate)
-            waiting = asyncio.create_task(_enter(other))
+            first = await _request_permit(gate)
+            waiting = asyncio.create_task(_request_permit(other))
             await asyncio.sleep(0.05)
             waiting.cancel()
             await asyncio.sleep(0.05)
-            third = asyncio.create_task(_enter(gate))
+            third = asyncio.create_task(_request_permit(gate))
             await asyncio.sleep(0.01)
             gate.return_permit(first, answered=True)
             assert isinstance(await third, admission_service.Permit)
 
-        _play(scenario)
+        _run_scenario(scenario)
 
 
 class TestLosses:
-    """Datagrams and gates are lost."""
+    """Lost datagrams and gates."""
 
     @pytest.mark.parametrize("lost", [1, 2])
     def test_lost_datagram(self, lost):
-        """A question or its answer is lost; it is asked again."""
+        """A request for a permit or its response is lost, and is sent again."""
 
         async def scenario(network, gate, other):
             network.lost = lost
             began = virtual.now()
-            place = await _enter(other)
-            assert (place is None) == (lost == 2)
+            permit = await _request_permit(other)
+            assert (permit is None) == (lost == 2)
             assert virtual.now() - began < 0.5
 
-        _play(scenario)
+        _run_scenario(scenario)
 
     def test_decision_is_lost(self):
-        """A request waits, and the word that it is admitted is lost.
+        """A request waits, and the decision to admit it is lost.
 
-        It would wait until its deadline passes, and its place with it.
+        Without another request it would wait until its deadline, and its permit
+        would stay in use.
         """
 
         async def scenario(network, gate, other):
-            first = await _enter(gate)
-            waiting = asyncio.create_task(_enter(other))
+            first = await _request_permit(gate)
+            waiting = asyncio.create_task(_request_permit(other))
             await asyncio.sleep(0.1)
             network.lost = 1
             gate.return_permit(first, answered=True)
@@ -175,61 +176,63 @@
             assert isinstance(await waiting, admission_service.Permit)
             assert virtual.now() - began < 0.6
 
-        _play(scenario)
+        _run_scenario(scenario)
 
     @pytest.mark.parametrize("waits", [False, True])
-    def test_gate_is_lost(self, waits):
-        """A gate dies or is cut off, before or while a request waits.
+    def test_gate_lost(self, waits):
+        """A gate crashes or is cut off, before or while a request waits.
 
-        The request has run nowhere; it is told soon that there is no gate.
+        The request ran nowhere; soon it gets the result that there is no gate.
         """
 
         async def scenario(network, gate, other):
             if waits:
-                await _enter(gate)
+                await _request_permit(gate)
             else:
-                network.silent = {GATE}
-            entering = asyncio.create_task(_enter(other))
+                network.unreachable = {GATE}
+            requesting = asyncio.create_task(_request_permit(other))
             await asyncio.sleep(0.1)
-            network.silent = {GATE}
+            network.unreachable = {GATE}
             began = virtual.now()
-            assert await entering is None
+            assert await requesting is None
             assert virtual.now() - began < 1.0
 
-        _play(scenario)
+        _run_scenario(scenario)
 
     def test_stopping_vm(self):
         """A VM that is a gate stops.
 
-        It takes no further requests, and says so at once; one that waits
-        there already still gets its place.
+        It rejects further requests at once; one that already waits there still
+        gets its permit.
         """
 
         async def scenario(network, gate, other):
-            first = await _enter(gate)
-            waiting = asyncio.create_task(_enter(other))
+            first = await _request_permit(gate)
+            waiting = asyncio.create_task(_request_permit(other))
             await asyncio.sleep(0.05)
             gate.stopping = True
             began = virtual.now()
-            assert await _enter(other) is None
+            assert await _request_permit(other) is None
             assert virtual.now() - began < 0.05
             gate.return_permit(first, answered=True)
             assert isinstance(await waiting, admission_service.Permit)
 
-        _play(scenario)
+        _run_scenario(scenario)
 
-    def test_next_gate_learns_what_is_under_way(self):
+    def test_new_gate_counts_running_requests(self):
         """A target gets another gate while requests run there.
 
-        The new one counts what VMs have under way by the former one's word.
+        The new gate counts the requests that the former one admitted.
         """
 
         async def scenario(network, gate, other):
-            place = await _enter(other)
-            asked = asyncio.create_task(_enter(other, gate=OTHER, own=1))
+            permit = await _request_permit(other)
+            waiting = asyncio.create_task(
+                _request_permit(other, gate=OTHER, own=1)
+            )
             await asyncio.sleep(0.01)
-            assert not asked.done()
-            other.return_permit(place, answered=True)
-            asked.cancel()
+            assert not waiting.done()
+            other.return_permit(permit, answered=True)
+            waiting.cancel()
 
-        _play(scenario)
+        _run_scenario(scenario)
--- a/tests/gateway/test_candidates.py
+++ b/tests/gateway/test_candidates.py
@@ -1,4 +1,4 @@
-"""Filters of targets before their load is looked at."""
+"""Filtering of targets before load balancing."""
 
 import pytest
 
@@ -15,8 +15,8 @@
 HERE = "here:1"
 
 
-class Places:
-    """Knows this VM's address."""
+class FakeAdmission:
+    """Gives this VM's address."""
 
     address = HERE
 
@@ -44,22 +44,22 @@
             fakes.configured(),
             self.cluster,
             self.balancer,
-            Places(),
+            FakeAdmission(),
             self.clock,
             lambda: 3,
         )
 
     def call(self, regions=(), key=None):
-        """Makes a request."""
+        """Returns a request."""
         now = virtual.now()
         route = fakes.route(regions=regions)
         incoming = http_server.Incoming("GET", b"/", now)
-        made = pending.Call(incoming, route, self.service, b"1", now + 2.0)
-        made.key = key
-        return made
+        call = pending.Call(incoming, route, self.service, b"1", now + 2.0)
+        call.key = key
+        return call
 
-    def own(self, name):
-        """Gives all keys to a target."""
+    def assign(self, name):
+        """Assigns all keys to a target."""
         self.cluster.apply_assignment(
             assignments.Assignment("s", (1, 1), (0,), (name,))
         )
@@ -71,7 +71,7 @@
         )
 
 
-def _play(check, **options):
+def _run_check(check, **options):
     async def main():
         check(World(**options))
 
@@ -82,8 +82,8 @@
     return {target.id for target in targets}
 
 
-class TestPlace:
-    """Regions and evacuated zones."""
+class TestZonesAndRegions:
+    """Allowed regions and evacuated zones."""
 
     @pytest.mark.parametrize(
         ("regions", "evacuated", "expected"),
@@ -98,7 +98,7 @@
         ],
     )
     def test_without_a_key(self, regions, evacuated, expected):
-        """Guards against a target that must not run a request."""
+        """Guards against choosing a target that must not run the request."""
 
         def check(world):
             call = world.call(regions)
@@ -107,10 +107,10 @@
             assert _names(found) == expected
             refused = world.candidates.exclusion_failure(call, virtual.now())
             assert (refused is None) is bool(expected)
-            drawn = world.candidates.sample(call, ())
-            assert _names(drawn) <= expected
+            sampled = world.candidates.sample(call, ())
+            assert _names(sampled) <= expected
 
-        _play(check)
+        _run_check(check)
 
     @pytest.mark.parametrize(
         ("owner", "regions", "evacuated", "refused"),
@@ -123,10 +123,10 @@
         ],
     )
     def test_owner_of_a_key(self, owner, regions, evacuated, refused):
-        """Guards against a request for a key that leaves its regions."""
+        """Guards against running a key's request outside its regions."""
 
         def check(world):
-            world.own(owner)
+            world.assign(owner)
             world.evacuate(*evacuated)
             call = world.call(regions, key=7)
             found = world.candidates.exclusion_failure(call, virtual.now())
@@ -136,10 +136,10 @@
                 assert found.err_value.wait > 0
                 assert "outside the allowed regions" in found.err_value.detail
 
-        _play(check, keyed=True)
+        _run_check(check, keyed=True)
 
-    def test_evacuated_while_it_is_known(self):
-        """Guards against targets that are kept from before an evacuation."""
+    def test_evacuation_clears_caches(self):
+        """Guards against targets cached from before an evacuation."""
 
         def check(world):
             call = world.call()
@@ -150,11 +150,11 @@
             found = world.candidates.eligible(call, virtual.now())
             assert _names(found) == {"a", "b", "c"}
 
-        _play(check)
+        _run_check(check)
 
 
 class TestCold:
-    """Targets whose rate is bounded."""
+    """Targets whose request rate is limited while they are cold."""
 
     @pytest.mark.parametrize(
         ("sender", "rate", "sent", "waits"),
@@ -166,19 +166,19 @@
             ("other:1", 0.0, 0, False),
         ],
     )
-    def test_only_its_sender(self, sender, rate, sent, waits):
+    def test_only_the_gate_sends(self, sender, rate, sent, waits):
         """Guards against a cold target that all VMs send to."""
 
         def check(world):
-            known = world.cluster.directory
-            known.record_cold("a", 3.0, virtual.now())
+            target_directory = world.cluster.directory
+            target_directory.record_cold("a", 3.0, virtual.now())
             if sender:
                 world.balancer.replace_gates({"a": sender}, virtual.now())
-            target = known.get("a").target
+            target = target_directory.get("a").target
             for _ in range(sent):
                 world.candidates.record_send(target, admitted=False)
             wait = world.candidates.send_wait(target, world.call())
             assert (wait > 0) is waits
             assert wait <= 3.0
 
-        _play(check, rate=rate)
+        _run_check(check, rate=rate)
--- a/tests/gateway/test_dispatching.py
+++ b/tests/gateway/test_dispatching.py
@@ -1,4 +1,4 @@
-"""Where requests go, and what happens to those that wait."""
+"""Dispatching of requests, and what becomes of those that wait."""
 
 import asyncio
 import math
@@ -21,53 +21,53 @@
 GATE = "gate:1"
 
 
-class Gate:
-    """A gate that answers after a while.
+class FakeGate:
+    """A gate that responds after a delay.
 
     Attributes:
-        answer: What it says.
-        seconds: How long it takes.
-        given_back: Places that were given back.
-        asked: Requests that asked, as they asked.
-        left: Requests that left its queue.
+        response: What it returns.
+        seconds: The delay.
+        returned: Permits that were returned, with whether the target responded.
+        requests: Arguments of the requests for permits.
+        cancelled: How many requests left its queue.
     """
 
     def __init__(self):
-        self.answer = admission_service.Permit(GATE, "a", 1)
+        self.response = admission_service.Permit(GATE, "a", 1)
         self.seconds = 0.1
-        self.given_back = []
-        self.asked = []
-        self.left = 0
+        self.returned = []
+        self.requests = []
+        self.cancelled = 0
 
-    async def request_permit(self, *asked):
-        """Answers a request."""
-        self.asked.append(asked)
+    async def request_permit(self, *arguments):
+        """Responds to a request for a permit."""
+        self.requests.append(arguments)
         try:
             await asyncio.sleep(self.seconds)
         except asyncio.CancelledError:
-            self.left += 1
+            self.cancelled += 1
             raise
-        return self.answer
+        return self.response
 
     def return_permit(self, permit, *, answered):
-        """Takes a place back."""
-        self.given_back.append((permit, answered))
+        """Records a returned permit."""
+        self.returned.append((permit, answered))
 
 
-class Peers:
-    """Takes what is told of a target."""
+class FakeMembership:
+    """Accepts reports on full targets."""
 
     count = 67
 
     def report_full_target(self, target):
-        """Takes a refusal."""
+        """Accepts a report of a refusal."""
 
     def report_soon(self):
-        """Takes word of a full target."""
+        """Accepts a request to report soon."""
 
 
 class World:
-    """One VM's placing, with a key's owner that has a gate."""
+    """One VM's dispatcher, and a key whose owner can have a gate."""
 
     def __init__(self):
         self.clock, self.log = fakes.VirtualClock(), fakes.Lines()
@@ -79,48 +79,48 @@
             {"z": "r"},
             load_balancing.Policy(),
         )
-        self.gate = Gate()
+        self.gate = FakeGate()
         self.dispatcher = dispatching.Dispatcher(
             fakes.configured(),
             self.cluster,
             self.balancer,
-            Peers(),
+            FakeMembership(),
             wait_queues.WaitQueues(),
             self.gate,
             self.clock,
             None,
         )
-        self._serial = 0
+        self._revision = 0
         self.assign("a")
 
     def assign(self, owner):
-        """Gives all keys to a target, or to none."""
-        self._serial += 1
+        """Assigns all keys to a target, or to none."""
+        self._revision += 1
         self.cluster.apply_assignment(
-            assignments.Assignment("s", (1, self._serial), (0,), (owner,))
+            assignments.Assignment("s", (1, self._revision), (0,), (owner,))
         )
 
     def call(self, seconds=1.5, latency=0.4):
-        """Makes a request for a key."""
+        """Returns a request for a key."""
         now = virtual.now()
         route = fakes.route(target_latency=latency)
-        made = pending.Call(
+        call = pending.Call(
             http_server.Incoming("GET", b"/", now),
             route,
             routes.Service("s", keyed=True),
             b"1",
             now + seconds,
         )
-        made.key = 7
-        made.ticket = self.dispatcher.ticket(1)
-        return made
+        call.key = 7
+        call.ticket = self.dispatcher.ticket(1)
+        return call
 
-    def name_gate(self):
-        """Has the leader name the target's gate."""
+    def apply_gate(self):
+        """Applies the leader's assignment of a gate to the target."""
         self.balancer.replace_gates({"a": GATE}, virtual.now())
 
 
-def _play(scenario):
+def _run_scenario(scenario):
     async def main():
         await scenario(World())
 
@@ -130,169 +130,174 @@
 class TestGate:
     """A target with a gate."""
 
-    def test_place(self):
-        """A place is taken, and given back with the request's end."""
+    def test_permit(self):
+        """A permit is taken, and returned when the request ends."""
 
         async def scenario(world):
-            world.name_gate()
+            world.apply_gate()
             call = world.call()
             target = (await world.dispatcher.acquire_target(call)).ok_value
             assert (target.id, world.balancer.load("a").own) == ("a", 1)
             call.answered = True
             world.dispatcher.finish(call, target)
             assert world.balancer.load("a").own == 0
-            assert world.gate.given_back == [(world.gate.answer, True)]
+            assert world.gate.returned == [(world.gate.response, True)]
 
-        _play(scenario)
+        _run_scenario(scenario)
 
     def test_refusal(self):
-        """The caller hears the gate's own word on when to come back."""
+        """The caller gets the Retry-After that the gate returned."""
 
         async def scenario(world):
-            world.name_gate()
-            world.gate.answer = admission.Refusal(2.5)
+            world.apply_gate()
+            world.gate.response = admission.Refusal(2.5)
             failure = (
                 await world.dispatcher.acquire_target(world.call())
             ).err_value
             assert failure.kind is errors.ErrorKind.OVERLOADED
             assert failure.retry_after == 2.5
 
-        _play(scenario)
+        _run_scenario(scenario)
 
     def test_silent_gate(self):
-        """A gate does not answer; the request goes to its target without."""
+        """Without a response of the gate, the request is sent directly."""
 
         async def scenario(world):
-            world.name_gate()
-            world.gate.answer = None
+            world.apply_gate()
+            world.gate.response = None
             target = (
                 await world.dispatcher.acquire_target(world.call())
             ).ok_value
             assert target.id == "a"
-            assert len(world.gate.asked) == 1
+            assert len(world.gate.requests) == 1
 
-        _play(scenario)
+        _run_scenario(scenario)
 
-    def test_key_moves_while_it_waits(self):
-        """A request waits at a gate; its key is given to another target.
+    def test_key_moves_during_wait(self):
+        """A request waits at a gate while its key moves to another target.
 
-        Waiting on, it would be rejected there and lose its time.
+        If it kept waiting, the target would reject it and its time would be
+        lost.
         """
 
         async def scenario(world):
-            world.name_gate()
+            world.apply_gate()
             world.gate.seconds = 5.0
-            finding = asyncio.create_task(
+            acquiring = asyncio.create_task(
                 world.dispatcher.acquire_target(world.call())
             )
             await asyncio.sleep(0.1)
             world.assign("b")
-            target = (await finding).ok_value
+            target = (await acquiring).ok_value
             assert target.id == "b"
             assert virtual.now() < 0.2
             await asyncio.sleep(0)
-            assert world.gate.left == 1
+            assert world.gate.cancelled == 1
 
-        _play(scenario)
+        _run_scenario(scenario)
 
-    def test_target_leaves_while_it_waits(self):
-        """A target announces its end, and a place there comes too late.
+    def test_target_leaves_during_wait(self):
+        """A permit arrives after its target announced that it is leaving.
 
-        It must get no work by then; the place goes to nobody.
+        The target may get no more work by then, so the permit must be returned.
         """
 
         async def scenario(world):
-            world.name_gate()
+            world.apply_gate()
             world.gate.seconds = 2.5
             call = world.call(seconds=4.0)
-            finding = asyncio.create_task(world.dispatcher.acquire_target(call))
+            acquiring = asyncio.create_task(
+                world.dispatcher.acquire_target(call)
+            )
             world.cluster.apply_target(fakes.target("a", leaving=True))
-            found = await finding
-            assert found.is_err()
-            assert len(world.gate.given_back) == 1
+            acquired = await acquiring
+            assert acquired.is_err()
+            assert len(world.gate.returned) == 1
 
-        _play(scenario)
+        _run_scenario(scenario)
 
     @pytest.mark.parametrize("seconds", [0.05, 0.1])
     def test_caller_leaves(self, seconds):
-        """A caller leaves while its request waits, or as its place comes.
+        """A caller leaves while its request waits, or as its permit arrives.
 
-        The place must not stay taken.
+        The permit must not stay in use.
         """
 
         async def scenario(world):
-            world.name_gate()
-            finding = asyncio.create_task(
+            world.apply_gate()
+            acquiring = asyncio.create_task(
                 world.dispatcher.acquire_target(world.call())
             )
             await asyncio.sleep(seconds)
-            finding.cancel()
-            await asyncio.gather(finding, return_exceptions=True)
+            acquiring.cancel()
+            await asyncio.gather(acquiring, return_exceptions=True)
             await asyncio.sleep(0)
-            assert world.gate.left + len(world.gate.given_back) == 1
+            assert world.gate.cancelled + len(world.gate.returned) == 1
             assert world.balancer.load("a").own == 0
 
-        _play(scenario)
+        _run_scenario(scenario)
 
     def test_route_without_target_latency(self):
-        """Its answers are on time until the deadline."""
+        """Without target latency, responses are on time until the deadline."""
 
         async def scenario(world):
-            world.name_gate()
+            world.apply_gate()
             await world.dispatcher.acquire_target(world.call(latency=0.0))
-            assert world.gate.asked[0][3] == pytest.approx(1.5)
+            assert world.gate.requests[0][3] == pytest.approx(1.5)
 
-        _play(scenario)
+        _run_scenario(scenario)
 
 
 class TestNoOwner:
-    """Keys that nobody owns."""
+    """Keys without an owner."""
 
     def test_handover(self):
-        """A key changes hands; its requests wait for the next owner."""
+        """Requests for a key in handover wait for the next owner."""
 
         async def scenario(world):
             world.assign("")
-            finding = asyncio.create_task(
+            acquiring = asyncio.create_task(
                 world.dispatcher.acquire_target(world.call())
             )
             await asyncio.sleep(0.3)
             world.assign("b")
-            assert (await finding).ok_value.id == "b"
+            assert (await acquiring).ok_value.id == "b"
 
-        _play(scenario)
+        _run_scenario(scenario)
 
-    def test_lost_owner(self):
-        """A target died; its keys are back when its grant has run out.
+    def test_crashed_owner(self):
+        """A target crashed; its keys get an owner when its grant has expired.
 
-        Requests that cannot wait so long hear at once when to come back.
+        Requests that cannot wait so long get a Retry-After at once.
         """
 
         async def scenario(world):
             world.assign("")
             await asyncio.sleep(0.8)
             began = virtual.now()
-            found = await world.dispatcher.acquire_target(
+            acquired = await world.dispatcher.acquire_target(
                 world.call(seconds=0.8)
             )
-            assert found.err_value.kind is errors.ErrorKind.NO_OWNER
-            assert found.err_value.retry_after == pytest.approx(1.34, abs=0.01)
+            assert acquired.err_value.kind is errors.ErrorKind.NO_OWNER
+            assert acquired.err_value.retry_after == pytest.approx(
+                1.34, abs=0.01
+            )
             assert virtual.now() == began
-            patient = asyncio.create_task(
+            waiting = asyncio.create_task(
                 world.dispatcher.acquire_target(world.call(seconds=3.0))
             )
             await asyncio.sleep(1.3)
             world.assign("b")
-            assert (await patient).is_ok()
+            assert (await waiting).is_ok()
 
-        _play(scenario)
+        _run_scenario(scenario)
 
 
-class TestLastMoment:
-    """A request whose time is all but over."""
+class TestDeadlineReached:
+    """A request whose time is almost over."""
 
-    def test_it_is_refused(self):
-        """Guards against a request that looks again before any time passes."""
+    def test_refused(self):
+        """Guards against a busy loop of attempts in which no time passes."""
 
         async def scenario(world):
             await asyncio.sleep(15.0)
@@ -303,14 +308,14 @@
                 call.deadline = math.nextafter(call.deadline, math.inf)
             assert (await world.dispatcher.acquire_target(call)).is_err()
 
-        _play(scenario)
+        _run_scenario(scenario)
 
 
 class TestUnreachable:
-    """The only target for a key takes no connection."""
+    """The only target for a key accepts no connection."""
 
-    def test_pauses(self):
-        """Guards against a hundred connections a request to a dead target."""
+    def test_backoff(self):
+        """Guards against 100 connections per request to a crashed target."""
 
         async def main():
             world = World()
@@ -323,8 +328,8 @@
 
         virtual.run(main())
 
-    def test_next_owner_ends_the_pause(self):
-        """Guards against a wait for a target that owns the key no more."""
+    def test_owner_change_ends_backoff(self):
+        """Guards against waiting for a target that no longer owns the key."""
 
         async def main():
             world = World()
@@ -339,8 +344,8 @@
 
         virtual.run(main())
 
-    def test_not_beyond_the_deadline(self):
-        """Guards against a request that is sent when it is too late."""
+    def test_backoff_ends_at_latest_start(self):
+        """Guards against a request that is sent too late."""
 
         async def main():
             world = World()
--- a/tests/gateway/test_world.py
+++ b/tests/gateway/test_world.py
@@ -1,7 +1,7 @@
-"""The whole path on the platform's protocol, over loopback.
+"""End-to-end tests with the platform's protocol over loopback.
 
-Waiting is for conditions, never for a time; nothing is asserted about how long
-anything took.
+The tests wait for conditions, never for a time, and assert nothing about
+durations.
 """
 
 import asyncio
@@ -18,8 +18,8 @@
 from mimosastile_standins import platform_world
 
 
-def _play(scenario, **sizes):
-    """Runs a scenario in a world and ends all of it."""
+def _run_scenario(scenario, **sizes):
+    """Runs a scenario in a new world and stops the world."""
 
     async def main():
         world = platform_world.World()
@@ -42,11 +42,11 @@
     return [run for run in world.runs if run.attempt == attempt]
 
 
-class TestCalmDay:
-    """Nothing is wrong."""
+class TestNormalOperation:
+    """No faults."""
 
     def test_requests_of_both_kinds(self):
-        """Every VM serves keyed and other requests, each run once."""
+        """Every VM serves keyed and other requests, and each runs once."""
 
         async def scenario(world):
             for vm in world.addresses:
@@ -60,21 +60,21 @@
             attempts = collections.Counter(run.attempt for run in world.runs)
             assert set(attempts.values()) == {1}
 
-        _play(scenario)
+        _run_scenario(scenario)
 
     @pytest.mark.parametrize(
         ("path", "status"), [("/nowhere/1", 404), ("/read", 404)]
     )
     def test_no_route(self, path, status):
-        """What no route leads to is not found."""
+        """A request without a route gets 404."""
 
         async def scenario(world):
             assert (await world.ask(path, 1)).status == status
 
-        _play(scenario, vms=1)
+        _run_scenario(scenario, vms=1)
 
     def test_new_configuration(self):
-        """A route that operators add is served, one they remove is not."""
+        """An added route is served, a removed one is not."""
 
         async def scenario(world):
             extra = platform_world.configuration()["ListenerList"][0][
@@ -92,7 +92,7 @@
                 return answer.status == 200
 
             await world.until(served)
-            # An older version never comes back into force.
+            # An older version is never applied again.
             world.store.put("op/config", platform_world.configuration(3))
             world.store.put_bytes("op/config", b'{"ConfigVersion": 9, "Li')
             world.store.put("servers/zz", {"ServiceName": 7})
@@ -102,16 +102,16 @@
             assert "configuration_unreadable" in world.log("vm-0")
             assert "target_unreadable" in world.log("vm-0")
 
-        _play(scenario)
+        _run_scenario(scenario)
 
 
-class TestCrowd:
-    """More is wanted of a target than it can take."""
+class TestOverload:
+    """A target gets more requests than it can run."""
 
-    def test_ownership_outlasts_it(self):
-        """Guards against a crowd that takes a target's keys from it.
+    def test_keys_stay_with_full_target(self):
+        """Guards against a target that loses its keys under overload.
 
-        Requests occupy all connections, and the target takes no new ones.
+        Requests occupy all connections, and the target accepts no new ones.
         """
 
         async def scenario(world):
@@ -133,17 +133,17 @@
                 task.cancel()
             await asyncio.gather(*asked, return_exceptions=True)
 
-        _play(scenario, vms=1, keyed=1, plain=0)
+        _run_scenario(scenario, vms=1, keyed=1, plain=0)
 
 
 class TestTargets:
     """Targets that fail, leave and are replaced."""
 
-    def test_lost_target(self):
-        """A target that owns keys dies without a word.
+    def test_crashed_target(self):
+        """A target that owns keys crashes.
 
-        Its keys are refused until its grant has run out, then another target
-        serves them; no other key is touched.
+        Its keys are refused until its grant has expired, then another target
+        serves them. Requests for other keys are not affected.
         """
 
         async def scenario(world):
@@ -159,12 +159,12 @@
             await world.until(served, 20.0)
             assert "k0" not in {h.id for h in _table(world).holders()}
 
-        _play(scenario)
+        _run_scenario(scenario)
 
     def test_leaving_target(self):
-        """A target announces its end; its keys go before it does.
+        """A target announces that it is leaving; its keys move before it ends.
 
-        No request is refused on the way.
+        No request is refused meanwhile.
         """
 
         async def scenario(world):
@@ -182,14 +182,14 @@
             await world.until(moved)
             assert statuses == {200}
 
-        _play(scenario)
+        _run_scenario(scenario)
 
     def test_address_taken_by_another_service(self):
-        """A target dies and another service's target gets its address.
+        """A target crashes and a target of another service gets its address.
 
-        Its registration stands for seconds. Each request sent there is one
-        for nothing, and a repeat that the other service has to bear; sent
-        again and again they add up to more than it gets from its callers.
+        Its registration remains for seconds. Each request sent there is wasted
+        and retried, and the other service has to reject it. Sent again and
+        again, they would exceed the requests of that service's own callers.
         """
 
         async def scenario(world):
@@ -201,10 +201,10 @@
                 for key in (0, 30_000, 60_000):
                     await world.ask("/read/x", key, deadline_ms=200)
             assert len(victim.runs) > before
-            # One for each VM, and some that were under way.
+            # One for each VM, and those under way.
             assert victim.misdirected <= 12
 
-        _play(scenario)
+        _run_scenario(scenario)
 
     @pytest.mark.parametrize(
         ("fault", "statuses"),
@@ -215,11 +215,11 @@
             (platform_target.Fault.HANG, {504}),
         ],
     )
-    def test_what_must_not_run_twice(self, fault, statuses):
+    def test_not_repeated_if_maybe_run(self, fault, statuses):
         """Both targets of a service fail in the same way.
 
-        A label whose answer is lost must not be issued by the other target;
-        "not run" is said only of what was rejected.
+        A label whose response is lost must not be issued by the other target.
+        Only rejected requests may be answered with "not run".
         """
 
         async def scenario(world):
@@ -233,21 +233,22 @@
                 seen.add(answer.status)
                 if answer.status == 503:
                     assert answer.header(b"retry-after")
-            # A reset listener is gone for good.
+            # A listener that was reset stays closed.
             assert seen <= statuses | {503}
             attempts = collections.Counter(run.attempt for run in world.runs)
             assert set(attempts.values()) <= {1}
             for run in world.runs:
                 assert len(_ran(world, run.attempt)) == 1
 
-        _play(scenario, vms=1)
+        _run_scenario(scenario, vms=1)
 
-    def test_caller_who_has_left(self):
-        """A letter waits at a full target, and its reader goes away.
+    def test_caller_disconnects(self):
+        """A letter waits at a full target, and its reader disconnects.
 
-        The letter must not be cut off there, as it may run; but when the
-        target rejects it at last, nobody waits for it any more. Sent on, it
-        would take the place of others' letters at one target after the other.
+        The letter must not be cancelled there, as it may run. When the target
+        finally rejects it, it must not be sent to another target: no caller
+        waits for it, and it would take the slots of other letters at one target
+        after the other.
         """
 
         async def scenario(world):
@@ -260,23 +261,23 @@
             await asyncio.sleep(1.0)
             assert sum(target.shed for target in plain) == 1
 
-        _play(scenario, vms=1)
+        _run_scenario(scenario, vms=1)
 
 
 class TestVms:
-    """Daemons that are lost."""
+    """VMs that crash or stop."""
 
-    def test_lost_leader(self):
-        """The VM that leads dies; another one renews all grants in time.
+    def test_crashed_leader(self):
+        """The leader crashes; another VM renews all grants in time.
 
-        Callers of the other VMs notice nothing.
+        Callers of the other VMs get no errors.
         """
 
         async def scenario(world):
             leader = next(
                 name
-                for name, made in world.daemons.items()
-                if made.dump()["leading"]["leading"]
+                for name, daemon in world.daemons.items()
+                if daemon.dump()["leading"]["leading"]
             )
             world.kill_vm(leader)
             statuses = collections.Counter()
@@ -285,8 +286,8 @@
                 for key in (0, 30_000, 60_000):
                     statuses[(await world.ask("/read/x", key)).status] += 1
                 return any(
-                    made.dump()["leading"]["leading"]
-                    for made in world.daemons.values()
+                    daemon.dump()["leading"]["leading"]
+                    for daemon in world.daemons.values()
                 )
 
             await world.until(replaced)
@@ -296,12 +297,13 @@
                 await asyncio.sleep(0.05)
             assert set(statuses) == {200}
 
-        _play(scenario, vms=3)
+        _run_scenario(scenario, vms=3)
 
-    def test_all_vms_lost(self):
-        """All VMs die at once and come back empty.
+    def test_all_vms_crash(self):
+        """All VMs crash at once, and new ones start without state.
 
-        Table and configuration come from the store; fences rise on.
+        They read the table and the configuration from the store; fences keep
+        increasing.
         """
 
         async def scenario(world):
@@ -313,10 +315,10 @@
             await world.until(world._serves_keys)
             assert _table(world).next_fence >= before.next_fence
 
-        _play(scenario)
+        _run_scenario(scenario)
 
     def test_graceful_stop(self):
-        """A VM stops while it serves; what it took is answered whole."""
+        """A VM stops under load and still responds to all accepted requests."""
 
         async def scenario(world):
             for target in world.targets.values():
@@ -326,27 +328,27 @@
                 for _ in range(5)
             ]
             await asyncio.sleep(0.1)
-            made = world.daemons.pop("vm-0")
+            daemon = world.daemons.pop("vm-0")
             world.addresses.pop("vm-0")
-            stopping = asyncio.create_task(made.stop())
+            stopping = asyncio.create_task(daemon.stop())
             answers = await asyncio.gather(*asked)
             assert {a.status for a in answers} == {200}
-            assert not made.ready
+            assert not daemon.ready
             await stopping
-            made.abort()
+            daemon.abort()
 
-        _play(scenario)
+        _run_scenario(scenario)
 
-    def test_silent_target_while_it_stops(self):
-        """Guards against a stop that closes on a caller without an answer.
+    def test_silent_target_during_stop(self):
+        """Guards against a stop that closes connections without a response.
 
-        A full target keeps a request and never says a word.
+        A full target holds a request and never responds.
         """
 
         async def scenario(world):
-            made = world.daemons.pop("vm-0")
-            made._settings.bounds = msgspec.structs.replace(
-                made._settings.bounds, grace=2.0
+            daemon = world.daemons.pop("vm-0")
+            daemon._settings.bounds = msgspec.structs.replace(
+                daemon._settings.bounds, grace=2.0
             )
             for target in world.targets.values():
                 target.fault = platform_target.Fault.HANG
@@ -362,8 +364,8 @@
             await asyncio.sleep(0.2)
 
             async def end():
-                await made.stop()
-                made.abort()
+                await daemon.stop()
+                daemon.abort()
 
             ending = asyncio.create_task(end())
             await asyncio.sleep(0.2)
@@ -375,48 +377,48 @@
             assert {a.status for a in answers} <= {503, 504}
             await ending
 
-        _play(scenario)
+        _run_scenario(scenario)
 
 
-class TestPlaces:
-    """Requests may not be run everywhere."""
+class TestEligibility:
+    """Zones and regions in which requests may run."""
 
     def test_allowed_regions(self):
-        """Guards against a request that is run outside of its regions."""
+        """Guards against a request that runs outside its allowed regions."""
 
         async def scenario(world):
             await world.add_target("far", platform_world.PLAIN, zone="zone-c")
 
-            async def known():
+            async def received():
                 return all(
-                    made.dump()["targets"].get("far") == "ready"
-                    for made in world.daemons.values()
+                    daemon.dump()["targets"].get("far") == "ready"
+                    for daemon in world.daemons.values()
                 )
 
-            await world.until(known)
+            await world.until(received)
             world.store.put(
                 "op/config",
                 platform_world.configuration(4, regions=["region-b"]),
             )
 
-            async def bound():
+            async def applied():
                 await world.ask("/issue/1", None, method="POST")
                 return all(
-                    made.dump()["configuration"] == 4
-                    for made in world.daemons.values()
+                    daemon.dump()["configuration"] == 4
+                    for daemon in world.daemons.values()
                 )
 
-            await world.until(bound)
+            await world.until(applied)
             world.runs.clear()
             for _ in range(20):
                 answer = await world.ask("/issue/1", None, method="POST")
                 assert answer.status == 200
             assert {run.target for run in world.runs} == {"far"}
 
-        _play(scenario)
+        _run_scenario(scenario)
 
     def test_no_target_in_the_regions(self):
-        """Guards against a request that waits for what cannot come."""
+        """Guards against waiting for a target that cannot exist."""
 
         async def scenario(world):
             world.store.put(
@@ -435,13 +437,13 @@
             assert world.runs == []
             assert "outside the allowed regions" in world.log("vm-0")
 
-        _play(scenario, vms=1)
+        _run_scenario(scenario, vms=1)
 
     def test_evacuation(self):
-        """Guards against work for targets of a zone that is evacuated.
+        """Guards against work for targets of an evacuated zone.
 
-        Keys move to other zones and are served meanwhile; when the zone is
-        taken back its targets are used again.
+        Keys move to other zones and are served meanwhile. After the evacuation
+        ends, the targets of the zone are used again.
         """
 
         async def scenario(world):
@@ -458,7 +460,7 @@
             world.store.put("op/evacuate/zone-a", {})
             await world.until(moved)
 
-            async def settled():
+            async def served():
                 world.runs.clear()
                 for vm in world.addresses:
                     for key in (0, 30_000, 65_535):
@@ -466,7 +468,7 @@
                     await world.ask("/issue/1", None, vm, method="POST")
                 return {run.target for run in world.runs} == {"kb", "pb"}
 
-            await world.until(settled)
+            await world.until(served)
             world.runs.clear()
             for number in range(30):
                 read = await world.ask(f"/read/{number}", number * 2000)
@@ -481,7 +483,7 @@
 
             await world.until(used)
 
-        _play(scenario)
+        _run_scenario(scenario)
 
     def test_evacuated_everywhere(self):
         """Guards against requests that wait while all zones are evacuated."""
@@ -509,20 +511,20 @@
 
             await world.until(served)
 
-        _play(scenario)
+        _run_scenario(scenario)
 
 
-class TestOwnWord:
-    """Targets say how they are."""
+class TestLoadReports:
+    """Load and warm-up state that targets report."""
 
     @pytest.fixture(autouse=True)
-    def _patient(self, monkeypatch):
-        """Has probes wait for all answers, however busy this machine is."""
+    def _long_probe_timeouts(self, monkeypatch):
+        """Lets probes wait for all responses, however slow the machine is."""
         monkeypatch.setattr(load_probing, "_RESPONSE_TIMEOUT_SECONDS", 10.0)
         monkeypatch.setattr(load_probing, "_EXTRA_WAIT_SECONDS", 10.0)
 
     def test_slow_targets_are_avoided(self):
-        """Guards against work for a target that says it is slow now."""
+        """Guards against work for a target that reports that it is slow."""
 
         async def scenario(world):
             await world.ask("/issue/1", None, method="POST")
@@ -535,14 +537,14 @@
                     )
                     assert answer.status == 200
             ran = collections.Counter(run.target for run in world.runs)
-            # A VM that has heard no load yet knows nothing of it.
+            # A VM that has not received a load report yet may still choose it.
             assert ran["p0"] <= len(world.addresses)
             assert world.targets["p1"].checks > 20
 
-        _play(scenario)
+        _run_scenario(scenario)
 
     def test_cold_target(self):
-        """Guards against a cold target that gets what a warm one would."""
+        """Guards against a cold target that gets the load of a warm one."""
 
         async def scenario(world):
             await world.ask("/issue/1", None, method="POST")
@@ -550,13 +552,13 @@
             cold.cold_seconds = 60.0
             world.store.put("servers/p0", cold.registration())
 
-            async def known():
+            async def received():
                 return all(
-                    "p0" in made.dump()["cold_targets"]
-                    for made in world.daemons.values()
+                    "p0" in daemon.dump()["cold_targets"]
+                    for daemon in world.daemons.values()
                 )
 
-            await world.until(known)
+            await world.until(received)
             world.runs.clear()
             for _ in range(60):
                 answer = await world.ask("/issue/1", None, method="POST")
@@ -569,11 +571,11 @@
             assert most <= 3.3 * 1.5 + 8
             assert len(times) < 30
 
-        _play(scenario)
+        _run_scenario(scenario)
 
 
-class TestAnnouncements:
-    """What targets say of themselves goes through the real adapter."""
+class TestTargetFeedback:
+    """Target feedback as read by the platform's adapter."""
 
     @staticmethod
     async def _ask_all(world, count=5):
@@ -582,19 +584,19 @@
                 await world.ask("/issue/1", None, vm, method="POST")
 
     def test_limit(self):
-        """Guards against a limit that is not read off the wire."""
+        """Guards against a limit that is not read from the response."""
 
         async def scenario(world):
             world.targets["p0"].limit = 0.4
 
-            async def known():
+            async def received():
                 await self._ask_all(world, 1)
                 return all(
-                    made.dump()["target_limits"] == {"p0": 0.4}
-                    for made in world.daemons.values()
+                    daemon.dump()["target_limits"] == {"p0": 0.4}
+                    for daemon in world.daemons.values()
                 )
 
-            await world.until(known)
+            await world.until(received)
             began = asyncio.get_running_loop().time()
             world.runs.clear()
             await self._ask_all(world, 20)
@@ -603,57 +605,57 @@
             assert len(got) <= 1.5 * 0.4 * max(passed, 4.0) + 5
             assert "limit_named" in world.log("vm-0")
 
-        _play(scenario)
+        _run_scenario(scenario)
 
     def test_leaving(self):
-        """Guards against a leaving that is not read off the wire."""
+        """Guards against a leaving state that is not read from the response."""
 
         async def scenario(world):
             world.targets["p0"].leaving = True
 
-            async def known():
+            async def received():
                 await self._ask_all(world, 1)
                 return all(
-                    made.dump()["targets"]["p0"] == "leaving"
-                    for made in world.daemons.values()
+                    daemon.dump()["targets"]["p0"] == "leaving"
+                    for daemon in world.daemons.values()
                 )
 
-            await world.until(known)
+            await world.until(received)
             world.runs.clear()
             await self._ask_all(world)
             assert {run.target for run in world.runs} == {"p1"}
 
-        _play(scenario)
+        _run_scenario(scenario)
 
-    def test_rest(self):
-        """Guards against a rest that is not read off the wire."""
+    def test_backoff(self):
+        """Guards against a backoff that is not read from the response."""
 
         async def scenario(world):
             target = world.targets["p0"]
             target.fault, target.rest = platform_target.Fault.SHED, 600.0
 
-            async def known():
+            async def received():
                 await self._ask_all(world, 1)
                 return all(
                     "rest_asked" in world.log(vm) for vm in world.addresses
                 )
 
-            await world.until(known)
+            await world.until(received)
             target.arrivals.clear()
             await self._ask_all(world)
             assert target.arrivals == []
 
-        _play(scenario)
+        _run_scenario(scenario)
 
 
 class TestStore:
-    """The store misbehaves."""
+    """Failures of the store."""
 
     @pytest.mark.parametrize("mood", ["BUSY", "SILENT"])
     def test_outage(self, mood):
-        """The store is away for longer than a grant lasts.
+        """The store is unavailable for longer than a grant lasts.
 
-        Requests are served on, and new ones after it is back.
+        Requests are served during the outage, and after it.
         """
 
         async def scenario(world):
@@ -668,20 +670,20 @@
             world.store.mood = moods.WELL
             assert (await world.ask("/read/x", 7)).status == 200
 
-        _play(scenario)
+        _run_scenario(scenario)
 
     def test_history_dropped(self):
-        """A target leaves while watches hear nothing, and history is lost."""
+        """A target leaves, and the store drops the history of its watches."""
 
         async def scenario(world):
             world.store.remove("servers/p0")
             world.store.drop_history()
 
-            async def noticed():
+            async def removed():
                 dump = world.daemons["vm-0"].dump()
                 return dump["targets"].get("p0") != "ready"
 
-            await world.until(noticed)
+            await world.until(removed)
             assert (await world.ask("/issue/1", method="POST")).status == 200
 
-        _play(scenario)
+        _run_scenario(scenario)
