--- a/packages/mimosastile-gateway/src/mimosastile_gateway/admission_service.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/admission_service.py
@@ -170,13 +170,13 @@
         """
         self._last_number += 1
         number = self._last_number
-        began = self._clock.now()
+        started_at = self._clock.now()
         self._waiting_counts[target] += 1
         verdict: admission.Verdict | None = None
         try:
             unanswered = 0
             while unanswered < _MAX_UNANSWERED_REQUESTS:
-                elapsed = self._clock.now() - began
+                elapsed = self._clock.now() - started_at
                 if elapsed > left:
                     break
                 request = datagrams.Ask(
@@ -372,9 +372,9 @@
         if self.stopping:
             # Requests that already wait here still get their permits.
             return None
-        found = self._queues.get(target)
-        if found is not None:
-            return found
+        queue = self._queues.get(target)
+        if queue is not None:
+            return queue
         entry = self._cluster.directory.get(target)
         if entry is None:
             return None
@@ -385,10 +385,10 @@
                 if not queue.idle
             }
         extra_permits = self._settings.rooms.admitted
-        new_queue = self._queues[target] = admission.AdmissionQueue(
+        queue = self._queues[target] = admission.AdmissionQueue(
             entry.target.slots, extra_permits
         )
-        return new_queue
+        return queue
 
 
 @functools.singledispatch
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/candidates.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/candidates.py
@@ -120,8 +120,8 @@
             return None
 
         def random_rate(target: directory.Target) -> float:
-            found = rate_limiters[target.id]
-            return found.rate * self._clock.random() if found else 0.0
+            limiter = rate_limiters[target.id]
+            return limiter.rate * self._clock.random() if limiter else 0.0
 
         return max(untried, key=random_rate)
 
@@ -135,18 +135,18 @@
         """Returns the targets that may run a request without a key."""
         regions = call.route.regions
         key = call.service.name, regions
-        found = self._eligible_targets.get(key)
-        if found is not None:
-            return found
+        targets = self._eligible_targets.get(key)
+        if targets is not None:
+            return targets
         allows = self._cluster.eligibility.allows
-        found = self._cluster.directory.usable(
+        targets = self._cluster.directory.usable(
             call.service.name, now, lambda t: allows(t.zone, regions)
         )
-        if found and self._cluster.directory.is_ready(found[0].id):
+        if targets and self._cluster.directory.is_ready(targets[0].id):
             # All are ready then. While none is ready, the result changes with
             # time and must not be cached.
-            self._eligible_targets[key] = found
-        return found
+            self._eligible_targets[key] = targets
+        return targets
 
     def untried(self, call: pending.Call, now: float) -> list[directory.Target]:
         """Returns the targets not yet tried, or all if every one was tried.
@@ -196,13 +196,13 @@
             )
 
         count = self._balancer.policy.probes
-        found = sampling.sample(
+        sampled = sampling.sample(
             pool,
             count,
             self._clock.random,
             lambda t: t.id in call.tried_targets or is_unavailable(t),
         )
-        return found or sampling.sample(
+        return sampled or sampling.sample(
             pool, count, self._clock.random, is_unavailable
         )
 
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/dispatching.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/dispatching.py
@@ -161,14 +161,16 @@
         """
         if call.key is None or self._candidates.owner(call) is not target:
             return
-        pause = _UNREACHABLE_BACKOFF_SECONDS * 2.0 ** min(
+        backoff = _UNREACHABLE_BACKOFF_SECONDS * 2.0 ** min(
             call.unreachable_count, 8
         )
         call.unreachable_count += 1
-        ends = self._clock.now() + min(pause, _MAX_UNREACHABLE_BACKOFF_SECONDS)
-        ends = min(ends, self.latest_start(call))
+        ends_at = self._clock.now() + min(
+            backoff, _MAX_UNREACHABLE_BACKOFF_SECONDS
+        )
+        ends_at = min(ends_at, self.latest_start(call))
         while self._candidates.owner(call) is target:
-            left = ends - self._clock.now()
+            left = ends_at - self._clock.now()
             if left < _MIN_WAIT_SECONDS:
                 return
             await clock.wait(self._cluster.changed, left)
@@ -184,9 +186,9 @@
             The target, or the reason why none is free in time.
         """
         while True:
-            found = await self._try_acquire(call)
-            if found is not None:
-                return found
+            acquired = await self._try_acquire(call)
+            if acquired is not None:
+                return acquired
 
     async def _try_acquire(
         self, call: pending.Call
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
@@ -78,10 +78,10 @@
     __slots__ = (
         "_retry_budgets",
         "_cluster",
-        "_calls",
+        "_active_calls",
         "_crashes",
         "_clock",
-        "_counts",
+        "_outcome_counts",
         "_latest_deadline",
         "_events",
         "_metrics",
@@ -126,15 +126,15 @@
         self._crashes = crashes
         self._retry_ages: dict[str, caller_retries.RetryAge] = {}
         self._retry_budgets: dict[str, retry_budget.RetryBudget] = {}
-        self._counts: collections.Counter[str] = collections.Counter()
-        self._calls: set[pending.Call] = set()
+        self._outcome_counts: collections.Counter[str] = collections.Counter()
+        self._active_calls: set[pending.Call] = set()
         self._latest_deadline = math.inf
 
     def dump(self) -> dict[str, object]:
         """Returns counts of outcomes and of requests in progress."""
         now = self._clock.now()
         return {
-            "outcomes": dict(self._counts),
+            "outcomes": dict(self._outcome_counts),
             "waiting": self._dispatcher.queue_lengths(),
             "under_way": self._balancer.own(),
             "repeats_left": {
@@ -159,11 +159,11 @@
         if isinstance(classified, result.Err):
             return self._refuse(None, incoming, classified.err_value)
         call = classified.ok_value
-        self._calls.add(call)
+        self._active_calls.add(call)
         try:
             return await self._forward(call)
         finally:
-            self._calls.discard(call)
+            self._active_calls.discard(call)
 
     def cap_deadlines(self, at: float) -> None:
         """Caps the deadlines of all present and future requests.
@@ -175,7 +175,7 @@
             at: The latest deadline, on the loop's clock.
         """
         self._latest_deadline = at
-        for call in self._calls:
+        for call in self._active_calls:
             if call.deadline <= at:
                 continue
             call.deadline = at
@@ -322,12 +322,12 @@
     async def _send(
         self, call: pending.Call, target: directory.Target
     ) -> SendResult:
-        began = self._clock.now()
+        started_at = self._clock.now()
         call.basis = self._basis(target)
         call.tried_targets.add(target.id)
         load = self._balancer.load(target.id)
-        call.maybe_queued = load.under_way(began) > target.slots
-        sends = call.send_count
+        call.maybe_queued = load.under_way(started_at) > target.slots
+        earlier_sends = call.send_count
         call.answered = False
         sent: SendResult
         try:
@@ -337,11 +337,11 @@
                 sent = await self._exchange(call, target)
                 call.answered = sent.is_ok()
         except TimeoutError:
-            sent = self._timeout_failure(call, target, sends)
+            sent = self._timeout_failure(call, target, earlier_sends)
         finally:
             call.timer = None
             self._dispatcher.finish(call, target)
-        self._record_outcome(call, target, sent, began)
+        self._record_outcome(call, target, sent, started_at)
         return sent
 
     def _basis(self, target: directory.Target) -> pending.Basis:
@@ -356,10 +356,10 @@
         )
 
     def _timeout_failure(
-        self, call: pending.Call, target: directory.Target, sends: int
+        self, call: pending.Call, target: directory.Target, earlier_sends: int
     ) -> SendResult:
         """Returns the failure of a request that timed out at a target."""
-        if call.send_count == sends:
+        if call.send_count == earlier_sends:
             # The request was still waiting for a connection.
             self._record_unreachable(target)
             return errors.failed(
@@ -409,13 +409,13 @@
                 (self._header_names.attempt, call.attempt),
                 no_body=call.incoming.method == "HEAD",
             )
-            began = self._clock.now()
+            sent_at = self._clock.now()
             call.send_count += 1
             if not call.repeatable:
                 call.incoming.cancellable = False
             await connection.wait_whole(reply, request_settings.buffer_bytes)
             usable = reply.complete
-            self._apply_feedback(target, reply, began)
+            self._apply_feedback(target, reply, sent_at)
             outcome = self._interpret_response(call, target, connection, reply)
             usable = usable or outcome.is_ok()
             return outcome
@@ -559,7 +559,7 @@
         call: pending.Call,
         target: directory.Target,
         sent: SendResult,
-        began: float,
+        started_at: float,
     ) -> None:
         """Updates load, feedback and crash detection after a send."""
         now = self._clock.now()
@@ -572,7 +572,7 @@
                 self._balancer.answered(
                     call.route.name,
                     target.id,
-                    (now - began) / (call.expected_runs or 1.0),
+                    (now - started_at) / (call.expected_runs or 1.0),
                     len(response.body) + len(call.incoming.body),
                     now,
                     waited=call.maybe_queued and not call.expected_runs,
@@ -608,7 +608,7 @@
             kind=failure.kind.value,
             why=failure.detail,
             sends=call.send_count,
-            took_ms=_to_milliseconds(now - began),
+            took_ms=_to_milliseconds(now - started_at),
             left_ms=_to_milliseconds(call.deadline - now),
             under_way=load.under_way(now),
         )
@@ -623,7 +623,7 @@
         now: float,
     ) -> None:
         elapsed = now - call.received_at
-        self._counts["passed"] += 1
+        self._outcome_counts["passed"] += 1
         self._metrics.record(call.route.name, "passed", elapsed)
         self._events.write(
             "requests",
@@ -655,7 +655,7 @@
         attempt = incoming.header(self._header_names.attempt) or b""
         elapsed = now - incoming.at
         kind = failure.kind.value
-        self._counts[kind] += 1
+        self._outcome_counts[kind] += 1
         route = call.route.name if call else ""
         self._metrics.record(route, kind, elapsed)
         configuration = self._cluster.configuration
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/load_probing.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/load_probing.py
@@ -73,7 +73,7 @@
         Returns:
             The targets that have just reported their load.
         """
-        began = self._clock.now()
+        started_at = self._clock.now()
         running = {
             asyncio.ensure_future(self._probe(target, service.health_path))
             for target in targets
@@ -95,7 +95,7 @@
                 t for task in done if (t := task.result()) is not None
             )
             if responded and timeout is None:
-                timeout = self._clock.now() - began + _EXTRA_WAIT_SECONDS
+                timeout = self._clock.now() - started_at + _EXTRA_WAIT_SECONDS
         return responded
 
     async def _probe(
