--- a/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
@@ -298,7 +298,7 @@
                 await self._dispatcher.await_reachable(call, acquired.ok_value)
 
     def _may_retry(self, call: pending.Call, failure: errors.Failure) -> bool:
-        """Whether a request may be sent again after a failure."""
+        """Whether to send again after a failure; spends the retry budget."""
         now = self._clock.now()
         maybe_ran = failure.answer.ran is not errors.Ran.NO
         call.maybe_ran = call.maybe_ran or maybe_ran
