--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -1,4 +1,4 @@
-"""What targets say in headers."""
+"""Decoding of targets' headers."""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -9,7 +9,7 @@
 
 
 class TestLoad:
-    """A target's own load."""
+    """Load reported by a target."""
 
     @pytest.mark.parametrize(
         ("value", "expected"),
@@ -33,18 +33,18 @@
         ],
     )
     def test_read(self, value, expected):
-        """Guards against decisions by a load that makes no sense."""
+        """Guards against decisions by an invalid load."""
         assert headers.read_load(value) == expected
 
     @hypothesis.given(st.binary())
     def test_any_bytes(self, value):
-        """Whatever a target sends, nothing breaks."""
+        """Any bytes are decoded without an error."""
         found = headers.read_load(value)
         assert found is None or found.slots > 0
 
 
-class TestNotice:
-    """What a target says beside an answer."""
+class TestTargetFeedback:
+    """Feedback in the headers of a target's response."""
 
     @pytest.mark.parametrize(
         ("value", "rate"),
@@ -67,13 +67,15 @@
         ],
     )
     def test_limit(self, value, rate):
-        """Guards against a limit that makes no sense."""
+        """Guards against an invalid rate limit."""
         name = b"server-limit"
-        notice = headers.read_notice([(b"date", b"x"), (name, value)])
-        assert notice.limit == rate
-        assert notice.names_limit
+        feedback = headers.read_target_feedback(
+            [(b"date", b"x"), (name, value)]
+        )
+        assert feedback.limit == rate
+        assert feedback.names_limit
         unreadable = () if rate is not None else ((name, value),)
-        assert notice.unreadable == unreadable
+        assert feedback.unreadable == unreadable
 
     @pytest.mark.parametrize(
         ("value", "leaving", "readable"),
@@ -86,10 +88,10 @@
         ],
     )
     def test_leaving(self, value, leaving, readable):
-        """Guards against a target that is taken for one that leaves."""
-        notice = headers.read_notice([(b"server-leaving", value)])
-        assert notice.leaving is leaving
-        assert bool(notice.unreadable) is not readable
+        """Guards against a target wrongly treated as leaving."""
+        feedback = headers.read_target_feedback([(b"server-leaving", value)])
+        assert feedback.leaving is leaving
+        assert bool(feedback.unreadable) is not readable
 
     @pytest.mark.parametrize(
         ("value", "seconds"),
@@ -103,28 +105,28 @@
             (b"99999999", None),
         ],
     )
-    def test_rest(self, value, seconds):
-        """Guards against a rest that makes no sense."""
-        notice = headers.read_notice([(b"retry-after", value)])
-        assert notice.rest == seconds
-        assert bool(notice.unreadable) is (seconds is None)
+    def test_backoff(self, value, seconds):
+        """Guards against an invalid backoff."""
+        feedback = headers.read_target_feedback([(b"retry-after", value)])
+        assert feedback.rest == seconds
+        assert bool(feedback.unreadable) is (seconds is None)
 
     def test_nothing(self):
-        """Most answers say nothing of the target."""
-        notice = headers.read_notice([(b"content-length", b"3")])
-        assert notice == target_feedback.TargetFeedback()
+        """Most responses carry no feedback."""
+        feedback = headers.read_target_feedback([(b"content-length", b"3")])
+        assert feedback == target_feedback.TargetFeedback()
 
     @hypothesis.given(
         st.lists(st.tuples(st.just(b"server-limit"), st.binary()))
     )
     def test_any_bytes(self, lines):
-        """Whatever a target sends, nothing breaks."""
-        notice = headers.read_notice(lines)
-        assert notice.limit is None or notice.limit >= 0
+        """Any bytes are decoded without an error."""
+        feedback = headers.read_target_feedback(lines)
+        assert feedback.limit is None or feedback.limit >= 0
 
 
 class TestMilliseconds:
-    """Times."""
+    """Times in milliseconds."""
 
     @pytest.mark.parametrize(
         ("value", "expected"),
@@ -139,5 +141,5 @@
         ],
     )
     def test_read(self, value, expected):
-        """Guards against a time that makes no sense."""
+        """Guards against an invalid time."""
         assert headers.read_milliseconds(value) == expected
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to targets, and what targets answer."""
+"""Orders to targets and decoding of their responses."""
 
 import asyncio
 import json
@@ -15,20 +15,20 @@
 RELEASE = ports.ReleaseOrder(4096, 8191, 12)
 
 
-def _play(answer, scenario):
+def _run(response, scenario):
     async def main():
-        seen = []
+        requests = []
 
         async def handle(incoming):
-            seen.append(incoming)
-            return await answer()
+            requests.append(incoming)
+            return await response()
 
         server = http_server.Server(handle)
         address = await server.listen("127.0.0.1:0")
         pool = http_client.Pool(2.0)
         try:
             async with asyncio.timeout(10):
-                await scenario(orders.Orders(pool), address, seen)
+                await scenario(orders.OrderClient(pool), address, requests)
         finally:
             pool.close()
             server.stop_listening()
@@ -38,25 +38,25 @@
     asyncio.run(main())
 
 
-def _says(status, headers=()):
-    async def answer():
-        return http_server.Outgoing(status, headers)
+def _respond(status, headers=()):
+    async def response():
+        return http_server.Response(status, headers)
 
-    return answer
+    return response
 
 
 class TestOrders:
-    """What is sent and what is understood."""
+    """Encoding of orders and decoding of responses."""
 
     def test_grant(self):
-        """A grant names keys, fence, time and the last owner's token."""
+        """A grant carries range, fence, duration and handover token."""
 
-        async def scenario(client, address, seen):
+        async def scenario(client, address, requests):
             outcome = await client.grant("i-1", address, GRANT, 1.0)
             assert outcome.is_ok()
-            assert seen[0].target == b"/grant"
-            assert seen[0].header(b"x-expect-instance") == b"i-1"
-            assert json.loads(seen[0].body) == {
+            assert requests[0].target == b"/grant"
+            assert requests[0].header(b"x-expect-instance") == b"i-1"
+            assert json.loads(requests[0].body) == {
                 "From": 4096,
                 "Target": 8191,
                 "fence": 12,
@@ -64,21 +64,21 @@
                 "Handover": "5c0e",
             }
 
-        _play(_says(200), scenario)
+        _run(_respond(200), scenario)
 
     def test_release(self):
-        """A release brings the token for the next owner."""
+        """A release returns the handover token for the next owner."""
 
-        async def scenario(client, address, seen):
+        async def scenario(client, address, requests):
             outcome = await client.release("i-1", address, RELEASE, 1.0)
             assert outcome.ok_value == "77"
-            assert json.loads(seen[0].body) == {
+            assert json.loads(requests[0].body) == {
                 "From": 4096,
                 "Target": 8191,
                 "fence": 12,
             }
 
-        _play(_says(200, ((b"X-Handover", b"77"),)), scenario)
+        _run(_respond(200, ((b"X-Handover", b"77"),)), scenario)
 
     @pytest.mark.parametrize(
         ("status", "kind"),
@@ -90,33 +90,33 @@
         ],
     )
     def test_refused(self, status, kind):
-        """Each refusal says what follows from it."""
+        """Each error status maps to its kind of failure."""
 
-        async def scenario(client, address, seen):
+        async def scenario(client, address, requests):
             granted = await client.grant("i-1", address, GRANT, 1.0)
             released = await client.release("i-1", address, RELEASE, 1.0)
             assert granted.err_value.kind is kind
             assert released.err_value.kind is kind
 
-        _play(_says(status), scenario)
+        _run(_respond(status), scenario)
 
-    def test_no_answer(self):
-        """An order without an answer may be carried out later."""
+    def test_no_response(self):
+        """An order without a response may take effect later."""
 
         async def silent():
             await asyncio.Event().wait()
 
-        async def scenario(client, address, seen):
+        async def scenario(client, address, requests):
             outcome = await client.grant("i-1", address, GRANT, 0.05)
             assert outcome.err_value.kind is errors.ErrorKind.ANSWER_LOST
 
-        _play(silent, scenario)
+        _run(silent, scenario)
 
-    def test_not_reached(self):
-        """A target that takes no connection has got nothing."""
+    def test_unreachable(self):
+        """An order to a target that refuses connections was not sent."""
 
-        async def scenario(client, address, seen):
+        async def scenario(client, address, requests):
             outcome = await client.grant("i-1", "127.0.0.1:1", GRANT, 0.2)
             assert outcome.err_value.kind is errors.ErrorKind.UNREACHABLE
 
-        _play(_says(200), scenario)
+        _run(_respond(200), scenario)
--- a/tests/platform/test_records.py
+++ b/tests/platform/test_records.py
@@ -1,4 +1,4 @@
-"""What operators and targets write, decoded."""
+"""Decoding of the records of operators and targets."""
 
 import json
 
@@ -12,7 +12,7 @@
 from mimosastile_platform import records
 from mimosastile_standins import platform_world
 
-RECORDS = records.Records()
+RECORDS = records.RecordDecoder()
 REGISTRATION = {
     "ServiceName": "s",
     "Address": "10.0.0.1:80",
@@ -39,7 +39,7 @@
     """The operators' configuration."""
 
     def test_decoded(self):
-        """Names of the platform become the gateway's own."""
+        """A configuration is decoded to the gateway's types."""
         raw = json.dumps(platform_world.configuration(7)).encode()
         found = RECORDS.configuration(raw).ok_value
         assert found.version == 7
@@ -51,7 +51,7 @@
         assert issue.parts == (routes.Part("tagmint"),)
         assert found.limits.idle_seconds == 15.0
 
-    def test_divided_route(self):
+    def test_weighted_route(self):
         """A route with weighted services has a part for each."""
         raw = platform_world.configuration()
         action = raw["ListenerList"][0]["RuleSet"][0]["RouteAction"]
@@ -78,18 +78,18 @@
         ],
     )
     def test_unreadable(self, raw):
-        """A configuration that cannot be read says why and ends nothing."""
+        """An invalid configuration gives an error text."""
         assert RECORDS.configuration(raw).err_value
 
     def test_unknown_fields_are_ignored(self):
-        """New fields may come."""
+        """Unknown fields are ignored, as later versions may add some."""
         raw = platform_world.configuration() | {"New": {"Field": 1}}
         assert RECORDS.configuration(json.dumps(raw).encode()).is_ok()
 
     @hypothesis.given(raw=st.binary(max_size=200))
     @hypothesis.settings(derandomize=True, deadline=None)
     def test_any_bytes(self, raw):
-        """Whatever stands there, decoding returns."""
+        """Any content is decoded or gives an error."""
         assert isinstance(RECORDS.configuration(raw), (result.Ok, result.Err))
 
     @hypothesis.given(
@@ -98,7 +98,7 @@
     )
     @hypothesis.settings(derandomize=True, deadline=None)
     def test_any_value(self, name, value):
-        """A field of a wrong type is refused or means what it says."""
+        """Any value of a field is decoded or gives an error."""
         raw = platform_world.configuration() | {name: value}
         found = RECORDS.configuration(json.dumps(raw).encode())
         assert isinstance(found, (result.Ok, result.Err))
@@ -130,11 +130,11 @@
         ],
     )
     def test_from_another_writer(self, change):
-        """An entry of another writer names no target to use."""
+        """An invalid registration of another writer gives no target."""
         assert _target(REGISTRATION | change).is_err()
 
     @hypothesis.given(raw=st.binary(max_size=100) | _JSON)
     @hypothesis.settings(derandomize=True, deadline=None)
     def test_anything(self, raw):
-        """Whatever stands there, decoding returns."""
+        """Any content is decoded or gives an error."""
         assert isinstance(_target(raw), (result.Ok, result.Err))
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""The store's client against a stand-in over loopback."""
+"""The store client against a fake store over loopback."""
 
 import asyncio
 
@@ -13,19 +13,19 @@
 from mimosastile_standins import platform_store
 
 
-def _play(scenario, timeout=1.0):
+def _run(scenario, timeout=1.0):
     async def main():
-        stand_in = platform_store.PlatformStore()
+        fake_store = platform_store.PlatformStore()
         pool = http_client.Pool(2.0)
-        address = await stand_in.start()
-        client = store.Store(
+        address = await fake_store.start()
+        client = store.StoreClient(
             pool, settings.StoreSettings(address=address, timeout=timeout)
         )
         try:
             async with asyncio.timeout(20):
-                await scenario(stand_in, client)
+                await scenario(fake_store, client)
         finally:
-            stand_in.stop()
+            fake_store.stop()
             pool.close()
             await asyncio.sleep(0)
 
@@ -33,12 +33,12 @@
 
 
 class TestItems:
-    """Reading and writing."""
+    """Reads, writes, watches and sessions."""
 
     def test_read_commit_conflict(self):
-        """A write under a condition happens once."""
+        """A compare-and-swap write succeeds only once."""
 
-        async def scenario(stand_in, client):
+        async def scenario(fake_store, client):
             assert (await client.read("a")).ok_value is None
             write = ports.Write("a", b"\x00one")
             revision = (await client.commit({"a": 0}, (write,))).ok_value
@@ -47,73 +47,73 @@
             again = await client.commit({"a": 0}, (write,))
             assert again.err_value == ports.Conflict()
 
-        _play(scenario)
+        _run(scenario)
 
     @pytest.mark.parametrize("stale", [False, True])
     def test_stale_list(self, stale):
-        """A list that may be old is asked for as one, on every page."""
+        """Every page of a stale list is requested as stale."""
 
-        async def scenario(stand_in, client):
+        async def scenario(fake_store, client):
             for number in range(platform_store.PAGE_ITEMS + 1):
-                stand_in.put(f"servers/{number:04}", number)
+                fake_store.put(f"servers/{number:04}", number)
             found = (await client.list("servers/", stale=stale)).ok_value
             assert len(found.items) == platform_store.PAGE_ITEMS + 1
-            assert stand_in.stale_reads == (2 if stale else 0)
+            assert fake_store.stale_reads == (2 if stale else 0)
 
-        _play(scenario)
+        _run(scenario)
 
     def test_pages(self):
-        """A list of several pages is read to its end."""
+        """All pages of a list are read."""
 
-        async def scenario(stand_in, client):
+        async def scenario(fake_store, client):
             for number in range(platform_store.PAGE_ITEMS * 2 + 3):
-                stand_in.put(f"servers/{number:04}", number)
-            stand_in.put("other", 1)
+                fake_store.put(f"servers/{number:04}", number)
+            fake_store.put("other", 1)
             found = (await client.list("servers/")).ok_value
             assert len(found.items) == platform_store.PAGE_ITEMS * 2 + 3
             assert len({item.key for item in found.items}) == len(found.items)
 
-        _play(scenario)
+        _run(scenario)
 
     def test_watch(self):
-        """A watch brings what changed, the newest of each key."""
+        """A watch returns the newest change of each key."""
 
-        async def scenario(stand_in, client):
+        async def scenario(fake_store, client):
             listed = (await client.list("p/")).ok_value
-            stand_in.put("p/a", 1)
-            stand_in.put("p/a", 2)
-            stand_in.put("p/b", 1)
-            stand_in.remove("p/b")
-            stand_in.put("q", 1)
-            seen = (await client.watch("p/", listed.revision, 1.0)).ok_value
-            assert [(i.key, i.value) for i in seen.items] == [("p/a", b"2")]
-            assert [key for key, _ in seen.removed] == ["p/b"]
+            fake_store.put("p/a", 1)
+            fake_store.put("p/a", 2)
+            fake_store.put("p/b", 1)
+            fake_store.remove("p/b")
+            fake_store.put("q", 1)
+            changes = (await client.watch("p/", listed.revision, 1.0)).ok_value
+            assert [(i.key, i.value) for i in changes.items] == [("p/a", b"2")]
+            assert [key for key, _ in changes.removed] == ["p/b"]
             waiting = asyncio.create_task(
-                client.watch("p/", seen.revision, 5.0)
+                client.watch("p/", changes.revision, 5.0)
             )
             await asyncio.sleep(0.02)
-            stand_in.put("p/c", 1)
+            fake_store.put("p/c", 1)
             assert (await waiting).ok_value.items[0].key == "p/c"
 
-        _play(scenario)
+        _run(scenario)
 
     def test_history_lost(self):
-        """The store has dropped what a watch would go on from."""
+        """A watch reports that the store has compacted its history."""
 
-        async def scenario(stand_in, client):
+        async def scenario(fake_store, client):
             listed = (await client.list("p/")).ok_value
             for number in range(3):
-                stand_in.put("p/a", number)
-            stand_in.drop_history()
-            seen = await client.watch("p/", listed.revision, 1.0)
-            assert seen.err_value == ports.HistoryLost()
+                fake_store.put("p/a", number)
+            fake_store.drop_history()
+            changes = await client.watch("p/", listed.revision, 1.0)
+            assert changes.err_value == ports.HistoryLost()
 
-        _play(scenario)
+        _run(scenario)
 
     def test_sessions(self):
-        """Keys live with their lease; one that has ended is told so."""
+        """Keys end with their lease; calls with an ended lease fail."""
 
-        async def scenario(stand_in, client):
+        async def scenario(fake_store, client):
             session = (await client.open_session(5.0)).ok_value
             write = ports.Write("mine", b"x", session.id)
             assert (await client.commit({}, (write,))).is_ok()
@@ -125,11 +125,11 @@
             late = await client.commit({}, (write,))
             assert late.err_value == ports.SessionLost()
 
-        _play(scenario)
+        _run(scenario)
 
 
 class TestFailures:
-    """What is known after a failed call."""
+    """Results of failed calls."""
 
     @pytest.mark.parametrize(
         ("mood", "kind", "written"),
@@ -152,45 +152,47 @@
         ],
     )
     def test_write(self, mood, kind, written):
-        """A write without an answer is unknown, not failed.
+        """Guards against treating a write without a response as failed.
 
-        Taken for failed it would be made again under another condition, and
-        the first one might still be carried out.
+        The caller would repeat it under another condition, while the first
+        write might still take effect.
         """
 
-        async def scenario(stand_in, client):
-            stand_in.mood = mood
+        async def scenario(fake_store, client):
+            fake_store.mood = mood
             outcome = await client.commit({}, (ports.Write("a", b"1"),))
             assert outcome.err_value.kind is kind
-            assert (stand_in.value("a") is not None) is written
+            assert (fake_store.value("a") is not None) is written
 
-        _play(scenario, timeout=0.2)
+        _run(scenario, timeout=0.2)
 
-    def test_nobody_there(self):
-        """A store that refuses connections has done nothing."""
+    def test_connection_refused(self):
+        """A call that the store refuses to connect has had no effect."""
 
-        async def scenario(stand_in, client):
-            stand_in.stop()
+        async def scenario(fake_store, client):
+            fake_store.stop()
             outcome = await client.read("a")
             kind = errors.ErrorKind.STORE_UNAVAILABLE
             assert outcome.err_value.kind is kind
 
-        _play(scenario)
+        _run(scenario)
 
     @pytest.mark.parametrize(
         "body", [b"", b"{", b"[]", b'{"StoreRevision": "x"}', b"\xff"]
     )
-    def test_unreadable_answer(self, body):
-        """An answer that is cut short is no answer."""
+    def test_unreadable_response(self, body):
+        """A truncated or invalid response leaves the outcome unknown."""
 
         async def main():
-            async def answer(_):
-                return http_server.Outgoing(200, (), body)
+            async def respond(_):
+                return http_server.Response(200, (), body)
 
-            server = http_server.Server(answer)
+            server = http_server.Server(respond)
             address = await server.listen("127.0.0.1:0")
             pool = http_client.Pool(2.0)
-            client = store.Store(pool, settings.StoreSettings(address=address))
+            client = store.StoreClient(
+                pool, settings.StoreSettings(address=address)
+            )
             for call in (
                 client.read("a"),
                 client.list("a"),
