--- a/tests/gateway/test_http_client.py
+++ b/tests/gateway/test_http_client.py
@@ -19,8 +19,8 @@
 class _Target:
     """Sends the next of several byte strings in response to each request."""
 
-    def __init__(self, *answers, reset=False, close=False):
-        self.answers = list(answers)
+    def __init__(self, *responses, reset=False, close=False):
+        self.responses = list(responses)
         self.reset = reset
         self.close = close
         self.requests = 0
@@ -34,7 +34,7 @@
         try:
             while await reader.readuntil(b"\r\n\r\n"):
                 self.requests += 1
-                writer.write(self.answers.pop(0) if self.answers else b"")
+                writer.write(self.responses.pop(0) if self.responses else b"")
                 await writer.drain()
                 if self.reset:
                     await asyncio.sleep(0.02)
@@ -86,11 +86,11 @@
     return response.status, response.take(), usable
 
 
-class TestWhole:
+class TestCompleteness:
     """Detection of complete and incomplete responses."""
 
     @pytest.mark.parametrize(
-        ("answer", "body"),
+        ("raw", "body"),
         [
             (WHOLE, b"ok"),
             (
@@ -104,9 +104,9 @@
             (OTHER + WHOLE, b"ok"),
         ],
     )
-    def test_taken(self, answer, body):
+    def test_complete(self, raw, body):
         """Accepts every framing, and skips interim and late responses."""
-        found = _run(_Target(answer), _request)
+        found = _run(_Target(raw), _request)
         assert found[:2] == (200, body)
 
     def test_without_length_ends_with_its_connection(self):
@@ -115,7 +115,7 @@
         assert _run(target, _request) == (200, b"all of it", False)
 
     @pytest.mark.parametrize(
-        ("answer", "reset", "close"),
+        ("raw", "reset", "close"),
         [
             # A reset must not count as the end of the body: the caller would
             # treat half a body as complete.
@@ -133,12 +133,12 @@
             (OTHER, False, True),
         ],
     )
-    def test_broken(self, answer, reset, close):
+    def test_broken(self, raw, reset, close):
         """A response that breaks off is never treated as complete."""
         with pytest.raises(http_client.ResponseLostError):
-            _run(_Target(answer, reset=reset, close=close), _request)
+            _run(_Target(raw, reset=reset, close=close), _request)
 
-    def test_answer_of_another_request_only(self):
+    def test_response_to_another_request_only(self):
         """A response to another request is not returned."""
         with pytest.raises((TimeoutError, http_client.ResponseLostError)):
             _run(_Target(OTHER), _request)
@@ -158,7 +158,7 @@
 class TestReuse:
     """Reuse of connections."""
 
-    def test_kept(self):
+    def test_reused(self):
         """A connection is reused after a complete response."""
         target = _Target(WHOLE, WHOLE)
 
@@ -170,7 +170,7 @@
         assert target.connections == 1
 
     @pytest.mark.parametrize(
-        "answer",
+        "raw",
         [
             HEAD + b"Connection: close\r\nContent-Length: 2\r\n\r\nok",
             # A second response follows that belongs to no request.
@@ -179,9 +179,9 @@
             HEAD + b"Keep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok",
         ],
     )
-    def test_not_kept(self, answer):
+    def test_not_reused(self, raw):
         """A connection in an unclear or closing state is not reused."""
-        target = _Target(answer, WHOLE)
+        target = _Target(raw, WHOLE)
 
         async def scenario(pool, address):
             status, body, _ = await _request(pool, address)
