--- a/packages/mimosastile-gateway/src/mimosastile_gateway/daemon.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/daemon.py
@@ -59,7 +59,7 @@
         store: Makes the store's client from a connection pool.
         orders: Makes the client for orders to targets.
         health: Makes the client for health checks of targets.
-        read_notice: Decodes a target's feedback from the headers of a
+        read_target_feedback: Decodes a target's feedback from the headers of a
             response.
         records: Decodes the records that operators and targets write.
         readiness_path: Path of the load balancer's readiness check.
@@ -69,9 +69,9 @@
     store: Callable[[http_client.Pool], ports.StorePort]
     orders: Callable[[http_client.Pool], ports.OrderPort]
     health: Callable[[http_client.Pool], ports.HealthPort]
-    read_notice: Callable[
+    read_target_feedback: Callable[
         [Iterable[tuple[bytes, bytes]]], target_feedback.TargetFeedback
-    ]
+    ] = msgspec.field(name="read_notice")
     records: ports.RecordPort
     readiness_path: str
 
@@ -205,7 +205,7 @@
         self._forwarder = forwarding.Forwarder(
             configured,
             adapter.headers,
-            adapter.read_notice,
+            adapter.read_target_feedback,
             self._pool,
             self._cluster,
             self._balancer,
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/settings.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/settings.py
@@ -84,9 +84,9 @@
             Longer than a usual outage of the store, so that an outage makes no
             keys unavailable. A successor that received no message from the
             leader waits as long before it moves keys of a silent target.
-        unextended: Leader lease while not all witnesses of the leader have
-            found the store unreachable too. A successor waits only this long
-            if one witness reports that it has not found it unreachable.
+        unextended: Leader lease until all witnesses of the leader have found
+            the store unreachable too. A successor waits only this long if one
+            witness reports that it has not found the store unreachable.
         extension_after: Time after which an unanswered confirmation counts as
             failed, and within which witnesses try to reach the store.
         confirm: Interval between two confirmations. Each is a billed call to
@@ -108,8 +108,8 @@
         give_up_alive: The same for a target that responds to callers. It
             serves until its last grant expires soon after.
         trouble_after: Time without the store after which extended grants are
-            issued: one confirmation and most of its timeout. If the
-            leader crashes during an outage, keys without an extended grant are
+            issued: one confirmation and most of its timeout. If the leader
+            crashes during an outage, keys without an extended grant are
             refused until the outage ends.
         report: Base interval between two load reports of a VM to its leader.
             The leader detects a hot key within about 1.5 intervals.
