--- a/packages/mimosastile-gateway/src/mimosastile_gateway/admission_service.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/admission_service.py
@@ -122,7 +122,7 @@
             collections.Counter()
         )
         self._waiting_counts: collections.Counter[str] = collections.Counter()
-        self._done_batches: dict[str, datagrams.Done] = {}
+        self._done_batches: dict[str, datagrams.ReturnedPermits] = {}
         self.address = gateway_settings.vm.peers
         self.stopping = False
 
@@ -179,7 +179,7 @@
                 elapsed = self._clock.now() - started_at
                 if elapsed > left:
                     break
-                request = datagrams.Ask(
+                request = datagrams.PermitRequest(
                     target,
                     number,
                     priority,
@@ -198,7 +198,7 @@
                     self._permit_counts[gate, target] += 1
                     return Permit(gate, target, number)
                 if verdict is admission.Verdict.REFUSED:
-                    return admission.Refusal(decision.wait / 1000)
+                    return admission.Refusal(decision.wait_ms / 1000)
                 if verdict is None:
                     return None
             return None
@@ -224,7 +224,7 @@
         )
 
     async def _request_decision(
-        self, gate: str, request: datagrams.Ask
+        self, gate: str, request: datagrams.PermitRequest
     ) -> datagrams.Decision | None:
         """Sends a request to a gate; returns its last decision, if any."""
         loop = asyncio.get_running_loop()
@@ -251,13 +251,13 @@
     ) -> None:
         batch = self._done_batches.get(gate)
         if batch is None:
-            batch = self._done_batches[gate] = datagrams.Done({}, {})
+            batch = self._done_batches[gate] = datagrams.ReturnedPermits({}, {})
             asyncio.get_running_loop().call_later(
                 0.0 if gate == self.address else _DONE_BATCH_SECONDS,
                 self._send_done,
                 gate,
             )
-        numbers_by_target = batch.answered if answered else batch.others
+        numbers_by_target = batch.answered if answered else batch.unanswered
         numbers_by_target.setdefault(target, []).append(number)
 
     def _send_done(self, gate: str) -> None:
@@ -275,7 +275,7 @@
         """Handles a message from another VM or from this one."""
         _receive(message, self, sender)
 
-    def decide(self, sender: str, request: datagrams.Ask) -> None:
+    def decide(self, sender: str, request: datagrams.PermitRequest) -> None:
         """Decides on a request for a permit and sends the decision."""
         queue = self._queue(request.target)
         if queue is None:
@@ -295,11 +295,11 @@
             sender,
             request.number,
             request.priority,
-            request.on_time / 1000,
-            request.left / 1000,
-            max(request.work, 0) / 1000,
+            request.on_time_ms / 1000,
+            request.remaining_ms / 1000,
+            max(request.work_ms, 0) / 1000,
             # A negative number would add capacity at the target.
-            max(request.held, 0),
+            max(request.unpermitted, 0),
         )
         self._send_decisions([queue.ask(permit_request, now)])
         if queue.waiting:
@@ -312,12 +312,14 @@
         if future is not None and not future.done():
             future.set_result(decision)
 
-    def receive_done(self, sender: str, done: datagrams.Done) -> None:
+    def receive_done(
+        self, sender: str, done: datagrams.ReturnedPermits
+    ) -> None:
         """Handles returned permits."""
         now = self._clock.now()
         for numbers_by_target, answered in (
             (done.answered, True),
-            (done.others, False),
+            (done.unanswered, False),
         ):
             for target, numbers in numbers_by_target.items():
                 queue = self._queues.get(target)
@@ -399,7 +401,9 @@
 
 
 @_receive.register
-def _(message: datagrams.Ask, service: AdmissionService, sender: str) -> None:
+def _(
+    message: datagrams.PermitRequest, service: AdmissionService, sender: str
+) -> None:
     service.decide(sender, message)
 
 
@@ -411,5 +415,7 @@
 
 
 @_receive.register
-def _(message: datagrams.Done, service: AdmissionService, sender: str) -> None:
+def _(
+    message: datagrams.ReturnedPermits, service: AdmissionService, sender: str
+) -> None:
     service.receive_done(sender, message)
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
@@ -69,7 +69,7 @@
 """Shares of the bounds on retries that are used. The rest covers requests that
 are counted in another window than their retries."""
 
-SendResult = result.Result[http_server.Outgoing, errors.Failure]
+SendResult = result.Result[http_server.Response, errors.Failure]
 
 
 class Forwarder:
@@ -110,7 +110,7 @@
         crashes: crash_detection.CrashDetector,
         request_metrics: metrics.Metrics,
         timer: clock.Clock,
-        event_log: events.Events,
+        event_log: events.EventLog,
     ) -> None:
         self._settings = gateway_settings
         self._header_names = names
@@ -144,8 +144,8 @@
         }
 
     async def handle(
-        self, incoming: http_server.Incoming
-    ) -> http_server.Outgoing:
+        self, incoming: http_server.Request
+    ) -> http_server.Response:
         """Returns the response to a caller's request."""
         classified = self._classify(incoming)
         if _is_unrouted(classified) and not self._configuration_is_current():
@@ -185,7 +185,7 @@
     # Classifying a request.
 
     def _classify(
-        self, incoming: http_server.Incoming
+        self, incoming: http_server.Request
     ) -> result.Result[pending.Call, errors.Failure]:
         configuration = self._cluster.configuration
         if configuration is None:
@@ -219,7 +219,7 @@
 
     def _make_call(
         self,
-        incoming: http_server.Incoming,
+        incoming: http_server.Request,
         route: routes.Route,
         service: routes.Service,
     ) -> pending.Call:
@@ -234,7 +234,7 @@
             route,
             service,
             attempt,
-            min(incoming.at + seconds, self._latest_deadline),
+            min(incoming.received_at + seconds, self._latest_deadline),
         )
         if deadline_header is not None and deadline_header.isdigit():
             retry_age = self._retry_ages.setdefault(
@@ -273,7 +273,7 @@
 
     # Attempts.
 
-    async def _forward(self, call: pending.Call) -> http_server.Outgoing:
+    async def _forward(self, call: pending.Call) -> http_server.Response:
         last: errors.Failure | None = None
         while True:
             if self._crashes.held(call.fingerprint, self._clock.now()):
@@ -302,7 +302,7 @@
         now = self._clock.now()
         maybe_ran = failure.answer.ran is not errors.Ran.NO
         call.maybe_ran = call.maybe_ran or maybe_ran
-        if call.incoming.left:
+        if call.incoming.disconnected:
             # The request was not cancelled, as it may have run. Its caller has
             # left, so no further attempt is of use.
             return False
@@ -413,7 +413,7 @@
             call.send_count += 1
             if not call.repeatable:
                 call.incoming.cancellable = False
-            await connection.wait_whole(reply, request_settings.buffer_bytes)
+            await connection.wait_complete(reply, request_settings.buffer_bytes)
             usable = reply.complete
             self._apply_feedback(target, reply, sent_at)
             outcome = self._interpret_response(call, target, connection, reply)
@@ -421,14 +421,14 @@
             return outcome
         except http_client.NotSentError as error:
             return errors.failed(errors.ErrorKind.UNREACHABLE, str(error))
-        except http_client.AnswerLostError as error:
+        except http_client.ResponseLostError as error:
             return errors.failed(errors.ErrorKind.ANSWER_LOST, str(error))
         finally:
             call.incoming.cancellable = True
             if not usable:
                 connection.abort()
             elif reply.complete:
-                self._pool.give_back(connection, target.address)
+                self._pool.release(connection, target.address)
 
     def _encode_request(
         self, call: pending.Call, target: directory.Target
@@ -452,7 +452,7 @@
         call: pending.Call,
         target: directory.Target,
         connection: http_client.Connection,
-        reply: http_client.Reply,
+        reply: http_client.IncomingResponse,
     ) -> SendResult:
         """Maps a target's response to a caller's response or a failure."""
         names = self._header_names
@@ -490,16 +490,16 @@
         )
         body = reply.take()
         if reply.complete:
-            return result.Ok(http_server.Outgoing(status, headers, body))
+            return result.Ok(http_server.Response(status, headers, body))
         remaining_body = self._stream(connection, reply, target)
         return result.Ok(
-            http_server.Outgoing(status, headers, body, remaining_body)
+            http_server.Response(status, headers, body, remaining_body)
         )
 
     def _apply_feedback(
         self,
         target: directory.Target,
-        reply: http_client.Reply,
+        reply: http_client.IncomingResponse,
         sent_at: float,
     ) -> None:
         """Applies the target feedback in a response's headers."""
@@ -539,18 +539,18 @@
     async def _stream(
         self,
         connection: http_client.Connection,
-        reply: http_client.Reply,
+        reply: http_client.IncomingResponse,
         target: directory.Target,
     ) -> AsyncIterator[bytes]:
         """Streams the rest of a large response body."""
         usable = False
         try:
-            while chunk := await connection.wait_more(reply):
+            while chunk := await connection.read_chunk(reply):
                 yield chunk
             usable = True
         finally:
             if usable:
-                self._pool.give_back(connection, target.address)
+                self._pool.release(connection, target.address)
             else:
                 connection.abort()
 
@@ -568,7 +568,7 @@
             self._crashes.answered(target.id)
             self._membership.answered(target.id)
             response = sent.ok_value
-            if response.status < 500 and response.rest is None:
+            if response.status < 500 and response.body_stream is None:
                 self._balancer.answered(
                     call.route.name,
                     target.id,
@@ -619,7 +619,7 @@
         self,
         call: pending.Call,
         target: directory.Target,
-        response: http_server.Outgoing,
+        response: http_server.Response,
         now: float,
     ) -> None:
         elapsed = now - call.received_at
@@ -642,9 +642,9 @@
     def _refuse(
         self,
         call: pending.Call | None,
-        incoming: http_server.Incoming,
+        incoming: http_server.Request,
         failure: errors.Failure,
-    ) -> http_server.Outgoing:
+    ) -> http_server.Response:
         if failure.answer.router_retries and not failure.retry_after:
             failure = errors.Failure(
                 failure.kind,
@@ -653,7 +653,7 @@
             )
         now = self._clock.now()
         attempt = incoming.header(self._header_names.attempt) or b""
-        elapsed = now - incoming.at
+        elapsed = now - incoming.received_at
         kind = failure.kind.value
         self._outcome_counts[kind] += 1
         route = call.route.name if call else ""
@@ -683,7 +683,7 @@
         if failure.answer.ran is errors.Ran.NO and failure.wait:
             headers.append((b"retry-after", b"%g" % failure.wait))
         text = failure.answer.text.encode() + b"\n"
-        return http_server.Outgoing(failure.answer.status, tuple(headers), text)
+        return http_server.Response(failure.answer.status, tuple(headers), text)
 
 
 def _final_failure(
@@ -699,7 +699,7 @@
     return current
 
 
-def _fingerprint(incoming: http_server.Incoming, key: bytes | None) -> str:
+def _fingerprint(incoming: http_server.Request, key: bytes | None) -> str:
     """Returns a fingerprint that is the same whenever a request is repeated."""
     caller = incoming.header(b"authorization") or b""
     path, _, query = incoming.target.decode("latin-1").partition("?")
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/load_probing.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/load_probing.py
@@ -41,7 +41,7 @@
         cluster: cluster_state.ClusterState,
         balancer: load_balancing.LoadBalancer,
         timer: clock.Clock,
-        event_log: events.Events,
+        event_log: events.EventLog,
     ) -> None:
         """Creates a prober.
 
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/pending.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/pending.py
@@ -92,7 +92,7 @@
 
     def __init__(
         self,
-        incoming: http_server.Incoming,
+        incoming: http_server.Request,
         route: routes.Route,
         service: routes.Service,
         attempt: bytes,
@@ -102,7 +102,7 @@
         self.route = route
         self.service = service
         self.attempt = attempt
-        self.received_at = incoming.at
+        self.received_at = incoming.received_at
         self.deadline = deadline
         self.work_estimate = route.target_latency * _WORK_ESTIMATE_SHARE
         self.key: int | None = None
