--- a/packages/mimosastile-core/src/mimosastile_core/gateway/extension.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/extension.py
@@ -1,16 +1,17 @@
-"""How a leader outlasts its last look at the store, and who can tell later.
+"""Extension of a leader lease by witnesses during an outage of the store.
 
-A leader may give orders for a short span after each look at the store. In an
-outage of the store no VM can replace it, and stopping would leave all keys
-without an owner. So it may go on for longer, and grant keys for longer, once
-each of its witnesses has found the store unreachable as well and has promised
-to tell successors until when the leader may go on.
+A leader may give orders for a short span after each confirmation by the store.
+In an outage of the store no VM can replace it, and stopping would leave all
+keys without an owner. It may therefore continue for longer, and extend its
+grants, once each of its witnesses has found the store unreachable as well and
+has promised to report to successors until when the leader may continue.
 
 The witnesses are a few VMs that the leader names in the store. A successor
-reads the names after its own claim, so they are final. One witness that never
-made a promise shows that the leader had to stop within the short span and gave
-usual grants only, whatever became of the leader itself. If all witnesses have
-promised, or none can be asked, the successor waits for the long span.
+reads the names after it has claimed leadership, so they are final. A single
+witness that never made a promise proves that the leader had to stop within the
+short span and gave usual grants only, whether or not the leader itself can be
+reached. If all witnesses have promised, or none can be reached, the successor
+waits for the long span.
 """
 
 from collections.abc import Iterable
@@ -20,16 +21,17 @@
 import msgspec
 
 WITNESSES = 3
-"""Named at a time. All have to agree in an outage, and one has to survive a
-loss of the leader."""
+"""Witnesses named at a time. All must agree in an outage, and one must survive
+a loss of the leader."""
 
 
 class Witness(msgspec.Struct, frozen=True, array_like=True):
-    """One run of a daemon that may extend its leader's authority.
+    """One incarnation of a daemon that may extend its leader's lease.
 
     Attributes:
         vm: Identifier of its VM.
-        boot: Identifier of the run. A later run knows nothing of promises.
+        boot: Identifier of the incarnation. A later incarnation has no record
+            of earlier promises.
     """
 
     vm: str
@@ -37,14 +39,14 @@
 
 
 class Record(msgspec.Struct, frozen=True):
-    """Witnesses of a leader, as named in the store.
+    """Witnesses of a leader, as recorded in the store.
 
-    A leader writes it once all earlier leaders have stopped and no grant
-    longer than usual is left.
+    A leader writes it once all earlier leaders have stopped and all extended
+    grants have expired.
 
     Attributes:
         epoch: Epoch of the leader.
-        witnesses: All whose promises it needs.
+        witnesses: All witnesses whose promises the leader needs.
     """
 
     epoch: int
@@ -52,7 +54,7 @@
 
 
 class Promises:
-    """What this VM has promised to leaders as a witness."""
+    """Promises that this VM has made to leaders as a witness."""
 
     __slots__ = ("_until",)
 
@@ -60,14 +62,15 @@
         self._until: float | None = None
 
     def add(self, until: float) -> None:
-        """Notes that a leader may give orders until a time."""
+        """Records that a leader may give orders until a time."""
         self._until = until if self._until is None else max(self._until, until)
 
     def seconds(self, now: float) -> float | None:
-        """Returns the time until the last promise ends, None if there is none.
+        """Returns the seconds until the last promise expires.
 
-        It is negative once that has ended. Grants given under it may last
-        longer, so an ended promise is not the same as none.
+        Returns None if there is no promise. The value is negative once the
+        promise has expired. Grants given under it may last longer, so an
+        expired promise is not the same as none.
         """
         return None if self._until is None else self._until - now
 
@@ -75,8 +78,8 @@
 def chosen(able: Iterable[tuple[Witness, str]]) -> tuple[Witness, ...]:
     """Returns the witnesses for a leader to name.
 
-    They stand in different zones as far as possible: a fault of one zone then
-    leaves some of them.
+    They are spread over as many zones as possible, so that some of them survive
+    the failure of one zone.
 
     Args:
         able: VMs that may be named, each with its zone, the best first.
@@ -96,9 +99,9 @@
     """Whether other witnesses should be named.
 
     Args:
-        named: Those in the store.
-        present: VMs that report at present.
-        able: How many of them may be named.
+        named: Witnesses recorded in the store.
+        present: VMs that currently report.
+        able: Number of VMs that may be named.
     """
     missing = set(named) - set(present)
     return bool(missing) or len(named) < min(able, WITNESSES)
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/formers.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/formers.py
@@ -1,4 +1,4 @@
-"""When former leaders have stopped, and how long their grants last."""
+"""When former leaders have stopped, and when their grants expire."""
 
 from collections.abc import Iterable
 
@@ -7,7 +7,7 @@
 
 
 class FormerLeaders:
-    """Leaders that may not have noticed yet that they were replaced."""
+    """Former leaders that may not have noticed their replacement yet."""
 
     __slots__ = (
         "_calm_until",
@@ -37,22 +37,23 @@
         unextended_until: float = float("inf"),
         held_up: float = 0.0,
     ) -> None:
-        """Makes one.
+        """Creates the record that a new leader keeps of its predecessors.
 
         Args:
-            until: When all have surely stopped.
+            until: Time by which all of them have stopped for certain.
             vms: Identifiers of their VMs.
-            calm_until: Until when they surely gave usual grants only.
-            hold: Seconds of a usual grant.
-            most: Seconds of the longest grant.
-            longer_until: When the longer grants that they gave before have
-                run out.
-            witnesses: Witnesses of the last one, if it named some.
-            unextended_until: When that one has stopped if one of these made no
-                promise.
-            held_up: Seconds for which what a leader sent until it stopped may
-                be on its way. One whose authority ends sends its last orders
-                earlier by as much.
+            calm_until: Time until which they gave no extended grants for
+                certain.
+            hold: Usual duration of a grant in seconds.
+            most: Longest duration of a grant in seconds.
+            longer_until: Time at which the extended grants that they gave
+                before have expired.
+            witnesses: Witnesses of the last one, if it named any.
+            unextended_until: Time by which the last one has stopped if one of
+                these witnesses made no promise.
+            held_up: Seconds for which orders that a leader sent until it
+                stopped may be in transit. A leader whose lease expires stops
+                sending earlier by as much.
         """
         self._held_up = held_up
         self._until = until
@@ -70,23 +71,24 @@
 
     @property
     def stopped_by(self) -> float:
-        """Time by which all orders of theirs have surely arrived."""
+        """Time by which all of their orders have arrived for certain."""
         return self._known
 
     def stopped(self, now: float) -> None:
-        """Notes that all are known to have stopped."""
+        """Records that all of them have stopped."""
         self._silent.clear()
         self._known = min(self._known, now + self._held_up)
 
     def follows(self, vm: str, now: float, longer: float | None) -> None:
-        """Notes that a VM follows the present leader and gives no orders.
+        """Records that a VM follows the present leader and gives no orders.
 
         Args:
             vm: Identifier of the VM.
-            now: The time.
-            longer: Seconds until grants that were longer than usual, its own
-                and those of leaders before it, have run out, as it says; None
-                if it has started again since it led and cannot tell.
+            now: Current time.
+            longer: Seconds until the extended grants of this VM and of leaders
+                before it have expired, as reported by the VM; None if it has
+                restarted since it was leader and no longer has this
+                information.
         """
         if vm in self._silent:
             self._silent.discard(vm)
@@ -99,21 +101,22 @@
     def testify(
         self, witness: extension.Witness, promised: float | None, now: float
     ) -> None:
-        """Takes a VM's word on what it has promised to former leaders.
+        """Processes a witness's report on its promises to former leaders.
 
-        It follows the present leader, so it promises nothing more. Leaders
-        before the last one had stopped when that one named its witnesses.
+        The witness follows the present leader, so it makes no further promises
+        to them. Leaders before the last one had stopped when that one named its
+        witnesses.
 
         Args:
-            witness: The VM and its run.
-            promised: Seconds until its last promise ends, negative for one
-                that has ended, None if it has made none.
-            now: The time.
+            witness: The VM and the incarnation of its daemon.
+            promised: Seconds until its last promise expires, negative if it has
+                expired, None if it has made none.
+            now: Current time.
         """
         if witness not in self._witnesses:
             return
-        # The last leader needed the promises of all, so the first to end
-        # counts.
+        # The last leader needed the promises of all witnesses, so the one that
+        # expires first counts.
         ends = float("-inf") if promised is None else now + promised
         self._extended_until = min(self._extended_until, ends)
         bound = max(self._unextended_until, self._extended_until)
@@ -121,18 +124,18 @@
         self._known = min(self._known, bound)
 
     def lapse(self, hold: float = 0.0) -> float:
-        """Returns when all their grants have run out.
+        """Returns the time at which all their grants have expired.
 
         Args:
-            hold: Seconds of their usual grants, if that is longer than the
-                one in the settings.
+            hold: Duration of their usual grants in seconds, if longer than the
+                configured one.
         """
         usual = max(self._hold, hold)
         longer_until = self._longer_until
         all_said = self._named and not self._wordless
         calm = all_said or self._known <= self._calm_until
         if self._extended_until < float("inf"):
-            # Longer grants were given under promises only.
+            # Extended grants were given under promises only.
             calm = True
             lapsed = self._lapsed_after(self._extended_until, usual)
             longer_until = max(longer_until, lapsed)
@@ -142,10 +145,10 @@
         return min(latest, max(known, longer_until))
 
     def _lapsed_after(self, until: float, usual: float) -> float:
-        """Returns when all grants have run out after authority has ended.
+        """Returns when all grants have expired after a lease has expired.
 
-        None outlasts it by more than a usual one, but for the drift of the
-        target's clock.
+        No grant outlasts the lease by more than the usual duration, except for
+        the drift of the target's clock.
         """
         drift = max(self._most - usual, 0.0) * leadership.CLOCK_DRIFT
         return leadership.lapsed_at(until, usual) + drift
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/leadership.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/leadership.py
@@ -1,43 +1,46 @@
-"""When a leader may give orders, and when a former one has surely stopped.
-
-One VM leads: it alone changes the tables of key ranges and gives orders to
-targets. Any VM may take the role over by a compare-and-swap, at any time, so
-the death of a leader costs little. What makes that safe:
-
-- A table changes only in a transaction that also checks the leader's entry,
-  so a replaced leader changes nothing more.
-- A target refuses a fence lower than one it has seen, so a replaced leader's
-  orders do no harm to keys that the new one has taken from a target by order.
-- Keys of a target that does not answer are given away only once every grant
-  has run out. A replaced leader that does not know it might renew them; so a
-  leader stops by itself when it has not seen its entry in the store for
-  `authority` seconds, and its successor waits that long. Where the leader has
-  named witnesses, both times are far shorter (`extension`).
-
-All times are of a clock that runs on while the machine is suspended: a leader
-that thaws must see that its time has passed.
+"""Leader lease: how long a leader may give orders, and when its grants expire.
+
+One VM is the leader: it alone changes the tables of key ranges and gives orders
+to targets. Any VM may take the role over by a compare-and-swap at any time, so
+the loss of a leader is cheap. This is safe because:
+
+- A table changes only in a transaction that also checks the leader's entry, so
+  a replaced leader can change no table.
+- A target refuses a fence lower than one that it has seen, so orders of a
+  replaced leader do no harm to keys that the new one has taken from a target by
+  order.
+- Keys of a target that does not respond get another owner only once every grant
+  for them has expired. A replaced leader that has not noticed its replacement
+  could renew those grants. Therefore a leader stops by itself when it has not
+  seen its entry in the store for `authority` seconds, and its successor waits
+  that long. If the leader has named witnesses, both times are far shorter
+  (`extension`).
+
+All times are readings of a clock that advances while the machine is suspended,
+so that a leader sees on resumption that its lease has expired.
 """
 
 import msgspec
 
 CLOCK_DRIFT = 0.02
-"""How much slower a target's clock may run, from the platform's promise."""
+"""Largest fraction by which a target's clock may run slow, as guaranteed by the
+platform."""
 LAPSE_MARGIN = 0.1
-"""Seconds on top of a grant's time for delivery within a host."""
+"""Seconds added to the duration of a grant, for delivery within a host."""
 
 
 class LeaderEntry(msgspec.Struct, frozen=True):
-    """The leader as named in the store.
+    """The leader as recorded in the store.
 
     Attributes:
         vm: Identifier of the VM.
-        boot: Identifier of the run of its daemon.
+        boot: Identifier of the daemon's incarnation.
         epoch: Rises by one with each leader.
-        address: Where its peers reach it.
-        unsure: VMs that led before and may not have noticed that they were
-            replaced when this one took over. Leaders may follow each other
-            faster than the first one notices; whoever comes next has to wait
-            for all of them.
+        address: Address at which its peers reach it.
+        unsure: VMs that led before and may not have noticed their replacement
+            when this one took over. Leaders may follow each other faster than
+            the first one notices, and each successor has to wait for all of
+            them.
     """
 
     vm: str
@@ -48,11 +51,12 @@
 
 
 class Authority:
-    """How long this VM may go on giving orders as leader.
+    """Tracks how long this VM may give orders as leader.
 
     Attributes:
-        replaceable: Whether another VM reaches the store while this one does
-            not, as far as is known, and so may soon lead in its place.
+        replaceable: Whether another VM is reported to reach the store while
+            this one does not, and may therefore soon become leader in its
+            place.
     """
 
     __slots__ = (
@@ -66,13 +70,13 @@
     )
 
     def __init__(self, span: float, unextended: float | None = None) -> None:
-        """Makes one that allows nothing.
+        """Creates a lease that allows no orders.
 
         Args:
-            span: Seconds that one look at the store allows, with the promises
-                of all witnesses if there are some.
-            unextended: Seconds that it allows without these, if there are
-                witnesses.
+            span: Seconds for which one confirmation by the store is valid, with
+                the promises of all witnesses if there are witnesses.
+            unextended: Seconds for which it is valid without these promises, if
+                there are witnesses.
         """
         self._span = span
         self._unextended = span if unextended is None else unextended
@@ -84,39 +88,40 @@
 
     @property
     def extended(self) -> bool:
-        """Whether the last look at the store has been extended."""
+        """Whether the last confirmation by the store has been extended."""
         return self._extended_until >= self._confirmed + self._span
 
     def need_witnesses(self) -> None:
-        """Shortens it, since witnesses are being named."""
+        """Shortens the lease, because witnesses are being named."""
         self._witnessed = True
 
     def extend(self, confirmed: float) -> None:
-        """Notes the promises of all witnesses.
+        """Extends the lease by the promises of all witnesses.
 
         Args:
-            confirmed: The last look at the store that they were told of.
+            confirmed: Time of the confirmation by the store that the witnesses
+                were sent.
         """
         until = confirmed + self._span
         self._extended_until = max(self._extended_until, until)
 
     @property
     def longer_until(self) -> float:
-        """Time at which all grants that were longer than usual have run out.
+        """Time at which all extended grants have expired.
 
-        An outage of the store ends, and grants are usual ones again; but a
-        target that has answered nothing since still holds its keys by a longer
-        one. A successor has to know that.
+        When an outage of the store ends, grants get their usual duration again.
+        A target that has not responded since still holds its keys by an
+        extended grant, and a successor has to take that into account.
         """
         return self._longer_until
 
     def note_longer(self, until: float) -> None:
-        """Notes when a longer grant will have run out."""
+        """Records the time at which an extended grant expires."""
         self._longer_until = max(self._longer_until, until)
 
     @property
     def confirmed(self) -> float:
-        """Time of the last look at the store that showed this leader."""
+        """Time of the last store request that confirmed this leader."""
         return self._confirmed
 
     @property
@@ -129,14 +134,15 @@
 
     @property
     def extended_until(self) -> float:
-        """Time at which the promises of witnesses have ended."""
+        """Time at which the promises of the witnesses have expired."""
         return self._extended_until
 
     def confirm(self, asked: float) -> None:
-        """Notes that the store named this leader.
+        """Records that the store named this VM as leader.
 
         Args:
-            asked: Time at which the question was sent, not answered.
+            asked: Time at which the request to the store was sent, not that of
+                its response.
         """
         self._confirmed = max(self._confirmed, asked)
 
@@ -152,22 +158,23 @@
         most: float,
         trouble_after: float,
     ) -> float:
-        """Returns how long a grant given now may last.
+        """Returns the duration of a grant given now.
 
-        While the store answers nobody no successor could take over and no key
-        could move, so grants are made longer: the keys then survive the loss
-        of this leader in an outage. Not if only this leader is cut off: its
-        successor would have to wait for them before the keys of a target that
-        died can move. No grant outlasts this leader's
-        authority by more than `usual`, which is what a successor waits for.
+        While the store is down for all VMs, no successor can take over and no
+        key can move. Grants are therefore extended, so that keys keep their
+        owners if this leader is lost during the outage. Grants are not extended
+        if only this leader is cut off from the store: its successor would have
+        to wait for them before it could move the keys of a crashed target. No
+        grant outlasts this leader's lease by more than `usual`, which is what a
+        successor waits for.
 
         Args:
-            now: The time.
-            arrival: When it arrives at the latest.
-            usual: Seconds of a grant while all is well.
-            most: Longest grant that targets accept.
-            trouble_after: Seconds without the store after which it counts as
-                not answering.
+            now: Current time.
+            arrival: Latest time at which the grant arrives.
+            usual: Duration of a grant in normal operation, in seconds.
+            most: Longest duration that targets accept, in seconds.
+            trouble_after: Seconds without a confirmation after which the store
+                counts as unreachable.
         """
         if now - self._confirmed < trouble_after:
             return usual
@@ -181,7 +188,7 @@
 
     Attributes:
         renew: Seconds between two renewals.
-        hold: Seconds of a grant.
+        hold: Duration of a grant in seconds.
     """
 
     renew: float
@@ -193,26 +200,27 @@
 ) -> Pace:
     """Returns the pace at which a leader can renew a number of ranges.
 
-    A leader with too many orders answers nobody in time, and all grants run
-    out. So more ranges are renewed less often and granted for longer.
+    A leader with too many orders to send responds too late, and all grants
+    expire. Therefore the more ranges there are, the less often they are renewed
+    and the longer their grants last.
 
     Args:
         ranges: Number of ranges, one order each.
-        usual: The pace for a few.
+        usual: Pace for a small number of ranges.
         slowest: Longest time in seconds between two renewals.
-        orders_per_second: Renewals to send at most, as long as none is later
-            than that.
+        orders_per_second: Limit on renewals per second; exceeded if it would
+            make a renewal later than `slowest`.
     """
     renew = max(usual.renew, min(ranges / orders_per_second, slowest))
     return Pace(renew, usual.hold * renew / usual.renew)
 
 
 def lapsed_at(last_order: float, hold: float) -> float:
-    """Returns when a grant has surely run out.
+    """Returns the time by which a grant has expired for certain.
 
     Args:
-        last_order: Time at which the last order that may have carried it was
-            answered or its connection was reset.
-        hold: Seconds that it granted.
+        last_order: Time at which the last order that may have carried the grant
+            was answered or its connection was reset.
+        hold: Duration of the grant in seconds.
     """
     return last_order + hold * (1 + CLOCK_DRIFT) + LAPSE_MARGIN
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/succession.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/succession.py
@@ -1,24 +1,25 @@
-"""Whom a leader that is cut off from the store asks to lead in its place.
-
-What a leader knows of other VMs' ways to the store is some seconds old: most of
-them rarely call it. The ones it asks may be cut off by the same fault. A leader
-that waits for one that cannot come keeps tables unchanged and lost targets'
-keys without an owner, while most VMs reach the store. So several are asked at a
-time, and others soon after; the store lets one of them through.
+"""Choice of successors by a leader that has lost its access to the store.
+
+A leader's view of other VMs' connections to the store is several seconds old,
+because most VMs rarely call the store. VMs that it asks may be cut off by the
+same fault. While a leader waits for a VM that cannot take over, tables do not
+change and keys of lost targets have no owner, although most VMs reach the
+store. Therefore several VMs are asked at a time, and others soon after; the
+store lets one of them through.
 """
 
 from collections.abc import Sequence
 
 _AT_ONCE = 3
-"""VMs asked at a time. When a third of the VMs is turned away, all of three are
-so once in 27 times."""
+"""VMs asked at a time. If a third of the VMs is cut off, all three are cut off
+once in 27 times."""
 _PATIENCE = 0.6
-"""Seconds for which those asked last have time: two calls to the store and the
-way there and back."""
+"""Time that the VMs asked last are given: two calls to the store and the
+transit both ways."""
 
 
 class Succession:
-    """Remembers which VMs were asked, so that others come next."""
+    """Tracks which VMs were asked to lead, so that others are asked next."""
 
     __slots__ = ("_asked", "_asked_at")
 
@@ -32,7 +33,7 @@
         return self._asked
 
     def clear(self) -> None:
-        """Asks nobody any more."""
+        """Resets the record of the VMs asked."""
         self._asked = ()
         self._asked_at = float("-inf")
 
@@ -40,14 +41,14 @@
         """Returns the VMs to ask now, none while the last ones have time.
 
         Args:
-            able: VMs that say they reach the store, the best first.
-            now: The time.
+            able: VMs that report access to the store, the best first.
+            now: Current time.
         """
         if now - self._asked_at < _PATIENCE:
             return ()
         left = [vm for vm in able if vm not in self._asked]
         if not left:
-            # All were asked in vain; their ways to the store may be back.
+            # All were asked without success; some may reach the store again.
             self._asked = ()
             left = list(able)
         chosen = tuple(left[:_AT_ONCE])
--- a/tests/gateway/test_extension.py
+++ b/tests/gateway/test_extension.py
@@ -1,4 +1,4 @@
-"""Which VMs are named as witnesses, and what they remember."""
+"""Which VMs are named as witnesses, and which promises they record."""
 
 import pytest
 
@@ -26,7 +26,7 @@
         ],
     )
     def test_zones(self, able, names):
-        """Guards against one zone's fault taking all witnesses."""
+        """Guards against losing all witnesses to the failure of one zone."""
         chosen = extension.chosen((_witness(n), zone) for n, zone in able)
         assert [w.vm for w in chosen] == names
 
@@ -40,7 +40,7 @@
         ],
     )
     def test_outdated(self, named, present, expected):
-        """Others are named when one is lost, or when there are too few."""
+        """Others are named if a witness is lost or there are too few."""
         found = extension.outdated(
             [_witness(n) for n in named],
             {_witness(n) for n in present},
@@ -49,13 +49,13 @@
         assert found is expected
 
     def test_restarted_witness_is_lost(self):
-        """Guards against reliance on a run that has forgotten its promises."""
+        """Guards against reliance on an incarnation without its promises."""
         present = {extension.Witness("a", "later")}
         assert extension.outdated([_witness("a")], present, 1)
 
 
 class TestPromises:
-    """A witness's memory."""
+    """What a witness records."""
 
     def test_longest_counts(self):
         """A shorter promise does not shorten an earlier one."""
@@ -68,7 +68,7 @@
 
 
 class TestAuthority:
-    """Authority of a leader with witnesses."""
+    """Lease of a leader with witnesses."""
 
     @pytest.mark.parametrize(
         ("witnessed", "extended", "ends"),
@@ -99,10 +99,10 @@
             (9.0, True, False, 3.0),
         ],
     )
-    def test_longer_grants_need_promises(
+    def test_extended_grants_need_promises(
         self, now, extended, replaceable, hold
     ):
-        """Guards against longer grants that no witness knows of."""
+        """Guards against extended grants that no witness can report."""
         authority = leadership.Authority(10.0, 2.5)
         authority.confirm(0.0)
         authority.need_witnesses()
@@ -113,7 +113,7 @@
         assert found == pytest.approx(hold)
 
     def test_next_outage_needs_new_promises(self):
-        """Guards against one outage's promises serving for the next one."""
+        """Guards against use of one outage's promises in the next outage."""
         authority = leadership.Authority(10.0, 2.5)
         authority.need_witnesses()
         authority.confirm(0.0)
--- a/tests/gateway/test_formers.py
+++ b/tests/gateway/test_formers.py
@@ -1,4 +1,4 @@
-"""Former leaders: when they have stopped, and how long their grants last."""
+"""Former leaders: when they have stopped, and when their grants expire."""
 
 import pytest
 
@@ -9,31 +9,34 @@
 W2 = extension.Witness("vm-2", "boot-2")
 
 
-def _formers(calm=0.0, longer=float("-inf")):
-    """Returns a leader replaced at 0, with authority of 10 s, short 2.5 s."""
+def _former_leaders(calm=0.0, longer=float("-inf")):
+    """Returns a leader replaced at 0 s.
+
+    Its lease lasted 10 s, or 2.5 s without the promises of witnesses.
+    """
     return formers.FormerLeaders(
         10.0, ("vm-0",), calm, 2.0, 10.0, longer, (W1, W2), 2.5
     )
 
 
 class TestWitnesses:
-    """What witnesses of a silent leader prove."""
+    """What reports of witnesses prove about an unreachable former leader."""
 
     @pytest.mark.parametrize(
-        ("words", "lapse"),
+        ("reports", "expires"),
         [
-            pytest.param([], 12.3, id="nobody can be asked"),
+            pytest.param([], 12.3, id="no witness can be reached"),
             pytest.param([(W1, None)], 4.64, id="one made no promise"),
             pytest.param([(W1, 6.0)], 8.3, id="one promised six seconds"),
-            pytest.param([(W1, 1.0)], 4.64, id="its promise ends sooner"),
-            pytest.param([(W1, -0.5)], 4.64, id="its promise has ended"),
+            pytest.param([(W1, 1.0)], 4.64, id="its promise expires sooner"),
+            pytest.param([(W1, -0.5)], 4.64, id="its promise has expired"),
             pytest.param([(W1, 6.0), (W2, None)], 4.64, id="not all promised"),
             pytest.param([(W2, None), (W1, 6.0)], 4.64, id="in any order"),
             pytest.param([(W1, 6.0), (W2, 4.0)], 6.3, id="both promised"),
             pytest.param(
                 [(extension.Witness("vm-1", "later"), None)],
                 12.3,
-                id="a later run of a witness knows nothing",
+                id="later incarnation of a witness",
             ),
             pytest.param(
                 [(extension.Witness("vm-9", "boot-9"), None)],
@@ -42,34 +45,37 @@
             ),
         ],
     )
-    def test_word(self, words, lapse):
-        """Guards against keys given away while a silent leader renews them."""
-        former = _formers()
-        for witness, promised in words:
-            former.testify(witness, promised, 0.0)
-        assert former.lapse() == pytest.approx(lapse, abs=0.01)
+    def test_witness_reports(self, reports, expires):
+        """Guards against a new owner for keys whose grants are still renewed.
+
+        A former leader that cannot be reached may still renew them.
+        """
+        leaders = _former_leaders()
+        for witness, promised in reports:
+            leaders.testify(witness, promised, 0.0)
+        assert leaders.lapse() == pytest.approx(expires, abs=0.01)
 
-    def test_ended_promise(self):
-        """Guards against grants forgotten once the promise has ended.
+    def test_expired_promise(self):
+        """Guards against ignoring grants once the promise has expired.
 
-        The leader's process is known to have ended, and gave longer grants
+        The leader's process is known to have ended, and it gave extended grants
         under the promise.
         """
-        former = _formers()
-        former.stopped(1.0)
-        former.testify(W1, 3.0, 0.0)
-        former.testify(W1, -2.0, 5.0)
-        assert former.lapse() == pytest.approx(5.3, abs=0.01)
+        leaders = _former_leaders()
+        leaders.stopped(1.0)
+        leaders.testify(W1, 3.0, 0.0)
+        leaders.testify(W1, -2.0, 5.0)
+        assert leaders.lapse() == pytest.approx(5.3, abs=0.01)
 
-    def test_leader_and_witness_speak(self):
-        """The leader follows its successor: its grants are usual ones."""
-        former = _formers()
-        former.testify(W1, None, 0.5)
-        former.follows("vm-0", 1.0, None)
-        assert former.lapse() == pytest.approx(3.14, abs=0.01)
+    def test_reports_of_leader_and_witness(self):
+        """The former leader reports as a follower; its grants were usual."""
+        leaders = _former_leaders()
+        leaders.testify(W1, None, 0.5)
+        leaders.follows("vm-0", 1.0, None)
+        assert leaders.lapse() == pytest.approx(3.14, abs=0.01)
 
-    def test_restarted_leader_cannot_tell(self):
-        """Guards against a restarted leader's longer grants being forgotten."""
-        former = _formers()
-        former.follows("vm-0", 1.0, None)
-        assert former.lapse() == pytest.approx(11.3, abs=0.01)
+    def test_restarted_leader_without_record(self):
+        """Guards against ignoring the extended grants of a restarted leader."""
+        leaders = _former_leaders()
+        leaders.follows("vm-0", 1.0, None)
+        assert leaders.lapse() == pytest.approx(11.3, abs=0.01)
--- a/tests/gateway/test_leadership.py
+++ b/tests/gateway/test_leadership.py
@@ -1,4 +1,4 @@
-"""When a leader may give orders and when its last grant has run out."""
+"""When a leader may give orders and when its last grant has expired."""
 
 import pytest
 
@@ -8,33 +8,33 @@
 
 
 def _confirmed(at):
-    made = leadership.Authority(SPAN)
-    made.confirm(at)
-    return made
+    lease = leadership.Authority(SPAN)
+    lease.confirm(at)
+    return lease
 
 
 class TestAuthority:
-    """How long one look at the store allows a leader to go on."""
+    """How long one confirmation by the store lets a leader continue."""
 
     @pytest.mark.parametrize(
         ("at", "holds"), [(0.0, True), (9.9, True), (10.0, False)]
     )
     def test_ends(self, at, holds):
-        """A leader that was suspended gives no orders when it wakes.
+        """A leader that was suspended gives no orders on resumption.
 
-        Meanwhile another one may have given its keys away.
+        Meanwhile another leader may have given its keys away.
         """
         assert _confirmed(0.0).holds(at) is holds
 
-    def test_holds_nothing_before_the_first_look(self):
-        """A VM that was never named leads nothing."""
+    def test_no_orders_before_the_first_confirmation(self):
+        """A VM that was never named as leader may give no orders."""
         assert not leadership.Authority(SPAN).holds(0.0)
 
-    def test_an_answer_that_comes_late_does_not_take_back(self):
-        """Answers that overtake each other never shorten the time."""
-        made = _confirmed(5.0)
-        made.confirm(3.0)
-        assert made.ends == 15.0
+    def test_late_response_does_not_shorten_the_lease(self):
+        """Responses that arrive out of order never shorten the lease."""
+        lease = _confirmed(5.0)
+        lease.confirm(3.0)
+        assert lease.ends == 15.0
 
 
 class TestHold:
@@ -44,29 +44,29 @@
         ("now", "expected"),
         [(0.0, 2.0), (2.9, 2.0), (3.0, 9.0), (4.0, 8.0), (9.9, 2.1)],
     )
-    def test_longer_while_the_store_is_away(self, now, expected):
-        """The store is down and then the leader dies as well.
+    def test_extended_while_the_store_is_down(self, now, expected):
+        """The store goes down and then the leader is lost as well.
 
-        Nobody can take over before the store is back; with usual grants all
-        keys would be refused after two seconds.
+        No VM can take over before the store is back. With usual grants,
+        requests for all keys would be refused after two seconds.
         """
         hold = _confirmed(0.0).hold_seconds(now, now, USUAL, MOST, TROUBLE)
         assert hold == pytest.approx(expected)
 
     @pytest.mark.parametrize("now", [x / 10 for x in range(100)])
-    def test_never_beyond_what_a_successor_waits_for(self, now):
-        """A successor without word waits for authority and a usual grant."""
+    def test_never_outlasts_the_wait_of_a_successor(self, now):
+        """Without reports a successor waits for the lease and a usual grant."""
         hold = _confirmed(0.0).hold_seconds(now, now, USUAL, MOST, TROUBLE)
         assert now + hold <= SPAN + USUAL + 1e-9
         assert hold <= MOST
 
-    def test_lapse_covers_a_slow_clock(self):
+    def test_expiry_allows_for_a_slow_clock(self):
         """A target's clock may run 2% slow."""
         assert leadership.lapsed_at(5.0, 10.0) >= 15.2
 
 
 class TestPace:
-    """Renewals of few and of many ranges: load of a leader by targets."""
+    """Load of a leader by the renewals of few and of many ranges."""
 
     @pytest.mark.parametrize(
         ("ranges", "renew", "hold"),
--- a/tests/gateway/test_succession.py
+++ b/tests/gateway/test_succession.py
@@ -1,4 +1,4 @@
-"""Whom a leader that is cut off from the store asks to lead."""
+"""Which VMs a leader that is cut off from the store asks to lead."""
 
 import pytest
 
@@ -7,17 +7,17 @@
 VMS = tuple(f"vm-{n}" for n in range(7))
 
 
-def _asked_until(made, able, reaches, step=0.1):
-    """Returns how long it takes until one that reaches the store is asked."""
+def _seconds_until_asked(choice, able, reaches, step=0.1):
+    """Returns the seconds until a VM that reaches the store is asked."""
     now = 0.0
-    while not reaches & set(made.next(able, now)):
+    while not reaches & set(choice.next(able, now)):
         now += step
         assert now < 60
     return now
 
 
 class TestCuts:
-    """A cut hits the leader and some of those that it asks."""
+    """The leader and some VMs that it asks are cut off from the store."""
 
     @pytest.mark.parametrize(
         ("cut", "most"),
@@ -30,41 +30,41 @@
         ],
     )
     def test_one_that_reaches_the_store_is_asked(self, cut, most):
-        """The best VMs are cut off as well, and nobody knows it yet.
+        """The best VMs are cut off as well, but still count as reachable.
 
-        Keys of lost targets have no owner until another VM leads; callers are
-        refused meanwhile.
+        Keys of lost targets have no owner until another VM leads, and requests
+        for them are refused meanwhile.
         """
-        made = succession.Succession()
-        assert _asked_until(made, VMS, set(VMS[cut:])) <= most
+        choice = succession.Succession()
+        assert _seconds_until_asked(choice, VMS, set(VMS[cut:])) <= most
 
-    def test_those_asked_have_time(self):
-        """The same VMs are not asked again at once, and no others."""
-        made = succession.Succession()
-        assert made.next(VMS, 0.0) == VMS[:3]
-        assert made.next(VMS, 0.5) == ()
-        assert made.next(VMS, 0.7) == VMS[3:6]
-        assert made.asked == VMS[:6]
+    def test_asked_vms_get_time_to_respond(self):
+        """The VMs asked get time to respond before others are asked."""
+        choice = succession.Succession()
+        assert choice.next(VMS, 0.0) == VMS[:3]
+        assert choice.next(VMS, 0.5) == ()
+        assert choice.next(VMS, 0.7) == VMS[3:6]
+        assert choice.asked == VMS[:6]
 
     def test_flapping(self):
-        """All were asked in vain, and the cut moves on to others.
+        """All VMs were asked without success, and other VMs are cut off now.
 
-        Whoever was cut off before may be the only one now that is not.
+        A VM that was cut off before may be the only one that is not now.
         """
-        made = succession.Succession()
+        choice = succession.Succession()
         for second in range(3):
-            made.next(VMS, float(second))
-        assert set(VMS[:3]) <= set(made.next(VMS, 3.0))
+            choice.next(VMS, float(second))
+        assert set(VMS[:3]) <= set(choice.next(VMS, 3.0))
 
-    def test_nobody_reaches_the_store(self):
-        """It is the store that is down; nobody is asked."""
-        made = succession.Succession()
-        assert made.next((), 0.0) == ()
-        assert made.asked == ()
+    def test_store_is_down(self):
+        """If the store itself is down, no VM is asked."""
+        choice = succession.Succession()
+        assert choice.next((), 0.0) == ()
+        assert choice.asked == ()
 
     def test_store_is_back(self):
-        """Whoever was asked in an outage is not asked any more."""
-        made = succession.Succession()
-        made.next(VMS, 0.0)
-        made.clear()
-        assert made.asked == ()
+        """VMs asked during an outage no longer count as asked after it."""
+        choice = succession.Succession()
+        choice.next(VMS, 0.0)
+        choice.clear()
+        assert choice.asked == ()
