--- a/packages/mimosastile-core/src/mimosastile_core/gateway/__init__.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/__init__.py
@@ -1,6 +1,6 @@
-"""Decisions of the gateway: routes, key ranges, room at targets, retries.
+"""Decision logic of the gateway: routes, key ranges, load balancing, retries.
 
 The gateway serves targets that take orders over HTTP and own ranges of numeric
-keys. As everywhere in this package a state, an event and the time go in and a
-state or an action comes out.
+keys. As everywhere in this package, functions take a state, an event and the
+time, and return a new state or an action.
 """
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/assignments.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/assignments.py
@@ -1,4 +1,4 @@
-"""Who owns which keys, as VMs route by it, and what has changed in it."""
+"""Assignments of keys to targets for routing, and their differences."""
 
 import bisect
 from collections.abc import Iterable
@@ -10,7 +10,7 @@
 from mimosastile_core.gateway import ranges
 
 Version = tuple[int, int]
-"""Epoch of the leader that tells an assignment, and its serial number."""
+"""Epoch of the leader that sends an assignment, and its serial number."""
 
 
 class Assignment(msgspec.Struct, frozen=True, array_like=True):
@@ -19,8 +19,8 @@
     Attributes:
         service: Name of the service.
         version: Rises with each change; epoch 0 if it was read from the store.
-        firsts: First key of each range, rising from 0.
-        owners: Target of each range; empty while the keys change hands.
+        firsts: First key of each range, in ascending order from 0.
+        owners: Target of each range; empty during a handover.
     """
 
     service: str
@@ -29,7 +29,7 @@
     owners: tuple[str, ...]
 
     def owner(self, key: int) -> str:
-        """Returns the target that owns a key, empty if there is none."""
+        """Returns the target that owns a key, empty if it has no owner."""
         return self.owners[bisect.bisect_right(self.firsts, key) - 1]
 
     def spans(self) -> Iterator["Span"]:
@@ -42,12 +42,12 @@
 
 
 class Span(msgspec.Struct, frozen=True, array_like=True):
-    """Neighbouring keys and their owner.
+    """Adjacent keys and their owner.
 
     Attributes:
         first: First key.
         last: Last key, inclusive.
-        owner: Their target; empty while they change hands.
+        owner: Target that owns them; empty during a handover.
     """
 
     first: int
@@ -56,15 +56,16 @@
 
 
 class Difference(msgspec.Struct, frozen=True, array_like=True):
-    """What turns one version of an assignment into another.
+    """The changes from one version of an assignment to another.
 
-    A table has hundreds of ranges and a change touches a few. Telling every
-    VM the whole of it with each change would be most of what a leader sends.
+    A table has hundreds of ranges and a change affects a few of them. Sending
+    the whole assignment to every VM with each change would make up most of a
+    leader's traffic.
 
     Attributes:
         service: Name of the service.
-        base: Version that it applies to.
-        version: Version that it makes.
+        base: Version to which it applies.
+        version: Version that results.
         spans: Keys whose owner differs.
     """
 
@@ -77,12 +78,12 @@
 def of_table(
     table: ranges.RangeTable, version: Version, ready: set[ranges.Piece]
 ) -> Assignment:
-    """Returns what VMs are told of a table.
+    """Returns the assignment that is sent to VMs for a table.
 
     Args:
         table: The table.
         version: Version of the assignment.
-        ready: Pieces that their owners have been granted.
+        ready: Pieces that have been granted to their owners.
     """
     return Assignment(
         table.service,
@@ -96,7 +97,7 @@
 
 
 def difference(old: Assignment, new: Assignment) -> Difference:
-    """Returns what changed from one assignment to another."""
+    """Returns the changes from one assignment to another."""
     firsts = sorted({*old.firsts, *new.firsts})
     ends = itertools.chain(firsts[1:], (ranges.KEYS,))
     spans = tuple(
@@ -117,7 +118,7 @@
 
 
 def same(one: Assignment, other: Assignment) -> bool:
-    """Whether two assignments of one epoch name the same owners."""
+    """Whether two assignments have the same epoch and name the same owners."""
     return (
         one.version[0] == other.version[0]
         and one.firsts == other.firsts
@@ -128,7 +129,7 @@
 def _overlaid(
     known: Iterable[Span], changed: tuple[Span, ...]
 ) -> Iterator[Span]:
-    """Yields the known spans with the changed ones laid over them."""
+    """Yields the current spans with the changed ones laid over them."""
     pieces = [*changed]
     taken = sorted((span.first, span.last) for span in changed)
     for span in known:
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/casualties.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/casualties.py
@@ -1,23 +1,23 @@
-"""Which lost answers were deaths of their targets.
+"""Detection of target crashes among requests that got no response.
 
-Now and then one request ends every target that begins to run it, and comes
-again. An answer is lost in many other ways, though, and a request must not be
-refused because a link loses packets. What tells them apart: a target that has
-died takes no connection for some seconds.
+Occasionally a request crashes every target that starts to run it, and is sent
+again by its caller. Responses are lost for many other reasons, though, and a
+request must not be refused because a link loses packets. The difference is that
+a target that has crashed accepts no connections for some seconds.
 """
 
 from mimosastile_core import config
 from mimosastile_core import quarantine
 
 _DOUBT_SECONDS = 3.0
-"""Time after a lost answer in which a refused connection confirms a death;
-targets take seconds to start again."""
+"""Time after a lost response within which a refused connection confirms a
+crash; targets take seconds to restart."""
 POLICY = config.Quarantine(deaths=3, seconds=60.0)
-"""A third death is beyond chance; a minute covers the repeats of a caller."""
+"""A third crash is beyond chance; a minute covers the retries of a caller."""
 
 
 class Casualties:
-    """Lost answers of one VM, and the deaths that they turned out to be."""
+    """Lost responses observed by one VM, and the crashes that caused them."""
 
     __slots__ = ("_memory", "_pending")
 
@@ -26,12 +26,12 @@
         self._pending: dict[str, list[tuple[float, str]]] = {}
 
     def lost(self, target: str, request: str, now: float) -> None:
-        """Notes that an answer was lost.
+        """Records that a response was lost.
 
         Args:
             target: The target.
             request: Fingerprint of the request.
-            now: The time.
+            now: Current time.
         """
         recent = [
             item
@@ -41,16 +41,21 @@
         self._pending[target] = [*recent, (now, request)]
 
     def answered(self, target: str) -> None:
-        """Notes that a target lives; what was lost there was no death."""
+        """Records that a target responds; earlier losses were no crashes."""
         self._pending.pop(target, None)
 
     def unreachable(
         self, target: str, now: float, new_id: str
     ) -> list[quarantine.Death]:
-        """Notes that a target takes no connection.
+        """Records that a target accepts no connections.
+
+        Args:
+            target: The target.
+            now: Current time.
+            new_id: Prefix for the identifiers of the crashes.
 
         Returns:
-            The deaths that this confirms.
+            The crashes that this confirms.
         """
         pending = self._pending.pop(target, ())
         deaths = [
@@ -63,16 +68,16 @@
         return deaths
 
     def learn(self, death: quarantine.Death, now: float) -> None:
-        """Takes in a death that another VM has confirmed."""
+        """Records a crash that another VM has confirmed."""
         self._memory.record(death, now)
 
     def held(self, request: str, now: float) -> bool:
-        """Whether a request has ended too many targets to be sent again."""
+        """Whether a request has crashed too many targets to be sent again."""
         if not self._memory:
             return False
         return self._memory.held_for(request, POLICY, now) > 0
 
     def deaths(self, now: float) -> tuple[quarantine.Death, ...]:
-        """Returns all deaths that are remembered, with present ages."""
+        """Returns all crashes still recorded, with their current ages."""
         self._memory.expire(POLICY, now)
         return self._memory.deaths(now)
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/configurations.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/configurations.py
@@ -1,10 +1,10 @@
-"""Versions of the configuration, and what has changed between two of them.
+"""Versions of the configuration, and the changes between two of them.
 
-A configuration of a thousand routes is thirty kilobytes even when it is
-compressed, and operators change it several times a second at times. Telling a
-hundred VMs the whole of each version fills a narrow link between regions for
-seconds: VMs beyond it serve by an old version, and requests that cross it
-wait. What one version changes is a few hundred bytes.
+A configuration of a thousand routes is thirty kilobytes even when compressed,
+and operators sometimes change it several times a second. Sending each version
+whole to a hundred VMs fills a narrow link between regions for seconds: VMs
+beyond it serve by an old version, and requests that cross it are delayed. The
+changes of one version are a few hundred bytes.
 """
 
 import msgspec
@@ -18,15 +18,15 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """What turns one version into another.
+    """The changes from one version to another.
 
     Attributes:
-        base: Version that it applies to.
-        version: Version that it makes.
-        routes: New routes and those that differ.
-        removed: Names of routes that are gone.
-        services: All services, None if they are as before.
-        limits: Bounds on callers, None if they are as before.
+        base: Version to which it applies.
+        version: Version that results.
+        routes: Routes that are new or differ.
+        removed: Names of removed routes.
+        services: All services, None if they are unchanged.
+        limits: Limits for callers, None if they are unchanged.
     """
 
     base: int
@@ -40,11 +40,11 @@
 def change(
     old: routes.Configuration, new: routes.Configuration
 ) -> Change | None:
-    """Returns what changed between two versions.
+    """Returns the changes between two versions.
 
     Returns:
-        The change; None if it cannot be told, as when two routes share a name
-        or their order has changed.
+        The change; None if it cannot be expressed, for example if two routes
+        share a name or their order has changed.
     """
     known = {route.name: route for route in old.routes}
     wanted = {route.name: route for route in new.routes}
@@ -70,7 +70,7 @@
     found = {route.name: route for route in known.routes}
     for name in told.removed:
         found.pop(name, None)
-    # A route that differs keeps its place; a new one goes to the end.
+    # A route that differs keeps its position; a new one goes to the end.
     found.update((route.name, route) for route in told.routes)
     return routes.Configuration(
         told.version,
@@ -84,17 +84,18 @@
     """The newest configuration and the versions before it.
 
     Attributes:
-        present: The newest one, None before the first.
+        present: The newest configuration, None before the first.
     """
 
     __slots__ = ("_changes", "_former", "_kept", "present")
 
     def __init__(self, kept: int) -> None:
-        """Makes an empty one.
+        """Creates an empty history.
 
         Args:
-            kept: Earlier versions that are kept, to tell others what has
-                changed since; whoever is further behind gets the whole.
+            kept: Number of earlier versions to keep, from which changes can be
+                computed. A VM with an older version gets the whole
+                configuration.
         """
         self._kept = kept
         self._former: dict[int, routes.Configuration] = {}
@@ -102,7 +103,11 @@
         self.present: routes.Configuration | None = None
 
     def take(self, new: routes.Configuration) -> bool:
-        """Takes a configuration unless one as new is known."""
+        """Stores a configuration unless the present one is as new.
+
+        Returns:
+            Whether it was stored.
+        """
         known = self.present
         if known is not None:
             if new.version <= known.version:
@@ -116,14 +121,14 @@
         return True
 
     def since(self, version: int) -> routes.Configuration | Change | None:
-        """Returns what someone needs who knows a version.
+        """Returns the update for a VM that has a given version.
 
         Args:
-            version: Version that they know, -1 for none.
+            version: Version that the VM has, -1 for none.
 
         Returns:
-            The newest configuration or what has changed since; None if they
-            have it.
+            The newest configuration or the changes since that version; None if
+            the VM is up to date.
         """
         present = self.present
         if present is None or version >= present.version:
@@ -132,7 +137,7 @@
         if old is None:
             return present
         if version not in self._changes:
-            # Many VMs know the same version; it is compared once.
+            # Many VMs have the same version; the change is computed once.
             self._changes[version] = change(old, present)
         return self._changes[version] or present
 
@@ -140,9 +145,9 @@
 def _shared(
     old: routes.Configuration, new: routes.Configuration
 ) -> routes.Configuration:
-    """Returns a new version with equal routes taken from the old one.
+    """Returns a new version that reuses equal routes of the old one.
 
-    Kept versions then cost the memory of what differs between them.
+    Each kept version then costs only the memory of its differences.
     """
     known = {route.name: route for route in old.routes}
     return msgspec.structs.replace(
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/currency.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/currency.py
@@ -1,63 +1,64 @@
-"""Up to when a view of the store is known to be complete."""
+"""Freshness of a view of the store: the time up to which it is complete."""
 
 import math
 
 
 class Currency:
-    """The latest time at which a view surely held all that the store did.
+    """The latest time at which a view was complete for certain.
 
-    Each source gives a lower bound: when a question was asked that the answer
-    settles, less the age that the answer itself names. What happens on the way
-    of an answer, in queues, in retransmissions or before it is read, is later
-    than that and cannot make a view look fresher than it is.
+    A view is complete if it holds all that the store held at that time. Each
+    source gives a lower bound: the time at which a request was sent, less the
+    age that the response itself states. Delays of a response in transit, in
+    queues, by retransmissions or before it is processed come after that time
+    and cannot make a view look fresher than it is.
     """
 
     __slots__ = ("_at",)
 
     def __init__(self) -> None:
-        """Makes one of a view that never was complete."""
+        """Creates the freshness of a view that was never complete."""
         self._at = -math.inf
 
     @property
     def at(self) -> float | None:
-        """The time, None if it never was complete."""
+        """The time, None if the view was never complete."""
         return None if self._at == -math.inf else self._at
 
     def note(self, at: float) -> None:
-        """Notes that the view was complete at some time."""
+        """Records that the view was complete at a time."""
         self._at = max(self._at, at)
 
     def age(self, now: float) -> float | None:
-        """Returns the seconds since then, None if it never was complete."""
+        """Returns the seconds since then, None if it was never complete."""
         return None if self._at == -math.inf else max(now - self._at, 0.0)
 
 
 class Stamp:
-    """A reading of a peer's clock, to translate times from and to it.
+    """A reading of a peer's clock, to convert times from and to that clock.
 
-    The peer has read its clock after it was asked and before its answer
-    arrived here, so that a time that is translated never lies after the true
-    one, however long the question or the answer took.
+    The peer read its clock after the request was sent and before its response
+    arrived. A converted time is therefore never later than the true one,
+    however long the request or the response was in transit.
     """
 
     __slots__ = ("_arrived", "_asked", "_there")
 
     def __init__(self, there: float, asked: float, arrived: float) -> None:
-        """Makes one.
+        """Creates a stamp from one exchange with a peer.
 
         Args:
-            there: The peer's clock when it made its answer.
-            asked: This clock when the peer was asked.
-            arrived: This clock when the answer arrived.
+            there: The peer's clock when it made its response.
+            asked: The local clock when the request was sent.
+            arrived: The local clock when the response arrived.
         """
         self._there = there
         self._asked = asked
         self._arrived = arrived
 
     def to_peer(self, at: float) -> float:
-        """Returns a time of this clock on the peer's, or an earlier one."""
+        """Converts a local time to the peer's clock, never to a later time."""
         return self._there + at - self._arrived
 
     def from_peer(self, at: float) -> float:
-        """Returns a time of the peer's clock on this, or an earlier one."""
+        """Converts a peer's time to the local clock, never to a later time."""
         return self._asked + at - self._there
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/directory.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/directory.py
@@ -1,4 +1,4 @@
-"""What is known of targets, and which of them may get new work."""
+"""Directory of targets: their registrations, and which may get new work."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -13,15 +13,15 @@
     """A target as it registered itself.
 
     Attributes:
-        id: Its identifier; may come back for another run of it.
-        born: Unix milliseconds of its start; tells its runs apart.
+        id: Identifier of the target; a later incarnation may reuse it.
+        born: Start in Unix milliseconds; distinguishes its incarnations.
         service: Service that it serves.
         address: Host and port.
         zone: Its availability zone.
-        slots: Requests that it runs at a time.
-        leaving: Whether it has announced its end.
+        slots: Number of requests that it runs concurrently.
+        leaving: Whether it has announced its shutdown.
         revision: The store's revision of the registration.
-        warm_at: Time at which it is no longer slow after its start.
+        warm_at: Time at which its slow start ends.
     """
 
     id: str
@@ -48,18 +48,18 @@
 
 
 class Entry:
-    """One target and how it stands.
+    """One target and its status.
 
     Attributes:
-        target: As it registered itself last.
+        target: Its latest registration.
         standing: Whether it may get new work.
         since: Time of the last change of `standing`.
         until: Time after which it gets no work at all.
         revision: The store's revision of its last change.
-        cold_until: Time until which it is taken for cold, whatever it has
-            registered.
-        announced_at: When this run said in an answer that it leaves, None if
-            it has not.
+        cold_until: Time until which it counts as cold, regardless of its
+            registration.
+        announced_at: Time at which this incarnation announced its shutdown in a
+            response, None if it has not.
     """
 
     __slots__ = (
@@ -82,29 +82,29 @@
         self.announced_at: float | None = None
 
     def warm_in(self, now: float) -> float:
-        """Returns the seconds until it is warm, 0 if it is."""
+        """Returns the seconds until the target is warm, 0 if it is."""
         return max(self.target.warm_at, self.cold_until, now) - now
 
 
 class Directory:
-    """All targets that are registered or were until a moment ago.
+    """All targets that are registered or were until recently.
 
-    A target whose registration has vanished may be dead, or cut off from the
-    store and still well, or all registrations may have lapsed in an outage of
-    the store. Callers would notice the last case as a whole service refused
-    at once. So a vanished target stays usable where there is no other, for as
-    long as a leaving one may still get work.
+    A target whose registration has vanished may have crashed, it may be cut off
+    from the store and still serve, or all registrations may have expired in an
+    outage of the store. In the last case callers would find the whole service
+    refused at once. Therefore, if there is no other target, a target without
+    registration stays usable for as long as a leaving one may still get work.
     """
 
     __slots__ = ("_announced", "_entries", "_grace", "_late_grace")
 
     def __init__(self, grace: float, late_grace: float) -> None:
-        """Makes an empty one.
+        """Creates an empty directory.
 
         Args:
             grace: Seconds for which a leaving or vanished target may get work.
-            late_grace: The same if only a comparison of lists showed that it
-                has vanished, which may have happened earlier.
+            late_grace: The same if its absence was only found by a comparison
+                of lists, and it may have vanished earlier.
         """
         self._entries: dict[str, Entry] = {}
         self._announced: set[str] = set()
@@ -112,7 +112,7 @@
         self._late_grace = late_grace
 
     def set_grace(self, grace: float, late_grace: float) -> None:
-        """Changes both for targets that leave or vanish from now on."""
+        """Changes both times for targets that leave or vanish from now on."""
         self._grace = grace
         self._late_grace = late_grace
 
@@ -121,7 +121,7 @@
         return iter(self._entries.values())
 
     def announced(self) -> Iterator[Entry]:
-        """Yields targets that leave by their own word."""
+        """Yields targets that have announced their shutdown in a response."""
         entries = (self._entries.get(name) for name in self._announced)
         return (e for e in entries if e and e.announced_at is not None)
 
@@ -130,10 +130,10 @@
         return self._entries.get(target)
 
     def newer_run(self, target: Target) -> Target | None:
-        """Returns the run that came after the one that registers, if any.
+        """Returns a recorded incarnation later than a registering one, if any.
 
-        A write to the store that got no answer may be carried out seconds
-        later, when the target has started again under its identifier.
+        A write to the store that got no response may be carried out seconds
+        later, when the target has already restarted under its identifier.
         """
         entry = self._entries.get(target.id)
         if entry is None or entry.target.born <= target.born:
@@ -143,23 +143,23 @@
     def put(
         self, target: Target, now: float, since: float | None = None
     ) -> bool:
-        """Takes a registration; one of an older run changes nothing.
+        """Records a registration; one of an older incarnation has no effect.
 
         Args:
             target: The target.
-            now: The time.
+            now: Current time.
             since: Earliest time at which it may have been written; None for
                 now.
 
         Returns:
-            Whether it matters to routing.
+            Whether the change affects routing.
         """
         entry = self._entries.get(target.id)
         if entry is not None and target.revision < entry.revision:
             return False
         if entry is not None and target.born < entry.target.born:
-            # What the store holds now is the older run's; a removal that
-            # follows is newer than that.
+            # The store now holds the older incarnation's registration; a
+            # removal that follows has a higher revision.
             entry.revision = target.revision
             return False
         if entry is None:
@@ -192,18 +192,18 @@
         return True
 
     def announce(self, target: str, born: int, said_at: float) -> bool:
-        """Takes a target's word in an answer that it is about to end.
+        """Records a target's announcement in a response that it will end.
 
-        The word holds for its run, whatever its registration shows: that may
-        lag, lapse and come back, or be written late.
+        The announcement holds for its incarnation, whatever the registration
+        shows: that may lag, expire and return, or be written late.
 
         Args:
             target: Identifier of the target.
-            born: Which run of it.
-            said_at: When it was said.
+            born: Start of its incarnation.
+            said_at: Time of the announcement.
 
         Returns:
-            Whether that is news.
+            Whether this changes the target's status.
         """
         entry = self._entries.get(target)
         if entry is None or entry.target.born != born:
@@ -229,17 +229,17 @@
         revision: int = 0,
         since: float | None = None,
     ) -> bool:
-        """Notes that a registration has vanished.
+        """Records that a registration has vanished.
 
         Args:
             target: Identifier of the target.
-            now: The time.
+            now: Current time.
             late: Whether it may have vanished a while ago.
-            revision: The store's revision of that, 0 if it is not known.
+            revision: The store's revision of the removal, 0 if it is not known.
             since: Earliest time at which it may have vanished; None for now.
 
         Returns:
-            Whether it was there.
+            Whether the registration was present.
         """
         entry = self._entries.get(target)
         if entry is None or entry.standing in _VANISHED:
@@ -255,19 +255,20 @@
         return True
 
     def end(self, target: str, born: int, now: float) -> bool:
-        """Notes proof that a run of a target is over.
+        """Records proof that an incarnation of a target has ended.
 
-        Its address answers in another target's name. Its registration may
-        stand for seconds more; each request sent there would be one for
-        nothing, and a repeat at the other target's service.
+        The proof is that its address responds under another target's
+        identifier. Its registration may last for seconds more. Each request
+        sent there would be wasted, and would be a retry at the other target's
+        service.
 
         Args:
             target: Identifier of the target.
-            born: Which run of it.
-            now: The time.
+            born: Start of its incarnation.
+            now: Current time.
 
         Returns:
-            Whether that is news.
+            Whether this changes the target's status.
         """
         entry = self._entries.get(target)
         if entry is None or entry.target.born != born:
@@ -279,18 +280,19 @@
         return True
 
     def has_left_address(self, target: str, born: int) -> bool:
-        """Whether a target's own address has answered in another name.
+        """Whether a target's address has responded under another identifier.
 
-        That is sure proof that whatever ran there under its identifier is
-        over. What the store shows of the address proves nothing: a
-        registration that vanished may be one of a target that is cut off from
-        the store, or leaves, and serves on; another identifier at the same
-        address may be an earlier run's, written late. Believing either would
-        give the target's keys away while it runs requests for them.
+        This proves that any process that ran there under the target's
+        identifier has ended. What the store shows of the address proves
+        nothing: a target whose registration vanished may be cut off from the
+        store, or be leaving, and still serve; another identifier at the same
+        address may belong to an earlier incarnation whose registration was
+        written late. Relying on either would give the target's keys to another
+        one while it runs requests for them.
 
         Args:
             target: Identifier of the target.
-            born: Which run of it.
+            born: Start of its incarnation.
         """
         entry = self._entries.get(target)
         return (
@@ -300,11 +302,11 @@
         )
 
     def has_started_again(self, target: str, born: int) -> bool:
-        """Whether a later run of a target has registered than a given one.
+        """Whether an incarnation later than a given one has registered.
 
         Args:
             target: Identifier of the target.
-            born: Which run of it.
+            born: Start of the given incarnation.
         """
         entry = self._entries.get(target)
         return entry is not None and entry.target.born > born
@@ -312,17 +314,17 @@
     def learn_run(
         self, target: str, born: int, address: str, now: float
     ) -> None:
-        """Takes the word of a table that a later run than the known one exists.
+        """Records that a table names a later incarnation than the recorded one.
 
-        A new leader may not have heard of it yet, and would take the keys from
-        the later run to give them to the earlier one. What is known of the
-        earlier one's end says nothing of the later one.
+        A new leader may not have its registration yet, and would take the keys
+        from the later incarnation to give them to the earlier one. The recorded
+        end of the earlier incarnation does not apply to the later one.
 
         Args:
             target: Identifier of the target.
-            born: Its later run.
-            address: Where that is.
-            now: The time.
+            born: Start of its later incarnation.
+            address: Address of the later incarnation.
+            now: Current time.
         """
         entry = self._entries.get(target)
         if entry is None or entry.target.born >= born:
@@ -343,18 +345,19 @@
         since: float | None = None,
         gone_since: float | None = None,
     ) -> list[str]:
-        """Takes a whole list.
+        """Replaces all registrations by a complete list.
 
         Args:
-            targets: All that are registered.
-            now: The time.
+            targets: All targets that are registered.
+            now: Current time.
             revision: The store's revision of the list.
             since: Earliest time at which registrations may have changed; None
                 for now.
-            gone_since: The same for those that have vanished.
+            gone_since: Earliest time at which registrations may have vanished;
+                None for now.
 
         Returns:
-            The targets whose entry changed.
+            Identifiers of the targets whose entry changed.
         """
         listed = {target.id: target for target in targets}
         changed = [t.id for t in listed.values() if self.put(t, now, since)]
@@ -390,12 +393,13 @@
     ) -> list[Target]:
         """Returns the targets of a service that may get new work.
 
-        Ready ones if there are any, else those that are about to go.
+        These are its ready targets if there are any, otherwise those that are
+        still within their grace period.
 
         Args:
             service: The service.
-            now: The time.
-            allowed: Which of them are considered.
+            now: Current time.
+            allowed: Filter on the targets to consider.
         """
         of_service = [
             e
@@ -415,12 +419,13 @@
     def take_for_cold(
         self, zone: str, seconds: Mapping[str, float], now: float
     ) -> None:
-        """Takes the targets of a zone for cold for some time.
+        """Treats the targets of a zone as cold for some time.
 
         Args:
-            zone: Their zone.
-            seconds: For how long, by service.
-            now: The time.
+            zone: Zone of the targets.
+            seconds: Duration by service; a service that is absent is not
+                affected.
+            now: Current time.
         """
         for entry in self._entries.values():
             if entry.target.zone == zone:
@@ -428,13 +433,13 @@
                 entry.cold_until = max(entry.cold_until, now + lasts)
 
     def note_cold(self, target: str, seconds: float, now: float) -> None:
-        """Notes that a target itself has said how long it stays cold."""
+        """Records how long a target stays cold, as it reported itself."""
         entry = self._entries.get(target)
         if entry is not None:
             entry.cold_until = max(entry.cold_until, now + seconds)
 
     def is_ready(self, target: str) -> bool:
-        """Whether a target is registered and does not leave."""
+        """Whether a target is registered and not leaving."""
         entry = self._entries.get(target)
         return entry is not None and entry.standing is Standing.READY
 
@@ -453,7 +458,7 @@
         return standings - _VANISHED == {Standing.LEAVING}
 
     def ready(self, service: str) -> list[Target]:
-        """Returns the registered targets of a service that do not leave."""
+        """Returns the registered targets of a service that are not leaving."""
         return [
             entry.target
             for entry in self._entries.values()
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/eligibility.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/eligibility.py
@@ -1,8 +1,8 @@
-"""Which targets may run a request at all, whatever their load.
+"""Eligibility of targets for a request, regardless of their load.
 
-A route may be bound to regions, and operators may have evacuated zones. Both
-are rules, not preferences: a target that they exclude is never used, also when
-no other one is left.
+A route may be restricted to regions, and operators may have evacuated zones.
+Both are rules, not preferences: an excluded target is never used, even if no
+other target is left.
 """
 
 from collections.abc import Collection
@@ -23,11 +23,11 @@
 
 
 class Evacuations(msgspec.Struct, frozen=True):
-    """Zones whose targets get nothing new.
+    """Zones whose targets get no new work.
 
     Attributes:
         zones: Names of the zones, sorted.
-        revision: The store's revision as of which that holds.
+        revision: The store's revision as of which the list holds.
     """
 
     zones: tuple[str, ...] = ()
@@ -35,17 +35,17 @@
 
 
 class Eligibility:
-    """Filters by place: allowed regions first, then evacuated zones."""
+    """Filters targets by location: allowed regions, then evacuated zones."""
 
     __slots__ = ("_evacuated", "_regions")
 
     def __init__(
         self, regions: Mapping[str, str], evacuated: Iterable[str] = ()
     ) -> None:
-        """Makes the filters.
+        """Creates the filters.
 
         Args:
-            regions: Region of each zone. A zone without one lies in no region
+            regions: Region of each zone. A zone without one is in no region
                 that a route could allow.
             evacuated: Zones that are evacuated.
         """
@@ -55,7 +55,7 @@
     def exclusion(
         self, zone: str, allowed: Collection[str]
     ) -> Exclusion | None:
-        """Returns why a zone's targets may not run a request.
+        """Returns why a zone's targets may not run a request, None if they may.
 
         Args:
             zone: Zone of the target.
@@ -75,19 +75,19 @@
 def owner_regions(
     configuration: routes.Configuration, service: str
 ) -> tuple[str, ...]:
-    """Returns the regions in which owners of a service's keys should stand.
+    """Returns the regions where owners of a service's keys should be located.
 
-    A request for a key can only go to its owner. With owners in regions that
+    A request for a key can only go to its owner. If owners are in regions that
     all routes to the service allow, no request is refused because of the
-    place of its key.
+    location of its key.
 
     Args:
         configuration: The configuration in force.
         service: Name of the service.
 
     Returns:
-        Regions that all bound routes to it allow; empty for any, also if
-        there is no such region.
+        Regions that all restricted routes to the service allow; empty for any,
+        also if there is no such region.
     """
     bound = [
         set(route.regions)
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/ranges.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/ranges.py
@@ -1,4 +1,4 @@
-"""Tables of key ranges: which target owns which keys, under which fence."""
+"""Tables of key ranges: which target owns which keys, and under which fence."""
 
 import bisect
 from collections.abc import Iterable
@@ -8,19 +8,19 @@
 import msgspec
 
 KEYS = 65536
-"""Numeric keys of a service: 0 to 65535."""
+"""Number of numeric keys of a service: 0 to 65535."""
 
 Piece = tuple[int, int, int]
-"""First key, last key and fence: one version of one range."""
+"""First key, last key and fence: identifies one version of one range."""
 
 
 class Holder(msgspec.Struct, frozen=True):
-    """A run of a target that owns or owned keys.
+    """An incarnation of a target that owns or owned keys.
 
     Attributes:
         id: Identifier of the target.
-        born: Unix milliseconds of its start.
-        address: Where orders reach it.
+        born: Start of the incarnation in Unix milliseconds.
+        address: Host and port to which orders for it are sent.
     """
 
     id: str
@@ -29,7 +29,7 @@
 
 
 class Former(msgspec.Struct, frozen=True):
-    """A run of a target that may still hold keys of a range.
+    """An incarnation of a target that may still hold keys of a range.
 
     Attributes:
         holder: The target.
@@ -41,15 +41,16 @@
 
 
 class Range(msgspec.Struct, frozen=True):
-    """Neighbouring keys with one owner.
+    """Adjacent keys with one owner.
 
     Attributes:
         first: First key.
         last: Last key, inclusive.
-        owner: The target that owns them.
-        fence: Fence of its grant.
-        formers: Who may still hold them; the owner gets its grant only when
-            each has let go or its grant has run out.
+        owner: Target that owns them.
+        fence: Fence of the owner's grant.
+        formers: Former owners, not yet known to have released the keys. The
+            owner gets its grant only once each of them has released the keys or
+            its grant has expired.
     """
 
     first: int
@@ -64,27 +65,27 @@
 
     @property
     def piece(self) -> Piece:
-        """Identifies this version of the range."""
+        """Identifier of this version of the range."""
         return self.first, self.last, self.fence
 
     @property
     def width(self) -> int:
-        """How many keys it has."""
+        """Number of keys in the range."""
         return self.last - self.first + 1
 
 
 class RangeTable(msgspec.Struct, frozen=True):
-    """All ranges of one service, as kept in the store.
+    """All ranges of one service, as stored.
 
     Attributes:
         service: Name of the service.
-        commit: Identifier of the change that made this version; tells a
-            writer whose answer was lost whether its change is in force.
+        commit: Identifier of the change that made this version. It tells a
+            writer that got no response whether its change is in force.
         version: Rises by one with each change.
-        next_fence: Fence of the next order; all earlier ones are below it.
-        ranges: In order of keys, without gap or overlap.
-        hold: Seconds of the longest usual grant under this table and those
-            before it, 0 if it is the one in the settings.
+        next_fence: Fence of the next order; all fences given out are below it.
+        ranges: Ranges in order of keys, without gaps or overlaps.
+        hold: Longest usual duration of a grant in seconds under this table and
+            those before it; 0 if it is the configured one.
     """
 
     service: str
@@ -121,7 +122,7 @@
 def _next(
     table: RangeTable, made: Iterable[Range], commit: str, next_fence: int
 ) -> RangeTable:
-    """Returns the version after a table."""
+    """Returns the successor version of a table, with new ranges."""
     return msgspec.structs.replace(
         table,
         commit=commit,
@@ -136,25 +137,25 @@
 
 
 def problem(table: RangeTable) -> str:
-    """Returns what is wrong with a table, empty if nothing is."""
+    """Returns why a table is invalid, empty if it is valid."""
     expected = 0
     for item in table.ranges:
         if item.first != expected or item.last < item.first:
-            return f"range {item.first}-{item.last} follows {expected - 1}"
+            return f"range {item.first}-{item.last} follows key {expected - 1}"
         if item.fence >= table.next_fence:
-            return f"fence {item.fence} of {item.first} was not given out"
+            return f"fence {item.fence} at key {item.first} was never issued"
         expected = item.last + 1
-    return "" if expected == KEYS else f"keys end at {expected - 1}"
+    return "" if expected == KEYS else f"ranges end at key {expected - 1}"
 
 
 def initial(
     service: str, weights: Mapping[Holder, float], commit: str
 ) -> RangeTable:
-    """Returns the first table: widths by weight.
+    """Returns the first table of a service, with widths by weight.
 
     Args:
         service: Name of the service.
-        weights: The owners, at least one, and what each can carry.
+        weights: Owners, at least one, and the relative capacity of each.
         commit: Identifier of the change.
     """
     total = sum(weights.values())
@@ -170,14 +171,14 @@
 
 
 def move(table: RangeTable, moves: Iterable[Move], commit: str) -> RangeTable:
-    """Returns the table after some moves.
+    """Returns the table after a set of moves.
 
-    Each piece that changes hands gets two new fences: the lower one takes it
-    from whoever holds it, the higher one is the new owner's.
+    Each piece that changes its owner gets two new fences: the lower one takes
+    it from its former owner, the higher one is the new owner's.
 
     Args:
-        table: The table.
-        moves: Pieces that do not overlap.
+        table: Table to change.
+        moves: Moves of pieces that do not overlap.
         commit: Identifier of the change.
     """
     fence = table.next_fence
@@ -195,7 +196,11 @@
 
 
 def _cut(part: Range, item: Move, fence: int) -> tuple[Iterator[Range], int]:
-    """Splits a range at a move's borders and gives the middle away."""
+    """Splits a range at a move's borders; the middle gets the new owner.
+
+    Returns:
+        The pieces that are not empty, and the next fence.
+    """
     first, last = max(part.first, item.first), min(part.last, item.last)
     middle = msgspec.structs.replace(part, first=first, last=last)
     if part.owner != item.to:
@@ -213,11 +218,12 @@
 def settle(
     table: RangeTable, settled: Mapping[Piece, Iterable[int]], commit: str
 ) -> RangeTable:
-    """Returns the table without formers that hold nothing any more.
+    """Returns the table without former owners that hold nothing any more.
 
     Args:
-        table: The table.
-        settled: By piece, the fences of its settled formers.
+        table: Table to change.
+        settled: Fences of the former owners that have released their keys, by
+            piece.
         commit: Identifier of the change.
     """
 
@@ -234,15 +240,15 @@
 def refence(
     table: RangeTable, holders: Mapping[Holder, Holder], commit: str
 ) -> RangeTable:
-    """Returns the table with new fences for some owners.
+    """Returns the table with new fences for the given owners.
 
-    A target that has started again under its identifier holds nothing and has
-    forgotten all fences; it must not get the old one. The same is done for a
-    target that was silent, since it may have started again meanwhile.
+    A target that has restarted under its identifier holds no keys and has lost
+    all fences; it must not get the old fence. The same is done for a target
+    that did not respond, since it may have restarted meanwhile.
 
     Args:
-        table: The table.
-        holders: Owner to the run of the same target that takes its place.
+        table: Table to change.
+        holders: By owner, the incarnation of the same target that replaces it.
         commit: Identifier of the change.
     """
     fence = table.next_fence
@@ -258,14 +264,14 @@
 
 
 def join(table: RangeTable, most: int, commit: str) -> RangeTable:
-    """Returns the table with neighbours of one owner joined.
+    """Returns the table with adjacent ranges of one owner joined.
 
-    The joined range gets a new fence; its owner held all of it before, so
-    granting it under a higher fence takes nothing from anyone.
+    The joined range gets a new fence. Its owner held all of it before, so a
+    grant under a higher fence takes nothing from any other target.
 
     Args:
-        table: The table.
-        most: Most joins in one change.
+        table: Table to change.
+        most: Maximum number of joins in one change.
         commit: Identifier of the change.
     """
     fence = table.next_fence
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/rebalance.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/rebalance.py
@@ -1,14 +1,14 @@
-"""Which keys move to which target, so that none is asked for more than others.
+"""Rebalancing of key ranges, so that no target gets far more load than others.
 
-Answers two patterns of load. Keys are of very uneven heat, and the hot ones
-are neighbours: a table cut in equal widths gives its busiest target several
-times the mean. And a narrow run of keys may get a third of all requests from
-one second to the next: it must be cut into pieces and spread before the
-queue at its owner costs its callers their deadlines.
+It handles two load patterns. First, request rates of keys are very uneven, and
+hot keys are adjacent: a table of equal widths gives its busiest target several
+times the mean load. Second, a narrow interval of keys may get a third of all
+requests from one second to the next. It must be split and spread before the
+queue at its owner makes requests miss their deadlines.
 
-Both are met by cutting ranges anywhere, at the places that the heat of single
-keys shows. What moves is priced by width, and hot pieces are narrow, so a move
-that carries much load is cheap.
+Ranges can be split at any key, so both are handled by splits where the request
+rates of single keys show the load. The cost of a move is counted by width, and
+hot pieces are narrow, so a move that carries much load is cheap.
 """
 
 from collections.abc import Iterable
@@ -22,23 +22,24 @@
 
 
 class Policy(msgspec.Struct, frozen=True):
-    """When moves are worth their cost.
+    """Thresholds from which moves are worth their cost.
 
     Attributes:
-        excess: Load of a target over its fair part from which keys move, as a
-            share of the part. Below it, queues at slots differ less than by
+        excess: Load of a target above its fair share from which keys move, as a
+            fraction of the share. Below it, queues at slots differ less than by
             chance.
-        lone_share: Part of its owner's capacity from which a single key gets
-            a target of its own; above it, what else stands there waits.
-        faster: How much more a target must carry than the owner of such a
-            key for the key to move there.
-        sigmas: How many standard deviations of a count the load must be over
-            its part as well; three keeps chance from moving keys more than
-            once in some hundred looks.
-        most_moves: Pieces that move in one change; bounds the size of a
-            change and the work of a leader.
-        most_ranges: Ranges per target on average, above which only whole
-            ranges move; bounds the renewals that a leader sends.
+        lone_share: Fraction of its owner's capacity from which a single key
+            gets a target of its own. Above it, other requests on that target
+            wait.
+        faster: How many times the capacity of such a key's owner another target
+            must have for the key to move there.
+        sigmas: Standard deviations of a request count by which the load must
+            also exceed the share. With three, chance moves keys at most about
+            once in several hundred evaluations.
+        most_moves: Maximum number of pieces that move in one change; bounds the
+            size of a change and the work of a leader.
+        most_ranges: Ranges per target on average above which only whole ranges
+            move; bounds the renewals that a leader sends.
     """
 
     excess: float = 0.25
@@ -50,7 +51,7 @@
 
 
 class _Piece:
-    """A range, or part of one, with its heat."""
+    """A range, or part of one, with the request rates of its keys."""
 
     __slots__ = ("first", "heat", "keys", "last", "owner")
 
@@ -93,7 +94,7 @@
             )
             load = self.loads.get(item.owner, 0.0) + piece.heat
             self.loads[item.owner] = load
-            # Keys that are changing hands already stay where they go.
+            # Keys in a handover do not move again before it ends.
             if not item.formers:
                 self.pieces.setdefault(item.owner, []).append(piece)
         total = sum(self.loads.values())
@@ -103,16 +104,17 @@
         }
 
     def excess(self, holder: ranges.Holder) -> float:
-        """Returns the load of a target above its fair part."""
+        """Returns the load of a target above its fair share."""
         return self.loads.get(holder, 0.0) - self.fair.get(holder, 0.0)
 
     def fastest(self, first: ranges.Holder) -> ranges.Holder:
-        """Returns the target that can carry most, of those below their part.
+        """Returns the fastest target among those below their fair share.
 
-        For a single key, which no further move can divide.
+        Used to place a single key, which no further move can divide.
 
         Args:
-            first: The one that has most room.
+            first: The target with the most spare capacity, preferred among
+                equals and returned if no target is below its share.
         """
         below = [h for h in self.fair if self.excess(h) <= 0]
         return max(
@@ -122,7 +124,11 @@
         )
 
     def emptiest(self, but: ranges.Holder) -> ranges.Holder | None:
-        """Returns the target with the most room for its size."""
+        """Returns the target with the lowest load relative to its capacity.
+
+        Args:
+            but: Target to leave out.
+        """
         able = self._capacity
         others = [h for h, part in able.items() if h != but and part > 0]
         if not others:
@@ -136,11 +142,11 @@
     heat: Mapping[int, float],
     lost: Iterable[ranges.Holder],
 ) -> list[ranges.Move]:
-    """Returns moves that take all keys from some targets.
+    """Returns moves that take all keys from the given targets.
 
     Args:
-        table: The table.
-        capacity: What each target that stays can carry.
+        table: Current table.
+        capacity: Capacity of each target that stays.
         heat: Requests by key.
         lost: Targets whose keys need another owner.
     """
@@ -166,7 +172,7 @@
         if to is None:
             break
         moves.append(ranges.Move(piece.first, piece.last, to))
-        # Without any heat known, widths stand for load: otherwise all cold
+        # Without request rates, widths stand in for load: otherwise all cold
         # ranges would go to one target.
         width = piece.last - piece.first + 1
         balance.loads[to] += max(piece.heat, width * width_load, width / 1e6)
@@ -182,17 +188,17 @@
 ) -> list[ranges.Move]:
     """Returns moves that give a single hot key a target of its own.
 
-    A key cannot be divided. When one is asked for more often than its owner
-    can answer, all that helps is the fastest target and nothing else on it:
-    targets of a service differ in speed by two and more, so this can double
-    what is answered, and it takes the neighbours out of the key's queue.
+    A key cannot be divided. If its request rate exceeds its owner's capacity,
+    the only remedy is the fastest target without any other keys. Targets of a
+    service differ in speed by a factor of two and more, so this can double the
+    rate served, and it takes adjacent keys out of the key's queue.
 
     Args:
-        table: The table.
-        capacity: Requests a second that each target can carry.
-        rates: Requests a second by key.
-        policy: When a move is worth its cost.
-        stays: A key that was moved a moment ago.
+        table: Current table.
+        capacity: Capacity of each target in requests per second.
+        rates: Requests per second by key.
+        policy: Thresholds for moves.
+        stays: A key that was moved recently and must not move again.
     """
     if not rates or not capacity:
         return []
@@ -220,7 +226,7 @@
 def _around(
     part: ranges.Range, key: int, balance: _Balance
 ) -> list[ranges.Move]:
-    """Returns moves of all of a range but one key to the emptiest targets."""
+    """Returns moves of all but one key of a range to the emptiest targets."""
     pieces = [(part.first, part.last)]
     if key in part:
         pieces = [(part.first, key - 1), (key + 1, part.last)]
@@ -239,14 +245,13 @@
     heat: Mapping[int, float],
     policy: Policy,
 ) -> list[ranges.Move]:
-    """Returns moves from the fullest targets to the emptiest.
+    """Returns moves from the most loaded targets to the least loaded.
 
     Args:
-        table: The table.
-        capacity: What each target can carry, in any common unit; all targets
-            that may own keys.
+        table: Current table.
+        capacity: Capacity of each target that may own keys, in any common unit.
         heat: Requests by key.
-        policy: When a move is worth its cost.
+        policy: Thresholds for moves.
     """
     balance = _Balance(table, capacity, heat)
     room = int(policy.most_ranges * len(capacity)) - len(table.ranges)
@@ -287,7 +292,19 @@
 def _best_run(
     pieces: list[_Piece], wanted: float, may_cut: bool
 ) -> tuple[_Piece, int, int] | None:
-    """Returns neighbouring keys whose heat is as wanted, the narrowest."""
+    """Returns the interval of keys whose load is best for a move.
+
+    It prefers a load close to the wanted one, and a narrow interval.
+
+    Args:
+        pieces: Pieces of one target.
+        wanted: Load to move.
+        may_cut: Whether pieces may be split.
+
+    Returns:
+        The piece, and the first and the last key to move; None if no interval
+        is suitable.
+    """
     if wanted <= 0:
         return None
     best: tuple[float, _Piece, int, int] | None = None
@@ -313,7 +330,11 @@
 def _hottest_run(
     keys: list[tuple[int, float]], wanted: float
 ) -> tuple[int, int, float] | None:
-    """Returns the narrowest run of keys with about the wanted heat."""
+    """Returns the narrowest interval of keys with about the wanted load.
+
+    Returns:
+        First key, last key and load; None if no interval is suitable.
+    """
     best: tuple[int, int, float] | None = None
     begin, heat = 0, 0.0
     for end, (key, own) in enumerate(keys):
@@ -330,7 +351,11 @@
 
 
 def _take(balance: _Balance, piece: _Piece, move: ranges.Move) -> int:
-    """Carries a move out on the loads; returns how many ranges it adds."""
+    """Applies a move to the loads.
+
+    Returns:
+        Number of ranges that the move adds.
+    """
     taken = [k for k in piece.keys if move.first <= k[0] <= move.last]
     heat = sum(h for _, h in taken)
     balance.loads[piece.owner] -= heat
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/vacancies.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/vacancies.py
@@ -1,11 +1,11 @@
-"""Since when keys have had no owner, and when they can be expected to have one.
-
-Keys that are handed over are back within some tenths of a second. Those of a
-target that died wait for its grant to run out, and if its leader has vanished
-with it, for that one's authority as well. A VM sees only that nobody owns them;
-the time for which that has been so tells which of the three it is. Requests
-that would wait until their deadlines for nothing are refused at once, with the
-time at which the keys can be expected to be back.
+"""Unowned key ranges, and when they can be expected to have an owner again.
+
+Keys in a handover have an owner again within some tenths of a second. Keys of a
+crashed target have none until its grant has expired and, if its leader was lost
+as well, until that leader's lease has expired too. A VM only sees that keys
+have no owner; the time since they lost it indicates which of the three cases
+applies. A request that would wait past its deadline is refused at once, with
+the time until its key can be expected to have an owner.
 """
 
 from collections.abc import Iterable
@@ -14,12 +14,12 @@
 from mimosastile_core.gateway import assignments
 
 _HANDOVER_SECONDS = 0.6
-"""Time within which nearly all keys that are handed over have their next owner:
-a release waits for the work that runs."""
+"""Time within which nearly all handovers end: a release waits for the requests
+in progress."""
 
 
 class _Vacancy:
-    """Neighbouring keys without an owner."""
+    """Adjacent keys without an owner."""
 
     __slots__ = ("first", "last", "since")
 
@@ -30,30 +30,30 @@
 
 
 class Vacancies:
-    """Keys of all services that nobody owns."""
+    """Unowned ranges of all services."""
 
     __slots__ = ("_lapse", "_longest", "_of")
 
     def __init__(self, lapse: float, longest: float) -> None:
-        """Makes one that knows of none.
+        """Creates a record without unowned ranges.
 
         Args:
-            lapse: Seconds for which keys of a target that died wait.
-            longest: The same if the leader was lost with it.
+            lapse: Seconds for which keys of a crashed target have no owner.
+            longest: The same if the leader was lost as well.
         """
         self._lapse = lapse
         self._longest = longest
         self._of: dict[str, list[_Vacancy]] = {}
 
     def take(self, known: assignments.Assignment, now: float) -> None:
-        """Notes which keys have no owner; others that had none before have."""
+        """Updates the unowned ranges of a service from its assignment."""
         former = self._of.get(known.service, [])
         found: list[_Vacancy] = []
         index = 0
         for span in known.spans():
             if span.owner:
                 continue
-            # Both are in order of keys.
+            # Both lists are in order of keys.
             while index < len(former) and former[index].last < span.first:
                 index += 1
             since = _since(span, itertools.islice(former, index, None), now)
@@ -61,12 +61,12 @@
         self._of[known.service] = found
 
     def seconds(self, service: str, key: int, now: float) -> float:
-        """Returns the time until a key can be expected to have an owner.
+        """Returns the seconds until a key can be expected to have an owner.
 
         Args:
-            service: Its service.
-            key: A key that nobody owns.
-            now: The time.
+            service: Service of the key.
+            key: A key without an owner.
+            now: Current time.
         """
         for vacancy in self._of.get(service, ()):
             if vacancy.first <= key <= vacancy.last:
@@ -74,7 +74,7 @@
         return 0.0
 
     def expected(self, gone: float) -> float:
-        """Returns the time left after keys had no owner for some time.
+        """Returns the seconds until unowned keys should have an owner.
 
         Args:
             gone: Seconds for which they have had none.
@@ -89,12 +89,13 @@
 def _since(
     span: assignments.Span, former: Iterable[_Vacancy], now: float
 ) -> float:
-    """Returns since when a range has had no owner, at the longest.
+    """Returns the earliest time from which a range may have had no owner.
 
     Args:
         span: The range.
-        former: Earlier vacancies that do not end before it, in order of keys.
-        now: The time.
+        former: Earlier unowned ranges that do not end before it, in order of
+            keys.
+        now: Current time.
     """
     overlapping = itertools.takewhile(lambda v: v.first <= span.last, former)
     return min((vacancy.since for vacancy in overlapping), default=now)
