--- a/tests/gateway/test_assignments.py
+++ b/tests/gateway/test_assignments.py
@@ -1,4 +1,4 @@
-"""Assignments of keys and what is told of their changes."""
+"""Assignments of keys and the updates sent when they change."""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -15,7 +15,7 @@
     return assignments.Assignment("s", version, firsts, named)
 
 
-_MADE = st.builds(
+_ASSIGNMENTS = st.builds(
     _assignment,
     st.just((1, 1)),
     st.lists(st.integers(1, ranges.KEYS - 1), max_size=12),
@@ -24,26 +24,27 @@
 
 
 class TestDifference:
-    """What is told instead of the whole."""
+    """The update that is sent instead of the whole assignment."""
 
     @hypothesis.given(
-        old=_MADE, new=_MADE, keys=st.lists(st.integers(0, 65535))
+        old=_ASSIGNMENTS, new=_ASSIGNMENTS, keys=st.lists(st.integers(0, 65535))
     )
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=150)
-    def test_applied_it_makes_the_new_one(self, old, new, keys):
-        """A VM that is told changes routes as one that is told everything."""
+    def test_update_makes_the_new_assignment(self, old, new, keys):
+        """A VM that applies updates routes by the same owners as the leader."""
         new = assignments.Assignment("s", (1, 2), new.firsts, new.owners)
-        told = assignments.difference(old, new)
-        made = assignments.apply(old, told)
-        assert made.version == (1, 2)
+        update = assignments.difference(old, new)
+        updated = assignments.apply(old, update)
+        assert updated.version == (1, 2)
         for key in {0, 65535, *keys, *old.firsts, *new.firsts}:
-            assert made.owner(key) == new.owner(key)
-        assert list(made.firsts) == sorted(set(made.firsts))
+            assert updated.owner(key) == new.owner(key)
+        assert list(updated.firsts) == sorted(set(updated.firsts))
 
     def test_wrong_base(self):
-        """A change for another version than the known one is not applied.
+        """An update for another version than the current one is not applied.
 
-        Keys would be sent to targets that lost them long ago.
+        Otherwise requests would be sent to targets that lost their keys long
+        ago.
         """
         old = _assignment((1, 1), [9], ["t1", "t2"])
         new = _assignment((1, 3), [10], ["t1", "t2"])
@@ -53,9 +54,9 @@
         )
 
     def test_of_table(self):
-        """Keys that change hands have no owner to route to."""
+        """Keys in a handover have no owner to route to."""
         holder = ranges.Holder("t1", 1, "t1:80")
         other = ranges.Holder("t2", 1, "t2:80")
         table = ranges.initial("s", {holder: 1.0, other: 1.0}, "c")
-        made = assignments.of_table(table, (4, 7), {table.ranges[1].piece})
-        assert (made.owner(0), made.owner(65535)) == ("", "t2")
+        updated = assignments.of_table(table, (4, 7), {table.ranges[1].piece})
+        assert (updated.owner(0), updated.owner(65535)) == ("", "t2")
--- a/tests/gateway/test_casualties.py
+++ b/tests/gateway/test_casualties.py
@@ -1,15 +1,15 @@
-"""Requests that end every target that begins to run them."""
+"""Requests that crash every target that starts to run them."""
 
 import pytest
 
 from mimosastile_core.gateway import casualties
 
 
-def _deaths(made, request, count, begin=0.0):
+def _crash(detector, request, count, begin=0.0):
     for number in range(count):
         at = begin + number
-        made.lost(f"t{number}", request, at)
-        made.unreachable(f"t{number}", at + 0.1, f"id{at}")
+        detector.lost(f"t{number}", request, at)
+        detector.unreachable(f"t{number}", at + 0.1, f"id{at}")
 
 
 class TestHeld:
@@ -18,48 +18,48 @@
     @pytest.mark.parametrize(
         ("count", "held"), [(1, False), (2, False), (3, True)]
     )
-    def test_third_death(self, count, held):
-        """One request crashes whatever runs it and is sent again and again.
+    def test_third_crash(self, count, held):
+        """One request crashes each target that runs it and is sent repeatedly.
 
-        Without a memory of it, it takes one target after the other from all
-        other callers.
+        Unless its crashes are recorded, it takes one target after another from
+        all other callers.
         """
-        made = casualties.Casualties()
-        _deaths(made, "r", count)
-        assert made.held("r", 5.0) is held
-        assert not made.held("other", 5.0)
+        detector = casualties.Casualties()
+        _crash(detector, "r", count)
+        assert detector.held("r", 5.0) is held
+        assert not detector.held("other", 5.0)
 
-    def test_answers_lost_on_the_way(self):
-        """Targets lose a third of their answers but live.
+    def test_responses_lost_in_transit(self):
+        """Targets lose a third of their responses but stay up.
 
-        Their callers' requests must not be refused for it.
+        Their callers' requests must not be refused because of that.
         """
-        made = casualties.Casualties()
+        detector = casualties.Casualties()
         for number in range(50):
-            made.lost("t1", "r", number * 0.1)
-            made.answered("t1")
-            made.unreachable("t1", number * 0.1, str(number))
-        assert not made.held("r", 5.0)
+            detector.lost("t1", "r", number * 0.1)
+            detector.answered("t1")
+            detector.unreachable("t1", number * 0.1, str(number))
+        assert not detector.held("r", 5.0)
 
     def test_crash_long_after(self):
-        """A target dies of something else, seconds after a lost answer."""
-        made = casualties.Casualties()
+        """A target crashes for another reason seconds after a lost response."""
+        detector = casualties.Casualties()
         for number in range(5):
-            made.lost(f"t{number}", "r", 0.0)
-            assert made.unreachable(f"t{number}", 4.0, "x") == []
-        assert not made.held("r", 5.0)
+            detector.lost(f"t{number}", "r", 0.0)
+            assert detector.unreachable(f"t{number}", 4.0, "x") == []
+        assert not detector.held("r", 5.0)
 
-    def test_deaths_seen_by_others(self):
-        """The request comes to another VM each time."""
-        made, other = casualties.Casualties(), casualties.Casualties()
-        _deaths(made, "r", 3)
-        for death in made.deaths(5.0):
+    def test_crashes_observed_by_other_vms(self):
+        """The request arrives at another VM each time."""
+        detector, other = casualties.Casualties(), casualties.Casualties()
+        _crash(detector, "r", 3)
+        for death in detector.deaths(5.0):
             other.learn(death, 5.0)
         assert other.held("r", 5.0)
 
-    def test_forgotten_in_the_end(self):
+    def test_expires(self):
         """Memory does not grow, and a caller may try again later."""
-        made = casualties.Casualties()
-        _deaths(made, "r", 3)
-        assert not made.held("r", 70.0)
-        assert made.deaths(70.0) == ()
+        detector = casualties.Casualties()
+        _crash(detector, "r", 3)
+        assert not detector.held("r", 70.0)
+        assert detector.deaths(70.0) == ()
--- a/tests/gateway/test_configurations.py
+++ b/tests/gateway/test_configurations.py
@@ -1,4 +1,4 @@
-"""What changes between versions of the configuration, and how it is told."""
+"""Changes between versions of the configuration, and how they are sent."""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -31,7 +31,7 @@
 
 
 class TestChange:
-    """A change makes one version of the other."""
+    """A change turns one version into the other."""
 
     @pytest.mark.parametrize(
         ("old", "new", "count"),
@@ -47,11 +47,11 @@
             ),
         ],
     )
-    def test_told(self, old, new, count):
-        """What is told holds only what differs."""
-        told = configurations.change(old, new)
-        assert configurations.apply(old, told) == new
-        assert len(told.routes) == count
+    def test_changes_only_what_differs(self, old, new, count):
+        """A change contains only what differs."""
+        change = configurations.change(old, new)
+        assert configurations.apply(old, change) == new
+        assert len(change.routes) == count
 
     @pytest.mark.parametrize(
         ("old", "new"),
@@ -61,44 +61,44 @@
             (_version(1, "a"), _version(2, "a", "a")),
         ],
     )
-    def test_untold(self, old, new):
-        """What a change cannot say is not told as one."""
+    def test_inexpressible_changes(self, old, new):
+        """No change is returned where it could not express the difference."""
         assert configurations.change(old, new) is None
 
     def test_other_base(self):
-        """A change of another version makes nothing."""
-        told = configurations.change(_version(1, "a"), _version(2, "b"))
-        assert configurations.apply(_version(3, "a"), told) is None
+        """A change does not apply to a version other than its base."""
+        change = configurations.change(_version(1, "a"), _version(2, "b"))
+        assert configurations.apply(_version(3, "a"), change) is None
 
-    def test_small(self):
+    def test_change_is_small(self):
         """One route of a thousand changes.
 
-        Told as a whole, each version would fill the link between regions for
-        a part of a second; callers beyond it would wait.
+        If each version were sent whole, it would fill the link between regions
+        for part of a second, and callers beyond the link would wait.
         """
         names = [f"r-{i}" for i in range(1000)]
         old, new = _version(1, *names), _version(2, *names, "r-new")
-        told = msgspec.json.encode(configurations.change(old, new))
-        assert len(told) * 100 < len(msgspec.json.encode(new))
+        change = msgspec.json.encode(configurations.change(old, new))
+        assert len(change) * 100 < len(msgspec.json.encode(new))
 
     @hypothesis.given(
         old=st.lists(st.sampled_from("abcdef"), max_size=6),
         new=st.lists(st.sampled_from("abcdef"), max_size=6),
     )
     @hypothesis.settings(derandomize=True, deadline=None)
-    def test_any(self, old, new):
-        """A change is exact or not told."""
+    def test_exact_or_none(self, old, new):
+        """A change is either exact or not returned."""
         one, other = _version(1, *old), _version(2, *new)
-        told = configurations.change(one, other)
-        if told is not None:
-            assert configurations.apply(one, told) == other
+        change = configurations.change(one, other)
+        if change is not None:
+            assert configurations.apply(one, change) == other
 
 
 class TestHistory:
-    """Versions only rise, and whoever is behind gets what is missing."""
+    """Versions only rise, and a VM that is behind gets the missing changes."""
 
     def test_takes_newer_only(self):
-        """An older version never comes back."""
+        """An older version never replaces a newer one."""
         history = configurations.History(4)
         assert history.take(_version(2, "a"))
         assert not history.take(_version(2, "b"))
@@ -116,14 +116,14 @@
         ],
     )
     def test_since(self, known, kind):
-        """Those far behind get the whole; those who know all get nothing."""
+        """VMs far behind get the whole version; current ones get nothing."""
         history = configurations.History(3)
         for number in range(1, 6):
             history.take(_version(number, "a", f"r-{number}"))
         assert isinstance(history.since(known), kind)
 
-    def test_memory(self):
-        """Versions share the routes that are the same in them."""
+    def test_equal_routes_are_shared(self):
+        """Versions share their equal routes."""
         history = configurations.History(3)
         history.take(_version(1, "a", "b"))
         first = history.present.routes[0]
--- a/tests/gateway/test_currency.py
+++ b/tests/gateway/test_currency.py
@@ -11,7 +11,7 @@
     """Bounds from several sources."""
 
     @pytest.mark.parametrize(
-        ("noted", "now", "age"),
+        ("times", "now", "age"),
         [
             ((), 5.0, None),
             ((3.0,), 5.0, 2.0),
@@ -20,31 +20,33 @@
             ((6.0,), 5.0, 0.0),
         ],
     )
-    def test_age(self, noted, now, age):
-        """Guards against a late answer that makes a view look older."""
-        known = currency.Currency()
-        for at in noted:
-            known.note(at)
-        assert known.age(now) == age
+    def test_age(self, times, now, age):
+        """Guards against a late response that makes a view look older."""
+        view = currency.Currency()
+        for at in times:
+            view.note(at)
+        assert view.age(now) == age
 
 
 class TestStamp:
-    """Times that are told to a peer whose clock differs."""
+    """Times that are sent to a peer whose clock differs."""
 
     @hypothesis.given(
         offset=strategies.floats(-1e6, 1e6),
         asked=strategies.floats(0, 1e3),
-        ways=strategies.tuples(
+        transit=strategies.tuples(
             strategies.floats(0, 10), strategies.floats(0, 10)
         ),
         at=strategies.floats(-20, 2e3),
     )
-    def test_never_later_than_the_truth(self, offset, asked, ways, at):
+    def test_never_later_than_the_true_time(self, offset, asked, transit, at):
         """Guards against a view that looks fresher than it is.
 
-        The question or the answer was held up on its way.
+        This could happen if the request or the response is delayed in transit.
         """
-        made = asked + ways[0]
-        stamp = currency.Stamp(made + offset, asked, made + ways[1])
+        answered_at = asked + transit[0]
+        stamp = currency.Stamp(
+            answered_at + offset, asked, answered_at + transit[1]
+        )
         assert stamp.to_peer(at) <= at + offset + 1e-6
         assert stamp.from_peer(at + offset) <= at + 1e-6
--- a/tests/gateway/test_directory.py
+++ b/tests/gateway/test_directory.py
@@ -1,4 +1,4 @@
-"""What is known of targets, and which may get work."""
+"""Registrations of targets, and which targets may get work."""
 
 import pytest
 
@@ -19,66 +19,66 @@
 
 
 def _directory(*targets):
-    made = directory.Directory(GRACE, LATE)
+    entries = directory.Directory(GRACE, LATE)
     for target in targets:
-        made.put(target, 0.0)
-    return made
+        entries.put(target, 0.0)
+    return entries
 
 
 class TestUsable:
-    """Who may get new work."""
+    """Which targets may get new work."""
 
-    def test_ready_ones_go_before_all_others(self):
+    def test_ready_targets_come_first(self):
         """A leaving target gets nothing while another is ready."""
-        made = _directory(_target(), _target("t2", leaving=True))
-        assert [t.id for t in made.usable("s", 0.0)] == ["t1"]
+        entries = _directory(_target(), _target("t2", leaving=True))
+        assert [t.id for t in entries.usable("s", 0.0)] == ["t1"]
 
     @pytest.mark.parametrize(
         ("at", "expected"), [(1.0, ["t1"]), (1.79, ["t1"]), (1.81, [])]
     )
-    def test_leaving_one_gets_work_for_a_while(self, at, expected):
-        """The last target of a service serves on until it is about to go."""
-        made = _directory(_target(leaving=True))
-        assert [t.id for t in made.usable("s", at)] == expected
+    def test_leaving_target_gets_work_for_a_while(self, at, expected):
+        """The last target of a service serves until just before it ends."""
+        entries = _directory(_target(leaving=True))
+        assert [t.id for t in entries.usable("s", at)] == expected
 
-    def test_registrations_that_lapse_in_an_outage(self):
-        """The store comes back from an outage without any registration.
+    def test_registrations_that_expire_in_an_outage(self):
+        """The store returns from an outage without any registrations.
 
-        The targets are well and register again within two seconds. Callers
-        would see the whole service refused meanwhile.
+        The targets are up and register again within two seconds. Without a
+        grace period, callers would find the whole service refused meanwhile.
         """
-        made = _directory(_target(), _target("t2"))
-        made.remove("t1", 5.0)
-        made.remove("t2", 5.0)
-        assert len(made.usable("s", 6.5)) == 2
-        made.put(_target(), 6.6)
-        assert [t.id for t in made.usable("s", 6.6)] == ["t1"]
-
-    def test_vanishing_found_late(self):
-        """A watch was silent for a second while a target left.
-
-        Counting the full time from when the list shows it would send requests
-        to a target that has gone.
+        entries = _directory(_target(), _target("t2"))
+        entries.remove("t1", 5.0)
+        entries.remove("t2", 5.0)
+        assert len(entries.usable("s", 6.5)) == 2
+        entries.put(_target(), 6.6)
+        assert [t.id for t in entries.usable("s", 6.6)] == ["t1"]
+
+    def test_loss_found_late_by_a_list(self):
+        """A watch was interrupted for a second while a target left.
+
+        If the full grace period started when the list shows the loss, requests
+        would be sent to a target that has ended.
         """
-        made = _directory(_target())
-        made.replace([], 5.0)
-        assert made.usable("s", 5.3)
-        assert not made.usable("s", 5.5)
+        entries = _directory(_target())
+        entries.replace([], 5.0)
+        assert entries.usable("s", 5.3)
+        assert not entries.usable("s", 5.5)
 
-    def test_vanishing_after_leaving_extends_nothing(self):
-        """The time of a leaving target runs on when its entry vanishes."""
-        made = _directory(_target())
-        made.put(_target(leaving=True), 1.0)
-        made.remove("t1", 2.5)
-        assert made.may_get_work("t1", 2.7)
-        assert not made.may_get_work("t1", 2.9)
+    def test_vanishing_does_not_extend_the_grace_period(self):
+        """A leaving target whose entry vanishes gets no new grace period."""
+        entries = _directory(_target())
+        entries.put(_target(leaving=True), 1.0)
+        entries.remove("t1", 2.5)
+        assert entries.may_get_work("t1", 2.7)
+        assert not entries.may_get_work("t1", 2.9)
 
 
 class TestPut:
     """Registrations."""
 
     @pytest.mark.parametrize(
-        ("change", "matters"),
+        ("change", "affects_routing"),
         [
             ({}, False),
             ({"warm_at": 3.0}, False),
@@ -87,24 +87,24 @@
             ({"leaving": True}, True),
         ],
     )
-    def test_what_matters(self, change, matters):
-        """Only changes that routing must know of are signalled."""
-        made = _directory(_target())
-        assert made.put(_target(**change), 1.0) is matters
-
-    def test_a_target_that_is_back(self):
-        """One that had vanished and registers again gets work at once."""
-        made = _directory(_target())
-        made.remove("t1", 1.0)
-        assert made.put(_target(), 2.0)
-        assert made.ready("s")
-        assert made.may_get_work("t1", 100.0)
-
-    def test_forgets_what_vanished_long_ago(self):
-        """Memory does not grow with every target that ever was."""
-        made = _directory(_target())
-        made.remove("t1", 1.0)
-        made.forget(20.0, 30.0)
-        assert made.get("t1")
-        made.forget(32.0, 30.0)
-        assert made.get("t1") is None
+    def test_changes_that_affect_routing(self, change, affects_routing):
+        """Only changes that affect routing are signalled."""
+        entries = _directory(_target())
+        assert entries.put(_target(**change), 1.0) is affects_routing
+
+    def test_target_that_registers_again(self):
+        """A target that had vanished and registers again gets work at once."""
+        entries = _directory(_target())
+        entries.remove("t1", 1.0)
+        assert entries.put(_target(), 2.0)
+        assert entries.ready("s")
+        assert entries.may_get_work("t1", 100.0)
+
+    def test_drops_targets_that_vanished_long_ago(self):
+        """Memory does not grow with every target that ever registered."""
+        entries = _directory(_target())
+        entries.remove("t1", 1.0)
+        entries.forget(20.0, 30.0)
+        assert entries.get("t1")
+        entries.forget(32.0, 30.0)
+        assert entries.get("t1") is None
--- a/tests/gateway/test_eligibility.py
+++ b/tests/gateway/test_eligibility.py
@@ -1,4 +1,4 @@
-"""Which targets may run a request because of their place."""
+"""Which targets may run a request because of their location."""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -14,7 +14,7 @@
 
 
 class TestExclusion:
-    """Filters in their order."""
+    """Order of the filters."""
 
     @pytest.mark.parametrize(
         ("zone", "allowed", "evacuated", "expected"),
@@ -32,11 +32,11 @@
             ("c", (), ("a",), None),
         ],
     )
-    def test_by_place(self, zone, allowed, evacuated, expected):
-        """Guards against targets that a route or an evacuation excludes."""
-        made = eligibility.Eligibility(REGIONS, evacuated)
-        assert made.exclusion(zone, allowed) is expected
-        assert made.allows(zone, allowed) is (expected is None)
+    def test_by_location(self, zone, allowed, evacuated, expected):
+        """Guards against using targets that a route or evacuation excludes."""
+        filters = eligibility.Eligibility(REGIONS, evacuated)
+        assert filters.exclusion(zone, allowed) is expected
+        assert filters.allows(zone, allowed) is (expected is None)
 
 
 def _route(name, regions, *services):
@@ -45,10 +45,10 @@
 
 
 class TestOwnerRegions:
-    """Where the owners of a service's keys stand."""
+    """Regions where the owners of a service's keys should be located."""
 
     @pytest.mark.parametrize(
-        ("bound", "expected"),
+        ("restricted", "expected"),
         [
             ([], ()),
             ([()], ()),
@@ -58,19 +58,20 @@
             ([("north",), ("south",)], ()),
         ],
     )
-    def test_all_routes_bind(self, bound, expected):
+    def test_all_routes_restrict(self, restricted, expected):
         """Guards against keys whose owner no request may reach."""
         configuration = routes.Configuration(
             1,
             tuple(
-                _route(f"r{n}", regions, "s") for n, regions in enumerate(bound)
+                _route(f"r{n}", regions, "s")
+                for n, regions in enumerate(restricted)
             ),
         )
         found = eligibility.owner_regions(configuration, "s")
         assert found == expected
 
-    def test_other_services_do_not_bind(self):
-        """A route to another service says nothing about this one."""
+    def test_other_services_do_not_restrict(self):
+        """A route to another service does not restrict this one."""
         configuration = routes.Configuration(
             1, (_route("r", ("north",), "other"),)
         )
@@ -81,14 +82,14 @@
             st.lists(st.sampled_from(["north", "south", "west"]), unique=True)
         )
     )
-    def test_every_bound_route_allows_them(self, bound):
-        """Owners stand where each bound route may go, if there is a place."""
+    def test_every_restricted_route_allows_them(self, restricted):
+        """Owners are in regions that each restricted route allows, if any."""
         configuration = routes.Configuration(
             1,
             tuple(
                 _route(f"r{n}", tuple(regions), "s")
-                for n, regions in enumerate(bound)
+                for n, regions in enumerate(restricted)
             ),
         )
         for region in eligibility.owner_regions(configuration, "s"):
-            assert all(region in regions for regions in bound if regions)
+            assert all(region in regions for regions in restricted if regions)
--- a/tests/gateway/test_ranges.py
+++ b/tests/gateway/test_ranges.py
@@ -35,10 +35,10 @@
 
 
 class TestMove:
-    """Keys that change hands."""
+    """Moves of keys between owners."""
 
     def test_middle_of_a_range(self):
-        """A hot run within a range goes, its neighbours stay."""
+        """A hot interval within a range moves, and adjacent keys stay."""
         table = ranges.move(_table(1, 1), [ranges.Move(100, 200, B)], "c2")
         assert ranges.problem(table) == ""
         assert [(r.first, r.last, r.owner) for r in table.ranges[:3]] == [
@@ -48,11 +48,11 @@
         ]
 
     def test_two_new_fences(self):
-        """Keys come back to the target that had them.
+        """Keys return to a target that owned them before.
 
-        Its late orders of the first time must not be taken for new ones: each
-        change has fences of its own, the one that takes below the one that
-        gives.
+        Late orders from the target's first ownership must not count as new
+        ones. Each change therefore has its own fences, and the fence that takes
+        keys away is lower than the one that grants them.
         """
         first = ranges.move(_table(1, 1), [ranges.Move(0, 9, B)], "c2")
         moved = first.find(5)
@@ -63,17 +63,17 @@
         back = ranges.move(settled, [ranges.Move(0, 9, A)], "c4").find(5)
         assert (back.formers[0].fence, back.fence) == (5, 6)
 
-    def test_a_new_owner_that_is_lost_before_its_grant(self):
-        """The target that should get a range dies before it does.
+    def test_new_owner_lost_before_its_grant(self):
+        """A range's new owner crashes before it gets its grant.
 
-        Both it and the one before may hold the keys; the third must wait for
-        both.
+        Both the new owner and the former one may hold the keys, so the third
+        one must wait for both.
         """
         table = ranges.move(_table(1, 1), [ranges.Move(0, 9, B)], "c2")
         table = ranges.move(table, [ranges.Move(0, 9, C)], "c3")
         assert [f.holder for f in table.find(0).formers] == [A, B]
 
-    def test_to_its_owner_changes_nothing(self):
+    def test_move_to_the_present_owner_changes_nothing(self):
         """A move to the present owner takes nothing from it."""
         table = ranges.move(_table(1, 1), [ranges.Move(0, 9, A)], "c2")
         assert table.find(5).formers == ()
@@ -81,27 +81,27 @@
 
 
 class TestRefence:
-    """Targets that started again."""
+    """Targets that restarted."""
 
-    def test_new_run_gets_new_fences(self):
-        """A target starts again under its identifier and forgets its keys.
+    def test_new_incarnation_gets_new_fences(self):
+        """A target restarts under its identifier and loses its grants.
 
-        A renewal under the old fence would be taken for a grant to a run that
-        never had it.
+        A renewal under the old fence would count as a grant to an incarnation
+        that never had it.
         """
-        again = ranges.Holder("t0", 2, "10.0.0.0:80")
-        table = ranges.refence(_table(1, 1), {A: again}, "c2")
-        assert table.find(0).owner == again
+        restarted = ranges.Holder("t0", 2, "10.0.0.0:80")
+        table = ranges.refence(_table(1, 1), {A: restarted}, "c2")
+        assert table.find(0).owner == restarted
         assert table.find(0).fence >= 3
         assert table.find(40000).fence == 2
         assert ranges.problem(table) == ""
 
 
 class TestJoin:
-    """Neighbours of one owner."""
+    """Adjacent ranges of one owner."""
 
     def test_joined_under_a_new_fence(self):
-        """Ranges that were cut for a hot run are joined when it is over."""
+        """Ranges split for a hot interval are joined when the load is gone."""
         table = ranges.move(_table(1, 1), [ranges.Move(5, 9, B)], "c2")
         table = ranges.settle(table, {table.find(5).piece: [3]}, "c3")
         table = ranges.move(table, [ranges.Move(5, 9, A)], "c4")
@@ -111,8 +111,8 @@
         assert joined.find(7).fence >= table.next_fence
         assert ranges.problem(joined) == ""
 
-    def test_not_while_somebody_else_may_hold_keys(self):
-        """A range that changes hands stays as it is."""
+    def test_not_during_a_handover(self):
+        """A range in a handover is not joined."""
         table = ranges.move(_table(1, 1), [ranges.Move(0, 9, B)], "c2")
         table = ranges.move(table, [ranges.Move(10, 32767, B)], "c3")
         assert len(ranges.join(table, 8, "c4").ranges) == len(table.ranges)
@@ -131,11 +131,12 @@
 
 @hypothesis.given(steps=_STEPS)
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=60)
-def test_any_history_keeps_the_table_sound(steps):
-    """Whatever is decided, keys are covered once and fences only rise.
+def test_any_sequence_of_changes_keeps_the_table_valid(steps):
+    """Any sequence of changes leaves each key with one owner, and fences rise.
 
-    A key whose owner's fence fell would be refused by its owner for ever; one
-    without former holders while they hold it would have two owners.
+    If the fence of a key's owner fell, the owner would refuse the key for ever.
+    If former owners were missing while they still hold a key, the key would
+    have two owners.
     """
     table = _table(1, 1, 1)
     seen = {}
--- a/tests/gateway/test_rebalance.py
+++ b/tests/gateway/test_rebalance.py
@@ -1,4 +1,4 @@
-"""Moves of keys under the load patterns that they answer."""
+"""Moves of keys under the load patterns that rebalancing handles."""
 
 import random
 
@@ -16,7 +16,7 @@
 
 
 def _settled(table, moves):
-    """Carries moves out to their end."""
+    """Returns the table after moves, with all former owners released."""
     moved = ranges.move(table, moves, "c")
     done = {r.piece: [f.fence for f in r.formers] for r in moved.ranges}
     return ranges.settle(moved, done, "c")
@@ -31,15 +31,15 @@
 
 
 def _ratio(table, heat, capacity):
-    """Busiest target to the mean, each by what it can carry."""
+    """Returns the load of the busiest target over the mean, by capacity."""
     loads = _loads(table, heat)
     whole = sum(capacity.values())
     total = sum(heat.values())
     return max(loads[h] / (total * c / whole) for h, c in capacity.items() if c)
 
 
-def _zipf_run(seed, requests=2000, start=9000):
-    """Requests for keys of falling heat that stand beside each other."""
+def _zipf_counts(seed, requests=2000, start=9000):
+    """Returns request counts of adjacent keys, falling from the first."""
     rng = random.Random(seed)
     heat = {}
     for _ in range(requests):
@@ -49,16 +49,16 @@
 
 
 class TestSpread:
-    """From the fullest to the emptiest."""
+    """Moves from the most loaded targets to the least loaded."""
 
     @pytest.mark.parametrize("seed", range(5))
-    def test_hot_keys_beside_each_other(self, seed):
-        """The hottest keys of a service are neighbours.
+    def test_adjacent_hot_keys(self, seed):
+        """The hottest keys of a service are adjacent.
 
-        A table of equal widths gives one target several times the mean, and
-        its callers wait in its queue while others idle.
+        A table of equal widths gives one target several times the mean load,
+        and its callers wait in its queue while other targets are idle.
         """
-        heat, table = _zipf_run(seed), _table()
+        heat, table = _zipf_counts(seed), _table()
         capacity = dict.fromkeys(HOLDERS, 4.0)
         assert _ratio(table, heat, capacity) > 3
         for _ in range(6):
@@ -70,12 +70,12 @@
     @pytest.mark.parametrize(
         ("width", "share"), [(200, 0.43), (60, 0.34), (200, 0.35)]
     )
-    def test_a_run_that_gets_hot_at_once(self, width, share):
+    def test_interval_that_gets_hot_at_once(self, width, share):
         """From one second to the next two hundred keys get 43% of requests.
 
-        One decision has to cut the run into pieces: its owner is at many
-        times its part, and each further second costs its callers' deadlines.
-        Half a second of requests is all that is known then.
+        A single decision has to split the interval: its owner has many times
+        its fair share, and with each further second requests miss their
+        deadlines. The decision is based on half a second of requests.
         """
         rng = random.Random(1)
         requests = 110
@@ -96,7 +96,7 @@
         assert len(set(run)) >= 4
 
     def test_chance_moves_nothing(self):
-        """Even load differs by chance; moving keys after it gains nothing."""
+        """Even load varies by chance; moves in response would gain nothing."""
         moved = 0
         for seed in range(50):
             rng = random.Random(seed)
@@ -108,8 +108,8 @@
             moved += len(rebalance.spread(_table(), capacity, heat, POLICY))
         assert moved <= 2
 
-    def test_slow_target_is_relieved(self):
-        """A target turns five times slower; most of its keys go."""
+    def test_slow_target_loses_keys(self):
+        """A target becomes five times slower, and most of its keys move."""
         rng = random.Random(3)
         heat = {rng.randrange(65536): 1 for _ in range(3000)}
         capacity = dict.fromkeys(HOLDERS, 4.0)
@@ -135,10 +135,10 @@
         assert min(_loads(table, heat).values()) > 0.3 * 4000 / 18
 
     def test_bound_on_ranges(self):
-        """A long day of hot runs does not cut the table to pieces.
+        """A long series of hot intervals does not fragment the table.
 
-        Each range is renewed by itself; too many would keep a leader busy
-        until grants run out.
+        Each range has its own renewals; too many would overload a leader until
+        grants expire.
         """
         rng = random.Random(5)
         table = _table()
@@ -158,26 +158,26 @@
 
     @pytest.mark.parametrize("lost", [1, 3, 17])
     def test_all_keys_go(self, lost):
-        """Targets leave or die; each of their keys gets another owner."""
+        """Targets leave or crash, and each of their keys gets another owner."""
         capacity = dict.fromkeys(HOLDERS[lost:], 4.0)
         moves = rebalance.evacuate(_table(), capacity, {}, HOLDERS[:lost])
         table = ranges.move(_table(), moves, "c2")
         assert not table.holders() & set(HOLDERS[:lost])
 
-    def test_without_known_load_widths_are_spread(self):
-        """Nothing was asked for yet; cold ranges do not all go to one."""
+    def test_without_rates_widths_are_spread(self):
+        """Without request rates, cold ranges do not all go to one target."""
         lost = HOLDERS[:6]
         capacity = dict.fromkeys(HOLDERS[6:], 4.0)
         moves = rebalance.evacuate(_table(), capacity, {}, lost)
         assert len({move.to for move in moves}) == 6
 
-    def test_nobody_left(self):
-        """Without any other target keys stay where they are."""
+    def test_no_other_target(self):
+        """Without any other target, keys stay with their owners."""
         assert rebalance.evacuate(_table(), {}, {}, HOLDERS[:1]) == []
 
 
 class TestIsolate:
-    """A single key that is hotter than its owner is fast."""
+    """A single key whose request rate exceeds its owner's capacity."""
 
     def _rates(self, key=20_000, rate=90.0):
         rng = random.Random(6)
@@ -188,7 +188,7 @@
     def _capacity(self):
         return {h: 48.0 if i % 3 else 21.0 for i, h in enumerate(HOLDERS)}
 
-    def test_fastest_target_and_nothing_else_on_it(self):
+    def test_fastest_target_without_other_keys(self):
         """One thread of letters gets a third of all requests.
 
         Its callers are refused while its owner, a slow target, also serves
@@ -204,8 +204,8 @@
         others = {k for k in rates if table.find(k).owner == owner} - {key}
         assert others == set()
 
-    def test_stays_after_a_move(self):
-        """The speeds of targets are estimates; the key does not hop."""
+    def test_no_repeated_moves_of_a_key(self):
+        """Capacities are estimates; the key does not move repeatedly."""
         table = _table()
         key = 5
         assert table.find(key).owner == HOLDERS[0]
@@ -216,14 +216,14 @@
         assert moves
 
     @pytest.mark.parametrize("rate", [0.0, 5.0, 12.0])
-    def test_a_key_that_its_owner_can_serve(self, rate):
-        """A key that is merely popular moves nothing."""
+    def test_key_within_the_capacity_of_its_owner(self, rate):
+        """A popular key within its owner's capacity moves nothing."""
         rates = self._rates(rate=rate)
         assert (
             rebalance.isolate(_table(), self._capacity(), rates, POLICY) == []
         )
 
-    def test_nothing_known(self):
+    def test_without_rates_or_targets(self):
         """Without load or targets nothing moves."""
         assert rebalance.isolate(_table(), self._capacity(), {}, POLICY) == []
         assert rebalance.isolate(_table(), {}, {1: 9.0}, POLICY) == []
