--- a/packages/mimosastile-core/src/mimosastile_core/gateway/assignments.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/assignments.py
@@ -108,12 +108,14 @@
     return Difference(new.service, old.version, new.version, spans)
 
 
-def apply(known: Assignment, told: Difference) -> Assignment | None:
+def apply(current: Assignment, update: Difference) -> Assignment | None:
     """Returns the assignment after a change, None if it has another base."""
-    if known.version != told.base:
+    if current.version != update.base:
         return None
     return _joined(
-        known.service, told.version, _overlaid(known.spans(), told.spans)
+        current.service,
+        update.version,
+        _overlaid(current.spans(), update.spans),
     )
 
 
@@ -127,14 +129,14 @@
 
 
 def _overlaid(
-    known: Iterable[Span], changed: tuple[Span, ...]
+    current: Iterable[Span], changed: tuple[Span, ...]
 ) -> Iterator[Span]:
     """Yields the current spans with the changed ones laid over them."""
     pieces = [*changed]
-    taken = sorted((span.first, span.last) for span in changed)
-    for span in known:
+    replaced = sorted((span.first, span.last) for span in changed)
+    for span in current:
         begin = span.first
-        for first, last in taken:
+        for first, last in replaced:
             if last < begin or span.last < first:
                 continue
             if begin < first:
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/casualties.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/casualties.py
@@ -9,7 +9,7 @@
 from mimosastile_core import config
 from mimosastile_core import quarantine
 
-_DOUBT_SECONDS = 3.0
+_CONFIRMATION_SECONDS = 3.0
 """Time after a lost response within which a refused connection confirms a
 crash; targets take seconds to restart."""
 POLICY = config.Quarantine(deaths=3, seconds=60.0)
@@ -19,11 +19,11 @@
 class Casualties:
     """Lost responses observed by one VM, and the crashes that caused them."""
 
-    __slots__ = ("_memory", "_pending")
+    __slots__ = ("_crashes", "_lost")
 
     def __init__(self) -> None:
-        self._memory = quarantine.Memory()
-        self._pending: dict[str, list[tuple[float, str]]] = {}
+        self._crashes = quarantine.Memory()
+        self._lost: dict[str, list[tuple[float, str]]] = {}
 
     def lost(self, target: str, request: str, now: float) -> None:
         """Records that a response was lost.
@@ -35,14 +35,14 @@
         """
         recent = [
             item
-            for item in self._pending.get(target, ())
-            if now - item[0] < _DOUBT_SECONDS
+            for item in self._lost.get(target, ())
+            if now - item[0] < _CONFIRMATION_SECONDS
         ]
-        self._pending[target] = [*recent, (now, request)]
+        self._lost[target] = [*recent, (now, request)]
 
     def answered(self, target: str) -> None:
         """Records that a target responds; earlier losses were no crashes."""
-        self._pending.pop(target, None)
+        self._lost.pop(target, None)
 
     def unreachable(
         self, target: str, now: float, new_id: str
@@ -57,27 +57,27 @@
         Returns:
             The crashes that this confirms.
         """
-        pending = self._pending.pop(target, ())
+        lost = self._lost.pop(target, ())
         deaths = [
             quarantine.Death(f"{new_id}-{number}", request, target, 0, now - at)
-            for number, (at, request) in enumerate(pending)
-            if now - at < _DOUBT_SECONDS
+            for number, (at, request) in enumerate(lost)
+            if now - at < _CONFIRMATION_SECONDS
         ]
         for death in deaths:
-            self._memory.record(death, now)
+            self._crashes.record(death, now)
         return deaths
 
     def learn(self, death: quarantine.Death, now: float) -> None:
         """Records a crash that another VM has confirmed."""
-        self._memory.record(death, now)
+        self._crashes.record(death, now)
 
     def held(self, request: str, now: float) -> bool:
         """Whether a request has crashed too many targets to be sent again."""
-        if not self._memory:
+        if not self._crashes:
             return False
-        return self._memory.held_for(request, POLICY, now) > 0
+        return self._crashes.held_for(request, POLICY, now) > 0
 
     def deaths(self, now: float) -> tuple[quarantine.Death, ...]:
         """Returns all crashes still recorded, with their current ages."""
-        self._memory.expire(POLICY, now)
-        return self._memory.deaths(now)
+        self._crashes.expire(POLICY, now)
+        return self._crashes.deaths(now)
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/configurations.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/configurations.py
@@ -46,37 +46,37 @@
         The change; None if it cannot be expressed, for example if two routes
         share a name or their order has changed.
     """
-    known = {route.name: route for route in old.routes}
-    wanted = {route.name: route for route in new.routes}
-    if len(known) < len(old.routes):
+    old_routes = {route.name: route for route in old.routes}
+    new_routes = {route.name: route for route in new.routes}
+    if len(old_routes) < len(old.routes):
         return None
-    made = Change(
+    result = Change(
         old.version,
         new.version,
-        tuple(r for r in new.routes if known.get(r.name) != r),
-        tuple(name for name in known if name not in wanted),
+        tuple(r for r in new.routes if old_routes.get(r.name) != r),
+        tuple(name for name in old_routes if name not in new_routes),
         None if old.services == new.services else new.services,
         None if old.limits == new.limits else new.limits,
     )
-    return made if apply(old, made) == new else None
+    return result if apply(old, result) == new else None
 
 
 def apply(
-    known: routes.Configuration, told: Change
+    current: routes.Configuration, update: Change
 ) -> routes.Configuration | None:
     """Returns a configuration after a change, None if it has another base."""
-    if known.version != told.base:
+    if current.version != update.base:
         return None
-    found = {route.name: route for route in known.routes}
-    for name in told.removed:
-        found.pop(name, None)
+    by_name = {route.name: route for route in current.routes}
+    for name in update.removed:
+        by_name.pop(name, None)
     # A route that differs keeps its position; a new one goes to the end.
-    found.update((route.name, route) for route in told.routes)
+    by_name.update((route.name, route) for route in update.routes)
     return routes.Configuration(
-        told.version,
-        tuple(found.values()),
-        known.services if told.services is None else told.services,
-        known.limits if told.limits is None else told.limits,
+        update.version,
+        tuple(by_name.values()),
+        current.services if update.services is None else update.services,
+        current.limits if update.limits is None else update.limits,
     )
 
 
@@ -87,7 +87,7 @@
         present: The newest configuration, None before the first.
     """
 
-    __slots__ = ("_changes", "_former", "_kept", "present")
+    __slots__ = ("_changes", "_earlier", "_max_earlier", "present")
 
     def __init__(self, kept: int) -> None:
         """Creates an empty history.
@@ -97,8 +97,8 @@
                 computed. A VM with an older version gets the whole
                 configuration.
         """
-        self._kept = kept
-        self._former: dict[int, routes.Configuration] = {}
+        self._max_earlier = kept
+        self._earlier: dict[int, routes.Configuration] = {}
         self._changes: dict[int, Change | None] = {}
         self.present: routes.Configuration | None = None
 
@@ -108,14 +108,14 @@
         Returns:
             Whether it was stored.
         """
-        known = self.present
-        if known is not None:
-            if new.version <= known.version:
+        present = self.present
+        if present is not None:
+            if new.version <= present.version:
                 return False
-            self._former[known.version] = known
-            new = _shared(known, new)
-        while len(self._former) > self._kept:
-            del self._former[next(iter(self._former))]
+            self._earlier[present.version] = present
+            new = _sharing_routes(present, new)
+        while len(self._earlier) > self._max_earlier:
+            del self._earlier[next(iter(self._earlier))]
         self._changes = {}
         self.present = new
         return True
@@ -133,7 +133,7 @@
         present = self.present
         if present is None or version >= present.version:
             return None
-        old = self._former.get(version)
+        old = self._earlier.get(version)
         if old is None:
             return present
         if version not in self._changes:
@@ -142,18 +142,18 @@
         return self._changes[version] or present
 
 
-def _shared(
+def _sharing_routes(
     old: routes.Configuration, new: routes.Configuration
 ) -> routes.Configuration:
     """Returns a new version that reuses equal routes of the old one.
 
     Each kept version then costs only the memory of its differences.
     """
-    known = {route.name: route for route in old.routes}
+    old_routes = {route.name: route for route in old.routes}
     return msgspec.structs.replace(
         new,
         routes=tuple(
-            same if (same := known.get(route.name)) == route else route
+            same if (same := old_routes.get(route.name)) == route else route
             for route in new.routes
         ),
     )
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/currency.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/currency.py
@@ -41,7 +41,7 @@
     however long the request or the response was in transit.
     """
 
-    __slots__ = ("_arrived", "_asked", "_there")
+    __slots__ = ("_arrived", "_asked", "_peer_clock")
 
     def __init__(self, there: float, asked: float, arrived: float) -> None:
         """Creates a stamp from one exchange with a peer.
@@ -51,14 +51,14 @@
             asked: The local clock when the request was sent.
             arrived: The local clock when the response arrived.
         """
-        self._there = there
+        self._peer_clock = there
         self._asked = asked
         self._arrived = arrived
 
     def to_peer(self, at: float) -> float:
         """Converts a local time to the peer's clock, never to a later time."""
-        return self._there + at - self._arrived
+        return self._peer_clock + at - self._arrived
 
     def from_peer(self, at: float) -> float:
         """Converts a peer's time to the local clock, never to a later time."""
-        return self._asked + at - self._there
+        return self._asked + at - self._peer_clock
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/directory.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/directory.py
@@ -164,10 +164,10 @@
             return False
         if entry is None:
             entry = self._entries[target.id] = Entry(target, now)
-            fresh = True
+            is_new = True
         else:
-            former = entry.target
-            fresh = (former.born, former.address) != (
+            previous = entry.target
+            is_new = (previous.born, previous.address) != (
                 target.born,
                 target.address,
             )
@@ -176,11 +176,11 @@
             entry.until = float("inf")
         entry.target = target
         entry.revision = target.revision
-        if entry.standing is Standing.ENDED and not fresh:
+        if entry.standing is Standing.ENDED and not is_new:
             return False
         leaving = target.leaving or entry.announced_at is not None
         standing = Standing.LEAVING if leaving else Standing.READY
-        if entry.standing is standing and not fresh:
+        if entry.standing is standing and not is_new:
             return False
         entry.standing = standing
         entry.since = now
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/extension.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/extension.py
@@ -56,14 +56,18 @@
 class Promises:
     """Promises that this VM has made to leaders as a witness."""
 
-    __slots__ = ("_until",)
+    __slots__ = ("_latest_until",)
 
     def __init__(self) -> None:
-        self._until: float | None = None
+        self._latest_until: float | None = None
 
     def add(self, until: float) -> None:
         """Records that a leader may give orders until a time."""
-        self._until = until if self._until is None else max(self._until, until)
+        self._latest_until = (
+            until
+            if self._latest_until is None
+            else max(self._latest_until, until)
+        )
 
     def seconds(self, now: float) -> float | None:
         """Returns the seconds until the last promise expires.
@@ -72,7 +76,7 @@
         promise has expired. Grants given under it may last longer, so an
         expired promise is not the same as none.
         """
-        return None if self._until is None else self._until - now
+        return None if self._latest_until is None else self._latest_until - now
 
 
 def chosen(able: Iterable[tuple[Witness, str]]) -> tuple[Witness, ...]:
@@ -87,9 +91,9 @@
     by_zone: dict[str, list[Witness]] = {}
     for witness, zone in able:
         by_zone.setdefault(zone, []).append(witness)
-    rows = itertools.zip_longest(*by_zone.values())
-    spread = itertools.chain.from_iterable(rows)
-    named = (witness for witness in spread if witness is not None)
+    rounds = itertools.zip_longest(*by_zone.values())
+    interleaved = itertools.chain.from_iterable(rounds)
+    named = (witness for witness in interleaved if witness is not None)
     return tuple(itertools.islice(named, WITNESSES))
 
 
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/formers.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/formers.py
@@ -10,19 +10,19 @@
     """Former leaders that may not have noticed their replacement yet."""
 
     __slots__ = (
-        "_calm_until",
+        "_usual_grants_until",
         "_extended_until",
-        "_held_up",
-        "_hold",
-        "_known",
-        "_longer_until",
-        "_most",
-        "_named",
-        "_silent",
+        "_transit_seconds",
+        "_usual_hold",
+        "_stopped_by",
+        "_extended_grants_until",
+        "_longest_hold",
+        "_had_leaders",
+        "_unconfirmed",
         "_unextended_until",
-        "_until",
+        "_stop_bound",
         "_witnesses",
-        "_wordless",
+        "_without_report",
     )
 
     def __init__(
@@ -55,16 +55,16 @@
                 stopped may be in transit. A leader whose lease expires stops
                 sending earlier by as much.
         """
-        self._held_up = held_up
-        self._until = until
-        self._longer_until = longer_until
-        self._known = until
-        self._calm_until = calm_until
-        self._hold = hold
-        self._most = most
-        self._silent = set(vms)
-        self._named = bool(self._silent)
-        self._wordless = set(self._silent)
+        self._transit_seconds = held_up
+        self._stop_bound = until
+        self._extended_grants_until = longer_until
+        self._stopped_by = until
+        self._usual_grants_until = calm_until
+        self._usual_hold = hold
+        self._longest_hold = most
+        self._unconfirmed = set(vms)
+        self._had_leaders = bool(self._unconfirmed)
+        self._without_report = set(self._unconfirmed)
         self._witnesses = frozenset(witnesses)
         self._unextended_until = unextended_until
         self._extended_until = float("inf")
@@ -72,12 +72,12 @@
     @property
     def stopped_by(self) -> float:
         """Time by which all of their orders have arrived for certain."""
-        return self._known
+        return self._stopped_by
 
     def stopped(self, now: float) -> None:
         """Records that all of them have stopped."""
-        self._silent.clear()
-        self._known = min(self._known, now + self._held_up)
+        self._unconfirmed.clear()
+        self._stopped_by = min(self._stopped_by, now + self._transit_seconds)
 
     def follows(self, vm: str, now: float, longer: float | None) -> None:
         """Records that a VM follows the present leader and gives no orders.
@@ -90,12 +90,14 @@
                 restarted since it was leader and no longer has this
                 information.
         """
-        if vm in self._silent:
-            self._silent.discard(vm)
+        if vm in self._unconfirmed:
+            self._unconfirmed.discard(vm)
             if longer is not None:
-                self._wordless.discard(vm)
-                self._longer_until = max(self._longer_until, now + longer)
-            if not self._silent:
+                self._without_report.discard(vm)
+                self._extended_grants_until = max(
+                    self._extended_grants_until, now + longer
+                )
+            if not self._unconfirmed:
                 self.stopped(now)
 
     def testify(
@@ -117,11 +119,11 @@
             return
         # The last leader needed the promises of all witnesses, so the one that
         # expires first counts.
-        ends = float("-inf") if promised is None else now + promised
-        self._extended_until = min(self._extended_until, ends)
+        expires = float("-inf") if promised is None else now + promised
+        self._extended_until = min(self._extended_until, expires)
         bound = max(self._unextended_until, self._extended_until)
-        self._until = min(self._until, bound)
-        self._known = min(self._known, bound)
+        self._stop_bound = min(self._stop_bound, bound)
+        self._stopped_by = min(self._stopped_by, bound)
 
     def lapse(self, hold: float = 0.0) -> float:
         """Returns the time at which all their grants have expired.
@@ -130,25 +132,27 @@
             hold: Duration of their usual grants in seconds, if longer than the
                 configured one.
         """
-        usual = max(self._hold, hold)
-        longer_until = self._longer_until
-        all_said = self._named and not self._wordless
-        calm = all_said or self._known <= self._calm_until
+        usual = max(self._usual_hold, hold)
+        extended_grants_until = self._extended_grants_until
+        all_reported = self._had_leaders and not self._without_report
+        usual_only = (
+            all_reported or self._stopped_by <= self._usual_grants_until
+        )
         if self._extended_until < float("inf"):
             # Extended grants were given under promises only.
-            calm = True
-            lapsed = self._lapsed_after(self._extended_until, usual)
-            longer_until = max(longer_until, lapsed)
-        longest = usual if calm else max(self._most, usual)
-        known = leadership.lapsed_at(self._known, longest)
-        latest = self._lapsed_after(self._until, usual)
-        return min(latest, max(known, longer_until))
-
-    def _lapsed_after(self, until: float, usual: float) -> float:
+            usual_only = True
+            expired = self._expired_after(self._extended_until, usual)
+            extended_grants_until = max(extended_grants_until, expired)
+        longest = usual if usual_only else max(self._longest_hold, usual)
+        earliest = leadership.lapsed_at(self._stopped_by, longest)
+        latest = self._expired_after(self._stop_bound, usual)
+        return min(latest, max(earliest, extended_grants_until))
+
+    def _expired_after(self, until: float, usual: float) -> float:
         """Returns when all grants have expired after a lease has expired.
 
         No grant outlasts the lease by more than the usual duration, except for
         the drift of the target's clock.
         """
-        drift = max(self._most - usual, 0.0) * leadership.CLOCK_DRIFT
+        drift = max(self._longest_hold - usual, 0.0) * leadership.CLOCK_DRIFT
         return leadership.lapsed_at(until, usual) + drift
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/leadership.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/leadership.py
@@ -62,9 +62,9 @@
     __slots__ = (
         "_confirmed",
         "_extended_until",
-        "_longer_until",
-        "_span",
-        "_unextended",
+        "_extended_grants_until",
+        "_span_seconds",
+        "_unextended_seconds",
         "_witnessed",
         "replaceable",
     )
@@ -78,18 +78,18 @@
             unextended: Seconds for which it is valid without these promises, if
                 there are witnesses.
         """
-        self._span = span
-        self._unextended = span if unextended is None else unextended
+        self._span_seconds = span
+        self._unextended_seconds = span if unextended is None else unextended
         self._witnessed = False
         self._confirmed = float("-inf")
         self._extended_until = float("-inf")
-        self._longer_until = float("-inf")
+        self._extended_grants_until = float("-inf")
         self.replaceable = False
 
     @property
     def extended(self) -> bool:
         """Whether the last confirmation by the store has been extended."""
-        return self._extended_until >= self._confirmed + self._span
+        return self._extended_until >= self._confirmed + self._span_seconds
 
     def need_witnesses(self) -> None:
         """Shortens the lease, because witnesses are being named."""
@@ -102,7 +102,7 @@
             confirmed: Time of the confirmation by the store that the witnesses
                 were sent.
         """
-        until = confirmed + self._span
+        until = confirmed + self._span_seconds
         self._extended_until = max(self._extended_until, until)
 
     @property
@@ -113,11 +113,11 @@
         A target that has not responded since still holds its keys by an
         extended grant, and a successor has to take that into account.
         """
-        return self._longer_until
+        return self._extended_grants_until
 
     def note_longer(self, until: float) -> None:
         """Records the time at which an extended grant expires."""
-        self._longer_until = max(self._longer_until, until)
+        self._extended_grants_until = max(self._extended_grants_until, until)
 
     @property
     def confirmed(self) -> float:
@@ -128,9 +128,9 @@
     def ends(self) -> float:
         """Time from which no order may be given."""
         if not self._witnessed:
-            return self._confirmed + self._span
-        unextended = self._confirmed + self._unextended
-        return max(unextended, self._extended_until)
+            return self._confirmed + self._span_seconds
+        unextended_until = self._confirmed + self._unextended_seconds
+        return max(unextended_until, self._extended_until)
 
     @property
     def extended_until(self) -> float:
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/ranges.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/ranges.py
@@ -97,7 +97,7 @@
 
     def find(self, key: int) -> Range:
         """Returns the range of a key from 0 to 65535."""
-        index = bisect.bisect_right(self.ranges, key, key=_first) - 1
+        index = bisect.bisect_right(self.ranges, key, key=_first_key) - 1
         return self.ranges[index]
 
     def holders(self) -> set[Holder]:
@@ -119,8 +119,8 @@
     to: Holder
 
 
-def _next(
-    table: RangeTable, made: Iterable[Range], commit: str, next_fence: int
+def _next_version(
+    table: RangeTable, new_ranges: Iterable[Range], commit: str, next_fence: int
 ) -> RangeTable:
     """Returns the successor version of a table, with new ranges."""
     return msgspec.structs.replace(
@@ -128,11 +128,11 @@
         commit=commit,
         version=table.version + 1,
         next_fence=next_fence,
-        ranges=tuple(made),
+        ranges=tuple(new_ranges),
     )
 
 
-def _first(item: Range) -> int:
+def _first_key(item: Range) -> int:
     return item.first
 
 
@@ -160,13 +160,13 @@
     """
     total = sum(weights.values())
     ranges = []
-    begin, passed = 0, 0.0
+    first, cumulative = 0, 0.0
     for fence, (holder, weight) in enumerate(weights.items(), 1):
-        passed += weight
-        end = round(KEYS * passed / total) - 1
-        if end >= begin:
-            ranges.append(Range(begin, end, holder, fence))
-            begin = end + 1
+        cumulative += weight
+        last = round(KEYS * cumulative / total) - 1
+        if last >= first:
+            ranges.append(Range(first, last, holder, fence))
+            first = last + 1
     return RangeTable(service, commit, 1, len(weights) + 1, tuple(ranges))
 
 
@@ -184,18 +184,18 @@
     fence = table.next_fence
     ranges = list(table.ranges)
     for item in moves:
-        moved = []
+        new_ranges = []
         for part in ranges:
             if part.last < item.first or item.last < part.first:
-                moved.append(part)
+                new_ranges.append(part)
                 continue
-            pieces, fence = _cut(part, item, fence)
-            moved.extend(pieces)
-        ranges = moved
-    return _next(table, ranges, commit, fence)
+            pieces, fence = _split(part, item, fence)
+            new_ranges.extend(pieces)
+        ranges = new_ranges
+    return _next_version(table, ranges, commit, fence)
 
 
-def _cut(part: Range, item: Move, fence: int) -> tuple[Iterator[Range], int]:
+def _split(part: Range, item: Move, fence: int) -> tuple[Iterator[Range], int]:
     """Splits a range at a move's borders; the middle gets the new owner.
 
     Returns:
@@ -227,14 +227,16 @@
         commit: Identifier of the change.
     """
 
-    def without(item: Range) -> Range:
-        done = set(settled.get(item.piece, ()))
-        if not done:
+    def without_released(item: Range) -> Range:
+        released = set(settled.get(item.piece, ()))
+        if not released:
             return item
-        left = tuple(f for f in item.formers if f.fence not in done)
-        return msgspec.structs.replace(item, formers=left)
+        remaining = tuple(f for f in item.formers if f.fence not in released)
+        return msgspec.structs.replace(item, formers=remaining)
 
-    return _next(table, map(without, table.ranges), commit, table.next_fence)
+    return _next_version(
+        table, map(without_released, table.ranges), commit, table.next_fence
+    )
 
 
 def refence(
@@ -260,7 +262,7 @@
             continue
         ranges.append(msgspec.structs.replace(item, owner=holder, fence=fence))
         fence += 1
-    return _next(table, ranges, commit, fence)
+    return _next_version(table, ranges, commit, fence)
 
 
 def join(table: RangeTable, most: int, commit: str) -> RangeTable:
@@ -291,4 +293,4 @@
             joins += 1
         else:
             ranges.append(item)
-    return _next(table, ranges, commit, fence)
+    return _next_version(table, ranges, commit, fence)
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/rebalance.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/rebalance.py
@@ -53,7 +53,7 @@
 class _Piece:
     """A range, or part of one, with the request rates of its keys."""
 
-    __slots__ = ("first", "heat", "keys", "last", "owner")
+    __slots__ = ("first", "load", "keys", "last", "owner")
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
         self.last = last
         self.owner = owner
         self.keys = keys
-        self.heat = sum(heat for _, heat in keys)
+        self.load = sum(heat for _, heat in keys)
 
 
 class _Balance:
@@ -78,29 +78,30 @@
         self,
         table: ranges.RangeTable,
         capacity: Mapping[ranges.Holder, float],
-        heat: Mapping[int, float],
+        requests: Mapping[int, float],
     ) -> None:
         self._capacity = capacity
-        ordered = sorted(heat.items())
+        ordered = sorted(requests.items())
         self.pieces: dict[ranges.Holder, list[_Piece]] = {}
         self.loads = dict.fromkeys(capacity, 0.0)
         position = 0
         for item in table.ranges:
-            begin = position
+            start = position
             while position < len(ordered) and ordered[position][0] <= item.last:
                 position += 1
             piece = _Piece(
-                item.first, item.last, item.owner, ordered[begin:position]
+                item.first, item.last, item.owner, ordered[start:position]
             )
-            load = self.loads.get(item.owner, 0.0) + piece.heat
+            load = self.loads.get(item.owner, 0.0) + piece.load
             self.loads[item.owner] = load
             # Keys in a handover do not move again before it ends.
             if not item.formers:
                 self.pieces.setdefault(item.owner, []).append(piece)
         total = sum(self.loads.values())
-        whole = sum(capacity.values()) or 1.0
+        total_capacity = sum(capacity.values()) or 1.0
         self.fair = {
-            holder: total * part / whole for holder, part in capacity.items()
+            holder: total * part / total_capacity
+            for holder, part in capacity.items()
         }
 
     def excess(self, holder: ranges.Holder) -> float:
@@ -123,17 +124,19 @@
             default=first,
         )
 
-    def emptiest(self, but: ranges.Holder) -> ranges.Holder | None:
+    def emptiest(self, excluded: ranges.Holder) -> ranges.Holder | None:
         """Returns the target with the lowest load relative to its capacity.
 
         Args:
-            but: Target to leave out.
+            excluded: Target to leave out.
         """
-        able = self._capacity
-        others = [h for h, part in able.items() if h != but and part > 0]
+        capacity = self._capacity
+        others = [
+            h for h, amount in capacity.items() if h != excluded and amount > 0
+        ]
         if not others:
             return None
-        return min(others, key=lambda h: self.loads[h] / able[h])
+        return min(others, key=lambda h: self.loads[h] / capacity[h])
 
 
 def evacuate(
@@ -150,8 +153,10 @@
         heat: Requests by key.
         lost: Targets whose keys need another owner.
     """
-    going = set(lost)
-    staying = {h: c for h, c in capacity.items() if h not in going and c > 0}
+    evacuated = set(lost)
+    staying = {
+        h: c for h, c in capacity.items() if h not in evacuated and c > 0
+    }
     if not staying:
         return []
     balance = _Balance(table, staying, heat)
@@ -163,11 +168,11 @@
             [(k, h) for k, h in heat.items() if r.first <= k <= r.last],
         )
         for r in table.ranges
-        if r.owner in going
+        if r.owner in evacuated
     )
     width_load = sum(heat.values()) / ranges.KEYS
     moves = []
-    for piece in sorted(pieces, key=lambda p: p.heat, reverse=True):
+    for piece in sorted(pieces, key=lambda p: p.load, reverse=True):
         to = balance.emptiest(piece.owner)
         if to is None:
             break
@@ -175,7 +180,7 @@
         # Without request rates, widths stand in for load: otherwise all cold
         # ranges would go to one target.
         width = piece.last - piece.first + 1
-        balance.loads[to] += max(piece.heat, width * width_load, width / 1e6)
+        balance.loads[to] += max(piece.load, width * width_load, width / 1e6)
     return moves
 
 
@@ -254,14 +259,14 @@
         policy: Thresholds for moves.
     """
     balance = _Balance(table, capacity, heat)
-    room = int(policy.most_ranges * len(capacity)) - len(table.ranges)
+    spare_ranges = int(policy.most_ranges * len(capacity)) - len(table.ranges)
     moves: list[ranges.Move] = []
     while len(moves) < policy.most_moves:
-        found = _next_move(balance, policy, room > 0)
+        found = _next_move(balance, policy, spare_ranges > 0)
         if found is None:
             break
         piece, move = found
-        room -= _take(balance, piece, move)
+        spare_ranges -= _apply_move(balance, piece, move)
         moves.append(move)
     return moves
 
@@ -269,8 +274,8 @@
 def _next_move(
     balance: _Balance, policy: Policy, may_cut: bool
 ) -> tuple[_Piece, ranges.Move] | None:
-    over = sorted(balance.pieces, key=balance.excess, reverse=True)
-    for holder in itertools.islice(over, 4):
+    by_excess = sorted(balance.pieces, key=balance.excess, reverse=True)
+    for holder in itertools.islice(by_excess, 4):
         excess = balance.excess(holder)
         fair = balance.fair.get(holder, 0.0)
         noise = policy.sigmas * math.sqrt(max(fair, 1.0))
@@ -280,7 +285,7 @@
         if to is None:
             return None
         wanted = min(excess, -balance.excess(to))
-        found = _best_run(balance.pieces[holder], wanted, may_cut)
+        found = _best_interval(balance.pieces[holder], wanted, may_cut)
         if found is not None:
             piece, first, last = found
             if first == last:
@@ -289,7 +294,7 @@
     return None
 
 
-def _best_run(
+def _best_interval(
     pieces: list[_Piece], wanted: float, may_cut: bool
 ) -> tuple[_Piece, int, int] | None:
     """Returns the interval of keys whose load is best for a move.
@@ -309,25 +314,25 @@
         return None
     best: tuple[float, _Piece, int, int] | None = None
     for piece in pieces:
-        if piece.heat < wanted * 0.4:
+        if piece.load < wanted * 0.4:
             continue
-        if piece.heat <= wanted * 1.2:
-            found = (piece.first, piece.last, piece.heat)
+        if piece.load <= wanted * 1.2:
+            found = (piece.first, piece.last, piece.load)
         elif may_cut:
-            run = _hottest_run(piece.keys, wanted)
-            if run is None:
+            interval = _narrowest_interval(piece.keys, wanted)
+            if interval is None:
                 continue
-            found = run
+            found = interval
         else:
             continue
-        first, last, heat = found
-        value = min(heat, wanted) / (1 + (last - first) / 2048)
-        if best is None or value > best[0]:
-            best = (value, piece, first, last)
+        first, last, load = found
+        score = min(load, wanted) / (1 + (last - first) / 2048)
+        if best is None or score > best[0]:
+            best = (score, piece, first, last)
     return best[1:] if best else None
 
 
-def _hottest_run(
+def _narrowest_interval(
     keys: list[tuple[int, float]], wanted: float
 ) -> tuple[int, int, float] | None:
     """Returns the narrowest interval of keys with about the wanted load.
@@ -336,31 +341,31 @@
         First key, last key and load; None if no interval is suitable.
     """
     best: tuple[int, int, float] | None = None
-    begin, heat = 0, 0.0
-    for end, (key, own) in enumerate(keys):
-        heat += own
-        while heat - keys[begin][1] >= wanted * 0.8 and begin < end:
-            heat -= keys[begin][1]
+    begin, load = 0, 0.0
+    for end, (key, key_load) in enumerate(keys):
+        load += key_load
+        while load - keys[begin][1] >= wanted * 0.8 and begin < end:
+            load -= keys[begin][1]
             begin += 1
-        if not wanted * 0.6 <= heat <= wanted * 1.3:
+        if not wanted * 0.6 <= load <= wanted * 1.3:
             continue
         width = key - keys[begin][0]
         if best is None or width < best[1] - best[0]:
-            best = (keys[begin][0], key, heat)
+            best = (keys[begin][0], key, load)
     return best
 
 
-def _take(balance: _Balance, piece: _Piece, move: ranges.Move) -> int:
+def _apply_move(balance: _Balance, piece: _Piece, move: ranges.Move) -> int:
     """Applies a move to the loads.
 
     Returns:
         Number of ranges that the move adds.
     """
-    taken = [k for k in piece.keys if move.first <= k[0] <= move.last]
-    heat = sum(h for _, h in taken)
-    balance.loads[piece.owner] -= heat
-    balance.loads[move.to] += heat
-    left = [
+    moved_keys = [k for k in piece.keys if move.first <= k[0] <= move.last]
+    load = sum(h for _, h in moved_keys)
+    balance.loads[piece.owner] -= load
+    balance.loads[move.to] += load
+    remaining = [
         _Piece(
             first,
             last,
@@ -373,6 +378,6 @@
         )
         if first <= last
     ]
-    rest = [p for p in balance.pieces[piece.owner] if p is not piece]
-    balance.pieces[piece.owner] = rest + left
-    return len(left)
+    others = [p for p in balance.pieces[piece.owner] if p is not piece]
+    balance.pieces[piece.owner] = others + remaining
+    return len(remaining)
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/succession.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/succession.py
@@ -10,10 +10,10 @@
 
 from collections.abc import Sequence
 
-_AT_ONCE = 3
+_CONCURRENT_REQUESTS = 3
 """VMs asked at a time. If a third of the VMs is cut off, all three are cut off
 once in 27 times."""
-_PATIENCE = 0.6
+_RESPONSE_SECONDS = 0.6
 """Time that the VMs asked last are given: two calls to the store and the
 transit both ways."""
 
@@ -44,14 +44,14 @@
             able: VMs that report access to the store, the best first.
             now: Current time.
         """
-        if now - self._asked_at < _PATIENCE:
+        if now - self._asked_at < _RESPONSE_SECONDS:
             return ()
-        left = [vm for vm in able if vm not in self._asked]
-        if not left:
+        remaining = [vm for vm in able if vm not in self._asked]
+        if not remaining:
             # All were asked without success; some may reach the store again.
             self._asked = ()
-            left = list(able)
-        chosen = tuple(left[:_AT_ONCE])
+            remaining = list(able)
+        chosen = tuple(remaining[:_CONCURRENT_REQUESTS])
         if chosen:
             self._asked += chosen
             self._asked_at = now
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/vacancies.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/vacancies.py
@@ -18,7 +18,7 @@
 in progress."""
 
 
-class _Vacancy:
+class _UnownedRange:
     """Adjacent keys without an owner."""
 
     __slots__ = ("first", "last", "since")
@@ -32,7 +32,7 @@
 class Vacancies:
     """Unowned ranges of all services."""
 
-    __slots__ = ("_lapse", "_longest", "_of")
+    __slots__ = ("_crash_seconds", "_longest_seconds", "_unowned")
 
     def __init__(self, lapse: float, longest: float) -> None:
         """Creates a record without unowned ranges.
@@ -41,24 +41,26 @@
             lapse: Seconds for which keys of a crashed target have no owner.
             longest: The same if the leader was lost as well.
         """
-        self._lapse = lapse
-        self._longest = longest
-        self._of: dict[str, list[_Vacancy]] = {}
+        self._crash_seconds = lapse
+        self._longest_seconds = longest
+        self._unowned: dict[str, list[_UnownedRange]] = {}
 
     def take(self, known: assignments.Assignment, now: float) -> None:
         """Updates the unowned ranges of a service from its assignment."""
-        former = self._of.get(known.service, [])
-        found: list[_Vacancy] = []
+        earlier = self._unowned.get(known.service, [])
+        unowned: list[_UnownedRange] = []
         index = 0
         for span in known.spans():
             if span.owner:
                 continue
             # Both lists are in order of keys.
-            while index < len(former) and former[index].last < span.first:
+            while index < len(earlier) and earlier[index].last < span.first:
                 index += 1
-            since = _since(span, itertools.islice(former, index, None), now)
-            found.append(_Vacancy(span.first, span.last, since))
-        self._of[known.service] = found
+            since = _unowned_since(
+                span, itertools.islice(earlier, index, None), now
+            )
+            unowned.append(_UnownedRange(span.first, span.last, since))
+        self._unowned[known.service] = unowned
 
     def seconds(self, service: str, key: int, now: float) -> float:
         """Returns the seconds until a key can be expected to have an owner.
@@ -68,9 +70,9 @@
             key: A key without an owner.
             now: Current time.
         """
-        for vacancy in self._of.get(service, ()):
-            if vacancy.first <= key <= vacancy.last:
-                return self.expected(now - vacancy.since)
+        for unowned_range in self._unowned.get(service, ()):
+            if unowned_range.first <= key <= unowned_range.last:
+                return self.expected(now - unowned_range.since)
         return 0.0
 
     def expected(self, gone: float) -> float:
@@ -81,21 +83,23 @@
         """
         if gone < _HANDOVER_SECONDS:
             return 0.0
-        if gone < self._lapse:
-            return self._lapse - gone
-        return max(self._longest - gone, _HANDOVER_SECONDS)
+        if gone < self._crash_seconds:
+            return self._crash_seconds - gone
+        return max(self._longest_seconds - gone, _HANDOVER_SECONDS)
 
 
-def _since(
-    span: assignments.Span, former: Iterable[_Vacancy], now: float
+def _unowned_since(
+    span: assignments.Span, earlier: Iterable[_UnownedRange], now: float
 ) -> float:
     """Returns the earliest time from which a range may have had no owner.
 
     Args:
         span: The range.
-        former: Earlier unowned ranges that do not end before it, in order of
+        earlier: Earlier unowned ranges that do not end before it, in order of
             keys.
         now: Current time.
     """
-    overlapping = itertools.takewhile(lambda v: v.first <= span.last, former)
-    return min((vacancy.since for vacancy in overlapping), default=now)
+    overlapping = itertools.takewhile(lambda r: r.first <= span.last, earlier)
+    return min(
+        (unowned_range.since for unowned_range in overlapping), default=now
+    )
