--- a/packages/mimosastile-core/src/mimosastile_core/gateway/casualties.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/crash_detection.py
@@ -16,7 +16,7 @@
 """A third crash is beyond chance; a minute covers the retries of a caller."""
 
 
-class Casualties:
+class CrashDetector:
     """Lost responses observed by one VM, and the crashes that caused them."""
 
     __slots__ = ("_crashes", "_lost")
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/currency.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/freshness.py
@@ -3,7 +3,7 @@
 import math
 
 
-class Currency:
+class Freshness:
     """The latest time at which a view was complete for certain.
 
     A view is complete if it holds all that the store held at that time. Each
@@ -33,7 +33,7 @@
         return None if self._at == -math.inf else max(now - self._at, 0.0)
 
 
-class Stamp:
+class ClockOffset:
     """A reading of a peer's clock, to convert times from and to that clock.
 
     The peer read its clock after the request was sent and before its response
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/leadership.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/leadership.py
@@ -50,7 +50,7 @@
     unsure: tuple[str, ...] = ()
 
 
-class Authority:
+class LeaderLease:
     """Tracks how long this VM may give orders as leader.
 
     Attributes:
@@ -183,7 +183,7 @@
         return max(usual, min(most, self.ends - arrival + usual))
 
 
-class Pace(msgspec.Struct, frozen=True):
+class RenewalPace(msgspec.Struct, frozen=True):
     """How often a grant is renewed and how long it lasts.
 
     Attributes:
@@ -196,8 +196,8 @@
 
 
 def paced(
-    ranges: int, usual: Pace, slowest: float, orders_per_second: float
-) -> Pace:
+    ranges: int, usual: RenewalPace, slowest: float, orders_per_second: float
+) -> RenewalPace:
     """Returns the pace at which a leader can renew a number of ranges.
 
     A leader with too many orders to send responds too late, and all grants
@@ -212,7 +212,7 @@
             make a renewal later than `slowest`.
     """
     renew = max(usual.renew, min(ranges / orders_per_second, slowest))
-    return Pace(renew, usual.hold * renew / usual.renew)
+    return RenewalPace(renew, usual.hold * renew / usual.renew)
 
 
 def lapsed_at(last_order: float, hold: float) -> float:
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/succession.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/successors.py
@@ -18,7 +18,7 @@
 transit both ways."""
 
 
-class Succession:
+class SuccessorSelection:
     """Tracks which VMs were asked to lead, so that others are asked next."""
 
     __slots__ = ("_asked", "_asked_at")
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/vacancies.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/unowned_ranges.py
@@ -29,7 +29,7 @@
         self.since = since
 
 
-class Vacancies:
+class UnownedRanges:
     """Unowned ranges of all services."""
 
     __slots__ = ("_crash_seconds", "_longest_seconds", "_unowned")
--- a/tests/gateway/test_casualties.py
+++ b/tests/gateway/test_crash_detection.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from mimosastile_core.gateway import casualties
+from mimosastile_core.gateway import crash_detection
 
 
 def _crash(detector, request, count, begin=0.0):
@@ -24,7 +24,7 @@
         Unless its crashes are recorded, it takes one target after another from
         all other callers.
         """
-        detector = casualties.Casualties()
+        detector = crash_detection.CrashDetector()
         _crash(detector, "r", count)
         assert detector.held("r", 5.0) is held
         assert not detector.held("other", 5.0)
@@ -34,7 +34,7 @@
 
         Their callers' requests must not be refused because of that.
         """
-        detector = casualties.Casualties()
+        detector = crash_detection.CrashDetector()
         for number in range(50):
             detector.lost("t1", "r", number * 0.1)
             detector.answered("t1")
@@ -43,7 +43,7 @@
 
     def test_crash_long_after(self):
         """A target crashes for another reason seconds after a lost response."""
-        detector = casualties.Casualties()
+        detector = crash_detection.CrashDetector()
         for number in range(5):
             detector.lost(f"t{number}", "r", 0.0)
             assert detector.unreachable(f"t{number}", 4.0, "x") == []
@@ -51,7 +51,10 @@
 
     def test_crashes_observed_by_other_vms(self):
         """The request arrives at another VM each time."""
-        detector, other = casualties.Casualties(), casualties.Casualties()
+        detector, other = (
+            crash_detection.CrashDetector(),
+            crash_detection.CrashDetector(),
+        )
         _crash(detector, "r", 3)
         for death in detector.deaths(5.0):
             other.learn(death, 5.0)
@@ -59,7 +62,7 @@
 
     def test_expires(self):
         """Memory does not grow, and a caller may try again later."""
-        detector = casualties.Casualties()
+        detector = crash_detection.CrashDetector()
         _crash(detector, "r", 3)
         assert not detector.held("r", 70.0)
         assert detector.deaths(70.0) == ()
--- a/tests/gateway/test_formers.py
+++ b/tests/gateway/test_former_leaders.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from mimosastile_core.gateway import extension
-from mimosastile_core.gateway import formers
+from mimosastile_core.gateway import former_leaders
+from mimosastile_core.gateway import lease_extension
 
-W1 = extension.Witness("vm-1", "boot-1")
-W2 = extension.Witness("vm-2", "boot-2")
+W1 = lease_extension.Witness("vm-1", "boot-1")
+W2 = lease_extension.Witness("vm-2", "boot-2")
 
 
 def _former_leaders(calm=0.0, longer=float("-inf")):
@@ -14,7 +14,7 @@
 
     Its lease lasted 10 s, or 2.5 s without the promises of witnesses.
     """
-    return formers.FormerLeaders(
+    return former_leaders.FormerLeaders(
         10.0, ("vm-0",), calm, 2.0, 10.0, longer, (W1, W2), 2.5
     )
 
@@ -34,12 +34,12 @@
             pytest.param([(W2, None), (W1, 6.0)], 4.64, id="in any order"),
             pytest.param([(W1, 6.0), (W2, 4.0)], 6.3, id="both promised"),
             pytest.param(
-                [(extension.Witness("vm-1", "later"), None)],
+                [(lease_extension.Witness("vm-1", "later"), None)],
                 12.3,
                 id="later incarnation of a witness",
             ),
             pytest.param(
-                [(extension.Witness("vm-9", "boot-9"), None)],
+                [(lease_extension.Witness("vm-9", "boot-9"), None)],
                 12.3,
                 id="another VM",
             ),
--- a/tests/gateway/test_currency.py
+++ b/tests/gateway/test_freshness.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies
 import pytest
 
-from mimosastile_core.gateway import currency
+from mimosastile_core.gateway import freshness
 
 
 class TestCurrency:
@@ -22,7 +22,7 @@
     )
     def test_age(self, times, now, age):
         """Guards against a late response that makes a view look older."""
-        view = currency.Currency()
+        view = freshness.Freshness()
         for at in times:
             view.note(at)
         assert view.age(now) == age
@@ -45,7 +45,7 @@
         This could happen if the request or the response is delayed in transit.
         """
         answered_at = asked + transit[0]
-        stamp = currency.Stamp(
+        stamp = freshness.ClockOffset(
             answered_at + offset, asked, answered_at + transit[1]
         )
         assert stamp.to_peer(at) <= at + offset + 1e-6
--- a/tests/gateway/test_succession.py
+++ b/tests/gateway/test_successors.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from mimosastile_core.gateway import succession
+from mimosastile_core.gateway import successors
 
 VMS = tuple(f"vm-{n}" for n in range(7))
 
@@ -35,12 +35,12 @@
         Keys of lost targets have no owner until another VM leads, and requests
         for them are refused meanwhile.
         """
-        choice = succession.Succession()
+        choice = successors.SuccessorSelection()
         assert _seconds_until_asked(choice, VMS, set(VMS[cut:])) <= most
 
     def test_asked_vms_get_time_to_respond(self):
         """The VMs asked get time to respond before others are asked."""
-        choice = succession.Succession()
+        choice = successors.SuccessorSelection()
         assert choice.next(VMS, 0.0) == VMS[:3]
         assert choice.next(VMS, 0.5) == ()
         assert choice.next(VMS, 0.7) == VMS[3:6]
@@ -51,20 +51,20 @@
 
         A VM that was cut off before may be the only one that is not now.
         """
-        choice = succession.Succession()
+        choice = successors.SuccessorSelection()
         for second in range(3):
             choice.next(VMS, float(second))
         assert set(VMS[:3]) <= set(choice.next(VMS, 3.0))
 
     def test_store_is_down(self):
         """If the store itself is down, no VM is asked."""
-        choice = succession.Succession()
+        choice = successors.SuccessorSelection()
         assert choice.next((), 0.0) == ()
         assert choice.asked == ()
 
     def test_store_is_back(self):
         """VMs asked during an outage no longer count as asked after it."""
-        choice = succession.Succession()
+        choice = successors.SuccessorSelection()
         choice.next(VMS, 0.0)
         choice.clear()
         assert choice.asked == ()
--- a/tests/gateway/test_vacancies.py
+++ b/tests/gateway/test_unowned_ranges.py
@@ -3,7 +3,7 @@
 import pytest
 
 from mimosastile_core.gateway import assignments
-from mimosastile_core.gateway import vacancies
+from mimosastile_core.gateway import unowned_ranges
 
 
 def _assigned(serial, firsts, owners):
@@ -11,7 +11,7 @@
 
 
 def _seconds_left(gone, *, key=100):
-    unowned = vacancies.Vacancies(2.2, 12.2)
+    unowned = unowned_ranges.UnownedRanges(2.2, 12.2)
     unowned.take(_assigned(1, (0, 50, 200), ("a", "", "b")), 10.0)
     return unowned.seconds("s", key, 10.0 + gone)
 
@@ -43,7 +43,7 @@
 
     def test_unknown_service(self):
         """No assignment has been received yet; the first one arrives soon."""
-        unowned = vacancies.Vacancies(2.2, 12.2)
+        unowned = unowned_ranges.UnownedRanges(2.2, 12.2)
         assert unowned.seconds("s", 1, 5.0) == 0.0
 
 
@@ -52,7 +52,7 @@
 
     def test_time_continues_for_the_rest_of_a_range(self):
         """Parts of a range get owners; the time of the rest continues."""
-        unowned = vacancies.Vacancies(2.2, 12.2)
+        unowned = unowned_ranges.UnownedRanges(2.2, 12.2)
         unowned.take(_assigned(1, (0, 50, 200), ("a", "", "b")), 10.0)
         unowned.take(_assigned(2, (0, 60, 90, 200), ("a", "", "c", "b")), 11.0)
         assert unowned.seconds("s", 70, 11.2) == pytest.approx(1.0)
@@ -60,7 +60,7 @@
 
     def test_time_starts_anew_after_an_owner(self):
         """Keys got an owner and lost it again; the time starts anew."""
-        unowned = vacancies.Vacancies(2.2, 12.2)
+        unowned = unowned_ranges.UnownedRanges(2.2, 12.2)
         unowned.take(_assigned(1, (0,), ("",)), 10.0)
         unowned.take(_assigned(2, (0,), ("a",)), 11.0)
         unowned.take(_assigned(3, (0,), ("",)), 12.0)
@@ -69,7 +69,7 @@
     @pytest.mark.parametrize("joined", [True, False])
     def test_joined_ranges_keep_the_oldest_time(self, joined):
         """Guards against a range that loses the time of its oldest part."""
-        unowned = vacancies.Vacancies(2.2, 12.2)
+        unowned = unowned_ranges.UnownedRanges(2.2, 12.2)
         unowned.take(_assigned(1, (0, 10, 20), ("", "a", "")), 10.0)
         unowned.take(_assigned(2, (0, 10, 15, 20), ("", "", "a", "")), 11.0)
         if joined:
