--- a/packages/mimosastile-core/src/mimosastile_core/gateway/assignments.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/assignments.py
@@ -75,7 +75,7 @@
     spans: tuple[Span, ...]
 
 
-def of_table(
+def from_table(
     table: ranges.RangeTable, version: Version, ready: set[ranges.Piece]
 ) -> Assignment:
     """Returns the assignment that is sent to VMs for a table.
@@ -119,7 +119,7 @@
     )
 
 
-def same(one: Assignment, other: Assignment) -> bool:
+def have_same_owners(one: Assignment, other: Assignment) -> bool:
     """Whether two assignments have the same epoch and name the same owners."""
     return (
         one.version[0] == other.version[0]
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/configurations.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/configurations.py
@@ -89,20 +89,20 @@
 
     __slots__ = ("_changes", "_earlier", "_max_earlier", "present")
 
-    def __init__(self, kept: int) -> None:
+    def __init__(self, max_earlier: int) -> None:
         """Creates an empty history.
 
         Args:
-            kept: Number of earlier versions to keep, from which changes can be
-                computed. A VM with an older version gets the whole
+            max_earlier: Number of earlier versions to keep, from which changes
+                can be computed. A VM with an older version gets the whole
                 configuration.
         """
-        self._max_earlier = kept
+        self._max_earlier = max_earlier
         self._earlier: dict[int, routes.Configuration] = {}
         self._changes: dict[int, Change | None] = {}
         self.present: routes.Configuration | None = None
 
-    def take(self, new: routes.Configuration) -> bool:
+    def add(self, new: routes.Configuration) -> bool:
         """Stores a configuration unless the present one is as new.
 
         Returns:
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/crash_detection.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/crash_detection.py
@@ -25,7 +25,7 @@
         self._crashes = quarantine.Memory()
         self._lost: dict[str, list[tuple[float, str]]] = {}
 
-    def lost(self, target: str, request: str, now: float) -> None:
+    def record_loss(self, target: str, request: str, now: float) -> None:
         """Records that a response was lost.
 
         Args:
@@ -40,26 +40,28 @@
         ]
         self._lost[target] = [*recent, (now, request)]
 
-    def answered(self, target: str) -> None:
+    def record_response(self, target: str) -> None:
         """Records that a target responds; earlier losses were no crashes."""
         self._lost.pop(target, None)
 
-    def unreachable(
-        self, target: str, now: float, new_id: str
+    def confirm_crashes(
+        self, target: str, now: float, id_prefix: str
     ) -> list[quarantine.Death]:
         """Records that a target accepts no connections.
 
         Args:
             target: The target.
             now: Current time.
-            new_id: Prefix for the identifiers of the crashes.
+            id_prefix: Prefix for the identifiers of the crashes.
 
         Returns:
             The crashes that this confirms.
         """
         lost = self._lost.pop(target, ())
         deaths = [
-            quarantine.Death(f"{new_id}-{number}", request, target, 0, now - at)
+            quarantine.Death(
+                f"{id_prefix}-{number}", request, target, 0, now - at
+            )
             for number, (at, request) in enumerate(lost)
             if now - at < _CONFIRMATION_SECONDS
         ]
@@ -67,17 +69,17 @@
             self._crashes.record(death, now)
         return deaths
 
-    def learn(self, death: quarantine.Death, now: float) -> None:
+    def record_crash(self, death: quarantine.Death, now: float) -> None:
         """Records a crash that another VM has confirmed."""
         self._crashes.record(death, now)
 
-    def held(self, request: str, now: float) -> bool:
+    def is_held(self, request: str, now: float) -> bool:
         """Whether a request has crashed too many targets to be sent again."""
         if not self._crashes:
             return False
         return self._crashes.held_for(request, POLICY, now) > 0
 
-    def deaths(self, now: float) -> tuple[quarantine.Death, ...]:
+    def crashes(self, now: float) -> tuple[quarantine.Death, ...]:
         """Returns all crashes still recorded, with their current ages."""
         self._crashes.expire(POLICY, now)
         return self._crashes.deaths(now)
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/directory.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/directory.py
@@ -52,8 +52,8 @@
 
     Attributes:
         target: Its latest registration.
-        standing: Whether it may get new work.
-        since: Time of the last change of `standing`.
+        status: Whether it may get new work.
+        since: Time of the last change of `status`.
         until: Time after which it gets no work at all.
         revision: The store's revision of its last change.
         cold_until: Time until which it counts as cold, regardless of its
@@ -67,14 +67,14 @@
         "cold_until",
         "revision",
         "since",
-        "standing",
+        "status",
         "target",
         "until",
     )
 
     def __init__(self, target: Target, since: float) -> None:
         self.target = target
-        self.standing = TargetStatus.READY
+        self.status = TargetStatus.READY
         self.since = since
         self.until = float("inf")
         self.revision = target.revision
@@ -176,13 +176,13 @@
             entry.until = float("inf")
         entry.target = target
         entry.revision = target.revision
-        if entry.standing is TargetStatus.ENDED and not is_new:
+        if entry.status is TargetStatus.ENDED and not is_new:
             return False
         leaving = target.leaving or entry.announced_at is not None
-        standing = TargetStatus.LEAVING if leaving else TargetStatus.READY
-        if entry.standing is standing and not is_new:
+        status = TargetStatus.LEAVING if leaving else TargetStatus.READY
+        if entry.status is status and not is_new:
             return False
-        entry.standing = standing
+        entry.status = status
         entry.since = now
         if leaving:
             entry.since = now if since is None else min(since, now)
@@ -191,7 +191,7 @@
             entry.until = float("inf")
         return True
 
-    def announce(self, target: str, born: int, said_at: float) -> bool:
+    def announce(self, target: str, born: int, announced_at: float) -> bool:
         """Records a target's announcement in a response that it will end.
 
         The announcement holds for its incarnation, whatever the registration
@@ -200,7 +200,7 @@
         Args:
             target: Identifier of the target.
             born: Start of its incarnation.
-            said_at: Time of the announcement.
+            announced_at: Time of the announcement.
 
         Returns:
             Whether this changes the target's status.
@@ -210,14 +210,14 @@
             return False
         if entry.announced_at is not None:
             return False
-        entry.announced_at = said_at
+        entry.announced_at = announced_at
         self._announced.add(target)
-        if entry.standing is TargetStatus.ENDED:
+        if entry.status is TargetStatus.ENDED:
             return False
-        if entry.standing is TargetStatus.READY:
-            entry.standing = TargetStatus.LEAVING
-            entry.since = said_at
-        entry.until = min(entry.until, said_at + self._grace)
+        if entry.status is TargetStatus.READY:
+            entry.status = TargetStatus.LEAVING
+            entry.since = announced_at
+        entry.until = min(entry.until, announced_at + self._grace)
         return True
 
     def remove(
@@ -242,19 +242,19 @@
             Whether the registration was present.
         """
         entry = self._entries.get(target)
-        if entry is None or entry.standing in _VANISHED:
+        if entry is None or entry.status in _VANISHED:
             return False
         if revision and revision < entry.revision:
             return False
         entry.revision = max(entry.revision, revision)
-        entry.standing = TargetStatus.MISSING
+        entry.status = TargetStatus.MISSING
         entry.since = now if since is None else min(since, now)
         entry.until = min(entry.until, entry.since + self._grace)
         if late:
             entry.until = min(entry.until, now + self._late_grace)
         return True
 
-    def end(self, target: str, born: int, now: float) -> bool:
+    def record_end(self, target: str, born: int, now: float) -> bool:
         """Records proof that an incarnation of a target has ended.
 
         The proof is that its address responds under another target's
@@ -273,9 +273,9 @@
         entry = self._entries.get(target)
         if entry is None or entry.target.born != born:
             return False
-        if entry.standing is TargetStatus.ENDED:
+        if entry.status is TargetStatus.ENDED:
             return False
-        entry.standing = TargetStatus.ENDED
+        entry.status = TargetStatus.ENDED
         entry.since = entry.until = now
         return True
 
@@ -298,7 +298,7 @@
         return (
             entry is not None
             and entry.target.born == born
-            and entry.standing is TargetStatus.ENDED
+            and entry.status is TargetStatus.ENDED
         )
 
     def has_started_again(self, target: str, born: int) -> bool:
@@ -333,7 +333,7 @@
             entry.target, born=born, address=address, leaving=False
         )
         entry.announced_at = None
-        entry.standing = TargetStatus.READY
+        entry.status = TargetStatus.READY
         entry.since = now
         entry.until = float("inf")
 
@@ -362,22 +362,21 @@
         listed = {target.id: target for target in targets}
         changed = [t.id for t in listed.values() if self.put(t, now, since)]
         gone = [
-            known
-            for known in list(self._entries)
-            if known not in listed
+            target
+            for target in list(self._entries)
+            if target not in listed
             and self.remove(
-                known, now, late=True, revision=revision, since=gone_since
+                target, now, late=True, revision=revision, since=gone_since
             )
         ]
         return changed + gone
 
-    def forget(self, now: float, keep_seconds: float) -> None:
+    def drop_vanished(self, now: float, keep_seconds: float) -> None:
         """Drops targets that vanished long ago."""
         self._entries = {
             name: entry
             for name, entry in self._entries.items()
-            if entry.standing not in _VANISHED
-            or now - entry.since < keep_seconds
+            if entry.status not in _VANISHED or now - entry.since < keep_seconds
         }
         self._announced &= self._entries.keys()
 
@@ -406,9 +405,7 @@
             for e in self._entries.values()
             if e.target.service == service and allowed(e.target)
         ]
-        ready = [
-            e.target for e in of_service if e.standing is TargetStatus.READY
-        ]
+        ready = [e.target for e in of_service if e.status is TargetStatus.READY]
         if ready:
             return ready
         return [e.target for e in of_service if now < e.until]
@@ -443,7 +440,7 @@
     def is_ready(self, target: str) -> bool:
         """Whether a target is registered and not leaving."""
         entry = self._entries.get(target)
-        return entry is not None and entry.standing is TargetStatus.READY
+        return entry is not None and entry.status is TargetStatus.READY
 
     def may_get_work(self, target: str, now: float) -> bool:
         """Whether a target that owns a key may get a request for it."""
@@ -452,18 +449,18 @@
 
     def all_leave(self, service: str) -> bool:
         """Whether a service has targets that leave, and no others."""
-        standings = {
-            entry.standing
+        statuses = {
+            entry.status
             for entry in self._entries.values()
             if entry.target.service == service
         }
-        return standings - _VANISHED == {TargetStatus.LEAVING}
+        return statuses - _VANISHED == {TargetStatus.LEAVING}
 
     def ready(self, service: str) -> list[Target]:
         """Returns the registered targets of a service that are not leaving."""
         return [
             entry.target
             for entry in self._entries.values()
-            if entry.standing is TargetStatus.READY
+            if entry.status is TargetStatus.READY
             and entry.target.service == service
         ]
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/former_leaders.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/former_leaders.py
@@ -29,39 +29,39 @@
         self,
         until: float,
         vms: Iterable[str] = (),
-        calm_until: float = float("-inf"),
-        hold: float = 0.0,
-        most: float = 0.0,
-        longer_until: float = float("-inf"),
+        usual_grants_until: float = float("-inf"),
+        usual_hold: float = 0.0,
+        longest_hold: float = 0.0,
+        extended_grants_until: float = float("-inf"),
         witnesses: Iterable[lease_extension.Witness] = (),
         unextended_until: float = float("inf"),
-        held_up: float = 0.0,
+        transit_seconds: float = 0.0,
     ) -> None:
         """Creates the record that a new leader keeps of its predecessors.
 
         Args:
             until: Time by which all of them have stopped for certain.
             vms: Identifiers of their VMs.
-            calm_until: Time until which they gave no extended grants for
-                certain.
-            hold: Usual duration of a grant in seconds.
-            most: Longest duration of a grant in seconds.
-            longer_until: Time at which the extended grants that they gave
-                before have expired.
+            usual_grants_until: Time until which they gave no extended grants
+                for certain.
+            usual_hold: Usual duration of a grant in seconds.
+            longest_hold: Longest duration of a grant in seconds.
+            extended_grants_until: Time at which the extended grants that they
+                gave before have expired.
             witnesses: Witnesses of the last one, if it named any.
             unextended_until: Time by which the last one has stopped if one of
                 these witnesses made no promise.
-            held_up: Seconds for which orders that a leader sent until it
-                stopped may be in transit. A leader whose lease expires stops
+            transit_seconds: Seconds for which orders that a leader sent until
+                it stopped may be in transit. A leader whose lease expires stops
                 sending earlier by as much.
         """
-        self._transit_seconds = held_up
+        self._transit_seconds = transit_seconds
         self._stop_bound = until
-        self._extended_grants_until = longer_until
+        self._extended_grants_until = extended_grants_until
         self._stopped_by = until
-        self._usual_grants_until = calm_until
-        self._usual_hold = hold
-        self._longest_hold = most
+        self._usual_grants_until = usual_grants_until
+        self._usual_hold = usual_hold
+        self._longest_hold = longest_hold
         self._unconfirmed = set(vms)
         self._had_leaders = bool(self._unconfirmed)
         self._without_report = set(self._unconfirmed)
@@ -74,31 +74,33 @@
         """Time by which all of their orders have arrived for certain."""
         return self._stopped_by
 
-    def stopped(self, now: float) -> None:
+    def record_stopped(self, now: float) -> None:
         """Records that all of them have stopped."""
         self._unconfirmed.clear()
         self._stopped_by = min(self._stopped_by, now + self._transit_seconds)
 
-    def follows(self, vm: str, now: float, longer: float | None) -> None:
+    def record_follower(
+        self, vm: str, now: float, extended_seconds: float | None
+    ) -> None:
         """Records that a VM follows the present leader and gives no orders.
 
         Args:
             vm: Identifier of the VM.
             now: Current time.
-            longer: Seconds until the extended grants of this VM and of leaders
-                before it have expired, as reported by the VM; None if it has
-                restarted since it was leader and no longer has this
+            extended_seconds: Seconds until the extended grants of this VM and
+                of leaders before it have expired, as reported by the VM; None
+                if it has restarted since it was leader and no longer has this
                 information.
         """
         if vm in self._unconfirmed:
             self._unconfirmed.discard(vm)
-            if longer is not None:
+            if extended_seconds is not None:
                 self._without_report.discard(vm)
                 self._extended_grants_until = max(
-                    self._extended_grants_until, now + longer
+                    self._extended_grants_until, now + extended_seconds
                 )
             if not self._unconfirmed:
-                self.stopped(now)
+                self.record_stopped(now)
 
     def testify(
         self,
@@ -128,14 +130,14 @@
         self._stop_bound = min(self._stop_bound, bound)
         self._stopped_by = min(self._stopped_by, bound)
 
-    def lapse(self, hold: float = 0.0) -> float:
+    def grants_expire_at(self, usual_hold: float = 0.0) -> float:
         """Returns the time at which all their grants have expired.
 
         Args:
-            hold: Duration of their usual grants in seconds, if longer than the
-                configured one.
+            usual_hold: Duration of their usual grants in seconds, if longer
+                than the configured one.
         """
-        usual = max(self._usual_hold, hold)
+        usual = max(self._usual_hold, usual_hold)
         extended_grants_until = self._extended_grants_until
         all_reported = self._had_leaders and not self._without_report
         usual_only = (
@@ -147,7 +149,7 @@
             expired = self._expired_after(self._extended_until, usual)
             extended_grants_until = max(extended_grants_until, expired)
         longest = usual if usual_only else max(self._longest_hold, usual)
-        earliest = leadership.lapsed_at(self._stopped_by, longest)
+        earliest = leadership.grant_expiry(self._stopped_by, longest)
         latest = self._expired_after(self._stop_bound, usual)
         return min(latest, max(earliest, extended_grants_until))
 
@@ -158,4 +160,4 @@
         the drift of the target's clock.
         """
         drift = max(self._longest_hold - usual, 0.0) * leadership.CLOCK_DRIFT
-        return leadership.lapsed_at(until, usual) + drift
+        return leadership.grant_expiry(until, usual) + drift
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/freshness.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/freshness.py
@@ -24,7 +24,7 @@
         """The time, None if the view was never complete."""
         return None if self._at == -math.inf else self._at
 
-    def note(self, at: float) -> None:
+    def record(self, at: float) -> None:
         """Records that the view was complete at a time."""
         self._at = max(self._at, at)
 
@@ -41,24 +41,26 @@
     however long the request or the response was in transit.
     """
 
-    __slots__ = ("_arrived", "_asked", "_peer_clock")
+    __slots__ = ("_received_at", "_sent_at", "_peer_clock")
 
-    def __init__(self, there: float, asked: float, arrived: float) -> None:
+    def __init__(
+        self, peer_clock: float, sent_at: float, received_at: float
+    ) -> None:
         """Creates a stamp from one exchange with a peer.
 
         Args:
-            there: The peer's clock when it made its response.
-            asked: The local clock when the request was sent.
-            arrived: The local clock when the response arrived.
+            peer_clock: The peer's clock when it made its response.
+            sent_at: The local clock when the request was sent.
+            received_at: The local clock when the response arrived.
         """
-        self._peer_clock = there
-        self._asked = asked
-        self._arrived = arrived
+        self._peer_clock = peer_clock
+        self._sent_at = sent_at
+        self._received_at = received_at
 
     def to_peer(self, at: float) -> float:
         """Converts a local time to the peer's clock, never to a later time."""
-        return self._peer_clock + at - self._arrived
+        return self._peer_clock + at - self._received_at
 
     def from_peer(self, at: float) -> float:
         """Converts a peer's time to the local clock, never to a later time."""
-        return self._asked + at - self._peer_clock
+        return self._sent_at + at - self._peer_clock
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/leadership.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/leadership.py
@@ -25,7 +25,7 @@
 CLOCK_DRIFT = 0.02
 """Largest fraction by which a target's clock may run slow, as guaranteed by the
 platform."""
-LAPSE_MARGIN = 0.1
+EXPIRY_MARGIN_SECONDS = 0.1
 """Seconds added to the duration of a grant, for delivery within a host."""
 
 
@@ -69,17 +69,21 @@
         "replaceable",
     )
 
-    def __init__(self, span: float, unextended: float | None = None) -> None:
+    def __init__(
+        self, span: float, unextended_span: float | None = None
+    ) -> None:
         """Creates a lease that allows no orders.
 
         Args:
             span: Seconds for which one confirmation by the store is valid, with
                 the promises of all witnesses if there are witnesses.
-            unextended: Seconds for which it is valid without these promises, if
-                there are witnesses.
+            unextended_span: Seconds for which it is valid without these
+                promises, if there are witnesses.
         """
         self._span_seconds = span
-        self._unextended_seconds = span if unextended is None else unextended
+        self._unextended_seconds = (
+            span if unextended_span is None else unextended_span
+        )
         self._witnessed = False
         self._confirmed = float("-inf")
         self._extended_until = float("-inf")
@@ -106,7 +110,7 @@
         self._extended_until = max(self._extended_until, until)
 
     @property
-    def longer_until(self) -> float:
+    def extended_grants_until(self) -> float:
         """Time at which all extended grants have expired.
 
         When an outage of the store ends, grants get their usual duration again.
@@ -125,7 +129,7 @@
         return self._confirmed
 
     @property
-    def ends(self) -> float:
+    def expires_at(self) -> float:
         """Time from which no order may be given."""
         if not self._witnessed:
             return self._confirmed + self._span_seconds
@@ -137,25 +141,25 @@
         """Time at which the promises of the witnesses have expired."""
         return self._extended_until
 
-    def confirm(self, asked: float) -> None:
+    def confirm(self, sent_at: float) -> None:
         """Records that the store named this VM as leader.
 
         Args:
-            asked: Time at which the request to the store was sent, not that of
-                its response.
+            sent_at: Time at which the request to the store was sent, not that
+                of its response.
         """
-        self._confirmed = max(self._confirmed, asked)
+        self._confirmed = max(self._confirmed, sent_at)
 
-    def holds(self, now: float) -> bool:
+    def is_valid(self, now: float) -> bool:
         """Whether orders may be given."""
-        return now < self.ends
+        return now < self.expires_at
 
-    def hold_seconds(
+    def grant_seconds(
         self,
         now: float,
         arrival: float,
         usual: float,
-        most: float,
+        longest: float,
         trouble_after: float,
     ) -> float:
         """Returns the duration of a grant given now.
@@ -172,7 +176,7 @@
             now: Current time.
             arrival: Latest time at which the grant arrives.
             usual: Duration of a grant in normal operation, in seconds.
-            most: Longest duration that targets accept, in seconds.
+            longest: Longest duration that targets accept, in seconds.
             trouble_after: Seconds without a confirmation after which the store
                 counts as unreachable.
         """
@@ -180,7 +184,7 @@
             return usual
         if not self.extended if self._witnessed else self.replaceable:
             return usual
-        return max(usual, min(most, self.ends - arrival + usual))
+        return max(usual, min(longest, self.expires_at - arrival + usual))
 
 
 class RenewalPace(msgspec.Struct, frozen=True):
@@ -195,7 +199,7 @@
     hold: float
 
 
-def paced(
+def renewal_pace(
     ranges: int, usual: RenewalPace, slowest: float, orders_per_second: float
 ) -> RenewalPace:
     """Returns the pace at which a leader can renew a number of ranges.
@@ -215,7 +219,7 @@
     return RenewalPace(renew, usual.hold * renew / usual.renew)
 
 
-def lapsed_at(last_order: float, hold: float) -> float:
+def grant_expiry(last_order: float, hold: float) -> float:
     """Returns the time by which a grant has expired for certain.
 
     Args:
@@ -223,4 +227,4 @@
             was answered or its connection was reset.
         hold: Duration of the grant in seconds.
     """
-    return last_order + hold * (1 + CLOCK_DRIFT) + LAPSE_MARGIN
+    return last_order + hold * (1 + CLOCK_DRIFT) + EXPIRY_MARGIN_SECONDS
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/lease_extension.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/lease_extension.py
@@ -69,7 +69,7 @@
             else max(self._latest_until, until)
         )
 
-    def seconds(self, now: float) -> float | None:
+    def seconds_left(self, now: float) -> float | None:
         """Returns the seconds until the last promise expires.
 
         Returns None if there is no promise. The value is negative once the
@@ -79,17 +79,19 @@
         return None if self._latest_until is None else self._latest_until - now
 
 
-def chosen(able: Iterable[tuple[Witness, str]]) -> tuple[Witness, ...]:
+def choose_witnesses(
+    candidates: Iterable[tuple[Witness, str]],
+) -> tuple[Witness, ...]:
     """Returns the witnesses for a leader to name.
 
     They are spread over as many zones as possible, so that some of them survive
     the failure of one zone.
 
     Args:
-        able: VMs that may be named, each with its zone, the best first.
+        candidates: VMs that may be named, each with its zone, the best first.
     """
     by_zone: dict[str, list[Witness]] = {}
-    for witness, zone in able:
+    for witness, zone in candidates:
         by_zone.setdefault(zone, []).append(witness)
     rounds = itertools.zip_longest(*by_zone.values())
     interleaved = itertools.chain.from_iterable(rounds)
@@ -97,15 +99,15 @@
     return tuple(itertools.islice(named, WITNESSES))
 
 
-def outdated(
-    named: Sequence[Witness], present: Iterable[Witness], able: int
+def should_replace(
+    named: Sequence[Witness], present: Iterable[Witness], candidate_count: int
 ) -> bool:
     """Whether other witnesses should be named.
 
     Args:
         named: Witnesses recorded in the store.
         present: VMs that currently report.
-        able: Number of VMs that may be named.
+        candidate_count: Number of VMs that may be named.
     """
     missing = set(named) - set(present)
-    return bool(missing) or len(named) < min(able, WITNESSES)
+    return bool(missing) or len(named) < min(candidate_count, WITNESSES)
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/ranges.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/ranges.py
@@ -100,7 +100,7 @@
         index = bisect.bisect_right(self.ranges, key, key=_first_key) - 1
         return self.ranges[index]
 
-    def holders(self) -> set[Holder]:
+    def owners(self) -> set[Holder]:
         """Returns all owners."""
         return {r.owner for r in self.ranges}
 
@@ -136,7 +136,7 @@
     return item.first
 
 
-def problem(table: RangeTable) -> str:
+def find_problem(table: RangeTable) -> str:
     """Returns why a table is invalid, empty if it is valid."""
     expected = 0
     for item in table.ranges:
@@ -148,7 +148,7 @@
     return "" if expected == KEYS else f"ranges end at key {expected - 1}"
 
 
-def initial(
+def initial_table(
     service: str, weights: Mapping[Holder, float], commit: str
 ) -> RangeTable:
     """Returns the first table of a service, with widths by weight.
@@ -215,20 +215,22 @@
     return (p for p in pieces if p.first <= p.last), fence
 
 
-def settle(
-    table: RangeTable, settled: Mapping[Piece, Iterable[int]], commit: str
+def remove_released(
+    table: RangeTable,
+    released_fences: Mapping[Piece, Iterable[int]],
+    commit: str,
 ) -> RangeTable:
     """Returns the table without former owners that hold nothing any more.
 
     Args:
         table: Table to change.
-        settled: Fences of the former owners that have released their keys, by
-            piece.
+        released_fences: Fences of the former owners that have released their
+            keys, by piece.
         commit: Identifier of the change.
     """
 
     def without_released(item: Range) -> Range:
-        released = set(settled.get(item.piece, ()))
+        released = set(released_fences.get(item.piece, ()))
         if not released:
             return item
         remaining = tuple(f for f in item.formers if f.fence not in released)
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/rebalance.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/rebalance.py
@@ -142,7 +142,7 @@
 def evacuate(
     table: ranges.RangeTable,
     capacity: Mapping[ranges.Holder, float],
-    heat: Mapping[int, float],
+    requests: Mapping[int, float],
     lost: Iterable[ranges.Holder],
 ) -> list[ranges.Move]:
     """Returns moves that take all keys from the given targets.
@@ -150,7 +150,7 @@
     Args:
         table: Current table.
         capacity: Capacity of each target that stays.
-        heat: Requests by key.
+        requests: Requests by key.
         lost: Targets whose keys need another owner.
     """
     evacuated = set(lost)
@@ -159,18 +159,18 @@
     }
     if not staying:
         return []
-    balance = _Balance(table, staying, heat)
+    balance = _Balance(table, staying, requests)
     pieces = (
         _Piece(
             r.first,
             r.last,
             r.owner,
-            [(k, h) for k, h in heat.items() if r.first <= k <= r.last],
+            [(k, h) for k, h in requests.items() if r.first <= k <= r.last],
         )
         for r in table.ranges
         if r.owner in evacuated
     )
-    width_load = sum(heat.values()) / ranges.KEYS
+    width_load = sum(requests.values()) / ranges.KEYS
     moves = []
     for piece in sorted(pieces, key=lambda p: p.load, reverse=True):
         to = balance.emptiest(piece.owner)
@@ -247,7 +247,7 @@
 def spread(
     table: ranges.RangeTable,
     capacity: Mapping[ranges.Holder, float],
-    heat: Mapping[int, float],
+    requests: Mapping[int, float],
     policy: Policy,
 ) -> list[ranges.Move]:
     """Returns moves from the most loaded targets to the least loaded.
@@ -255,10 +255,10 @@
     Args:
         table: Current table.
         capacity: Capacity of each target that may own keys, in any common unit.
-        heat: Requests by key.
+        requests: Requests by key.
         policy: Thresholds for moves.
     """
-    balance = _Balance(table, capacity, heat)
+    balance = _Balance(table, capacity, requests)
     spare_ranges = int(policy.most_ranges * len(capacity)) - len(table.ranges)
     moves: list[ranges.Move] = []
     while len(moves) < policy.most_moves:
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/successors.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/successors.py
@@ -37,20 +37,20 @@
         self._asked = ()
         self._asked_at = float("-inf")
 
-    def next(self, able: Sequence[str], now: float) -> tuple[str, ...]:
+    def next(self, candidates: Sequence[str], now: float) -> tuple[str, ...]:
         """Returns the VMs to ask now, none while the last ones have time.
 
         Args:
-            able: VMs that report access to the store, the best first.
+            candidates: VMs that report access to the store, the best first.
             now: Current time.
         """
         if now - self._asked_at < _RESPONSE_SECONDS:
             return ()
-        remaining = [vm for vm in able if vm not in self._asked]
+        remaining = [vm for vm in candidates if vm not in self._asked]
         if not remaining:
             # All were asked without success; some may reach the store again.
             self._asked = ()
-            remaining = list(able)
+            remaining = list(candidates)
         chosen = tuple(remaining[:_CONCURRENT_REQUESTS])
         if chosen:
             self._asked += chosen
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/unowned_ranges.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/unowned_ranges.py
@@ -34,23 +34,24 @@
 
     __slots__ = ("_crash_seconds", "_longest_seconds", "_unowned")
 
-    def __init__(self, lapse: float, longest: float) -> None:
+    def __init__(self, crash_seconds: float, longest_seconds: float) -> None:
         """Creates a record without unowned ranges.
 
         Args:
-            lapse: Seconds for which keys of a crashed target have no owner.
-            longest: The same if the leader was lost as well.
+            crash_seconds: Seconds for which keys of a crashed target have no
+                owner.
+            longest_seconds: The same if the leader was lost as well.
         """
-        self._crash_seconds = lapse
-        self._longest_seconds = longest
+        self._crash_seconds = crash_seconds
+        self._longest_seconds = longest_seconds
         self._unowned: dict[str, list[_UnownedRange]] = {}
 
-    def take(self, known: assignments.Assignment, now: float) -> None:
+    def update(self, assignment: assignments.Assignment, now: float) -> None:
         """Updates the unowned ranges of a service from its assignment."""
-        earlier = self._unowned.get(known.service, [])
+        earlier = self._unowned.get(assignment.service, [])
         unowned: list[_UnownedRange] = []
         index = 0
-        for span in known.spans():
+        for span in assignment.spans():
             if span.owner:
                 continue
             # Both lists are in order of keys.
@@ -60,7 +61,7 @@
                 span, itertools.islice(earlier, index, None), now
             )
             unowned.append(_UnownedRange(span.first, span.last, since))
-        self._unowned[known.service] = unowned
+        self._unowned[assignment.service] = unowned
 
     def seconds(self, service: str, key: int, now: float) -> float:
         """Returns the seconds until a key can be expected to have an owner.
@@ -72,20 +73,20 @@
         """
         for unowned_range in self._unowned.get(service, ()):
             if unowned_range.first <= key <= unowned_range.last:
-                return self.expected(now - unowned_range.since)
+                return self.expected_seconds(now - unowned_range.since)
         return 0.0
 
-    def expected(self, gone: float) -> float:
+    def expected_seconds(self, unowned_seconds: float) -> float:
         """Returns the seconds until unowned keys should have an owner.
 
         Args:
-            gone: Seconds for which they have had none.
+            unowned_seconds: Seconds for which they have had none.
         """
-        if gone < _HANDOVER_SECONDS:
+        if unowned_seconds < _HANDOVER_SECONDS:
             return 0.0
-        if gone < self._crash_seconds:
-            return self._crash_seconds - gone
-        return max(self._longest_seconds - gone, _HANDOVER_SECONDS)
+        if unowned_seconds < self._crash_seconds:
+            return self._crash_seconds - unowned_seconds
+        return max(self._longest_seconds - unowned_seconds, _HANDOVER_SECONDS)
 
 
 def _unowned_since(
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/cluster_state.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/cluster_state.py
@@ -128,7 +128,7 @@
         self.directory = directory.Directory(grace, grace * _LATE_SHARE)
         self.assignments: dict[str, assignments.Assignment] = {}
         hold = configured.leader.hold
-        lapse = leadership.lapsed_at(0.0, hold)
+        lapse = leadership.grant_expiry(0.0, hold)
         self._vacancies = unowned_ranges.UnownedRanges(
             lapse, configured.leader.authority + lapse
         )
@@ -190,7 +190,7 @@
             source: From whom it comes, for the log.
         """
         former = self.version
-        if not self._configurations.take(new):
+        if not self._configurations.add(new):
             return False
         self.route_table = routes.RouteTable(new.routes)
         self.shares.keep(new.routes)
@@ -555,7 +555,7 @@
 
     def end_target(self, target: str, born: int) -> None:
         """Notes proof that a run of a target is over."""
-        if self.directory.end(target, born, self._clock.now()):
+        if self.directory.record_end(target, born, self._clock.now()):
             self._events.write(
                 "targets", "target_ended", target=target, born=born
             )
@@ -576,7 +576,7 @@
             self.vanished_since(self.registrations.at),
         )
         self.seen = max(self.seen, revision)
-        self.directory.forget(now, _FORGET_SECONDS)
+        self.directory.drop_vanished(now, _FORGET_SECONDS)
         self.limits.forget_except(
             {entry.target.id: entry.target.born for entry in self.directory}
         )
@@ -595,7 +595,7 @@
         if known is not None and new.version <= known.version:
             return False
         self.assignments[new.service] = new
-        self._vacancies.take(new, self._clock.now())
+        self._vacancies.update(new, self._clock.now())
         self.signal()
         return True
 
@@ -640,12 +640,12 @@
                 messages.TargetUpdate(
                     msgspec.structs.replace(entry.target, warm_at=0.0),
                     entry.revision,
-                    entry.standing is directory.TargetStatus.MISSING,
+                    entry.status is directory.TargetStatus.MISSING,
                     max(entry.target.warm_at - now, 0.0),
                     now - entry.since,
                 )
                 for entry in changed
-                if entry.standing is not directory.TargetStatus.ENDED
+                if entry.status is not directory.TargetStatus.ENDED
             ),
             newer if isinstance(newer, routes.Configuration) else None,
             newer if isinstance(newer, configurations.Change) else None,
@@ -715,14 +715,14 @@
             configuration_at: When both were the newest, None if unknown.
         """
         if seen_at is not None and seen <= self.seen:
-            self.registrations.note(seen_at)
+            self.registrations.record(seen_at)
         present = self.evacuations
         same = evacuations.zones == present.zones
         known = configuration <= self.version and (
             same or evacuations.revision <= present.revision
         )
         if configuration_at is not None and known:
-            self.operated.note(configuration_at)
+            self.operated.record(configuration_at)
 
     @property
     def registrations_age(self) -> float | None:
@@ -813,13 +813,13 @@
         now = self._clock.now()
         owner = self.owner(service, key)
         entry = self.directory.get(owner) if owner else None
-        leaves = entry and entry.standing is directory.TargetStatus.LEAVING
+        leaves = entry and entry.status is directory.TargetStatus.LEAVING
         if leaves and not self.store_ok:
             # Tables are kept there: its keys stay where they are.
             return _STORE_AWAY_SECONDS
         if entry is not None:
             # Its owner has vanished, and the leader has not moved it yet.
-            return self._vacancies.expected(now - entry.since)
+            return self._vacancies.expected_seconds(now - entry.since)
         return self._vacancies.seconds(service, key, now)
 
     def versions(self) -> dict[str, assignments.Version]:
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/daemon.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/daemon.py
@@ -357,8 +357,7 @@
             "leader": msgspec.to_builtins(known.leader),
             "vms": sorted(known.vms),
             "targets": {
-                entry.target.id: entry.standing.value
-                for entry in known.directory
+                entry.target.id: entry.status.value for entry in known.directory
             },
             "assignments": known.versions(),
             "evacuated_zones": known.evacuations.zones,
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/dissemination.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/dissemination.py
@@ -321,7 +321,7 @@
     def publish(self, present: assignments.Assignment) -> None:
         """Has VMs told of an assignment, unless it says what they know."""
         known = self._beliefs.assignments.get(present.service)
-        if known is not None and assignments.same(known, present):
+        if known is not None and assignments.have_same_owners(known, present):
             return
         self._beliefs.take_assignment(present)
         self._told[present.service, present.version] = present
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
@@ -265,7 +265,7 @@
     async def _forward(self, call: pending.Call) -> http_server.Outgoing:
         last: errors.Failure | None = None
         while True:
-            if self._casualties.held(call.fingerprint, self._clock.now()):
+            if self._casualties.is_held(call.fingerprint, self._clock.now()):
                 held = errors.Failure(errors.ErrorKind.HELD_BACK)
                 failure = _final(call, last, held)
                 return self._refused(call, call.incoming, failure)
@@ -333,7 +333,7 @@
         now = self._clock.now()
         entry = self._beliefs.directory.get(target.id)
         return pending.Basis(
-            entry.standing.value if entry else "",
+            entry.status.value if entry else "",
             round(now - entry.since, 3) if entry else 0.0,
             _rounded(self._beliefs.registrations_age),
             _rounded(self._beliefs.configuration_age),
@@ -357,7 +357,7 @@
         """Notes that a target takes no connection."""
         now = self._clock.now()
         self._rooms.load(target.id).unreachable(now)
-        deaths = self._casualties.unreachable(
+        deaths = self._casualties.confirm_crashes(
             target.id, now, self._clock.new_id()
         )
         if deaths:
@@ -535,7 +535,7 @@
         now = self._clock.now()
         load = self._rooms.load(target.id)
         if isinstance(sent, result.Ok):
-            self._casualties.answered(target.id)
+            self._casualties.record_response(target.id)
             self._peers.answered(target.id)
             answer = sent.ok_value
             if answer.status < 500 and answer.rest is None:
@@ -565,7 +565,7 @@
         if call.key is not None and failure.kind in _CROWDED:
             self._peers.turned_away(target.id)
         if failure.kind is errors.ErrorKind.ANSWER_LOST:
-            self._casualties.lost(target.id, call.fingerprint, now)
+            self._casualties.record_loss(target.id, call.fingerprint, now)
         self._events.write(
             "requests",
             "send_failed",
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/grant_reconciliation.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/grant_reconciliation.py
@@ -155,7 +155,7 @@
     @property
     def _formers_lapse(self) -> float:
         """Time at which all grants of former leaders have run out."""
-        return self._formers.lapse(self._table_hold)
+        return self._formers.grants_expire_at(self._table_hold)
 
     @property
     def _hold(self) -> float:
@@ -353,17 +353,17 @@
                 continue
             # The order may wait on its way, and must not arrive later.
             late = self._settings.leader.order_timeout + self._held_up(holder)
-            if not self._authority.holds(now + late):
+            if not self._authority.is_valid(now + late):
                 self._events.write(
                     "grants",
                     "authority_ended",
                     target=holder.id,
-                    since=round(now - self._authority.ends, 2),
+                    since=round(now - self._authority.expires_at, 2),
                 )
                 await asyncio.sleep(_RETRY_SECONDS)
                 continue
             async with self._sending:
-                if not self._authority.holds(self._clock.boot() + late):
+                if not self._authority.is_valid(self._clock.boot() + late):
                     continue
                 await self._grant(holder, owner, state)
 
@@ -389,7 +389,7 @@
         configured = self._settings.leader
         sent = self._clock.boot()
         latest = sent + configured.order_timeout + self._held_up(holder)
-        hold = self._authority.hold_seconds(
+        hold = self._authority.grant_seconds(
             sent,
             latest,
             self._hold,
@@ -404,7 +404,7 @@
         if hold > self._hold:
             # Before it can arrive: a leader that is replaced meanwhile is
             # asked how long its grants last.
-            self._authority.note_longer(leadership.lapsed_at(latest, hold))
+            self._authority.note_longer(leadership.grant_expiry(latest, hold))
         self._exposures.setdefault(holder, []).append(exposure)
         order = ports.GrantOrder(
             item.first, item.last, item.fence, hold, state.handover
@@ -416,13 +416,13 @@
         finally:
             # Answered, or its connection was reset.
             now = self._clock.boot()
-            exposure.until = leadership.lapsed_at(now, hold)
+            exposure.until = leadership.grant_expiry(now, hold)
             exposure.until += self._held_up(holder)
             if hold > self._hold:
                 self._authority.note_longer(exposure.until)
         current = self._states.get(item.piece) is state
         if isinstance(answer, result.Ok):
-            exposure.until = leadership.lapsed_at(now, hold)
+            exposure.until = leadership.grant_expiry(now, hold)
             self._hear(holder, answer.ok_value)
             self._granted(holder, owner, state, sent, current)
             return
@@ -525,7 +525,7 @@
                 how = "run ended"
             elif now >= lapse:
                 how = "lapsed"
-            elif self._authority.holds(now):
+            elif self._authority.is_valid(now):
                 tries += 1
                 timeout = min(_RELEASE_TRY_SECONDS * tries, lapse - now)
                 answer = await self._orders.release(
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/leader_role.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/leader_role.py
@@ -347,7 +347,7 @@
         if not entry.unsure:
             # There was none, or it was an earlier run of this daemon, whose
             # longer grants may still last.
-            self._formers.stopped(now)
+            self._formers.record_stopped(now)
         self._formers.testify(
             self._witness.identity, self._witness.promised(), now
         )
@@ -424,7 +424,7 @@
             return
         keyed = self._new_keyed(table, item.revision)
         self._services[table.service] = keyed
-        for owner in table.holders():
+        for owner in table.owners():
             self._beliefs.directory.learn_run(
                 owner.id, owner.born, owner.address, self._clock.now()
             )
@@ -486,7 +486,7 @@
         vm = report.vm
         boot = self._clock.boot()
         # A VM that reports here does not lead itself.
-        self._formers.follows(vm.id, boot, report.longer)
+        self._formers.record_follower(vm.id, boot, report.longer)
         if report.epoch >= self._entry.epoch:
             witness = lease_extension.Witness(vm.id, vm.boot)
             self._formers.testify(witness, report.promised, boot)
@@ -515,7 +515,7 @@
         seen = self._clock.boot()
         self._alive_at.update(dict.fromkeys(report.alive, seen))
         for death in report.deaths:
-            self._casualties.learn(death, now)
+            self._casualties.record_crash(death, now)
         for ended in report.ended:
             self._beliefs.end_target(ended.target, ended.born)
         for miss in report.misses:
@@ -541,7 +541,7 @@
             configuration=self._beliefs.version,
             configuration_seen=self._beliefs.configuration_seen,
             store=self._informed(fresh),
-            deaths=self._casualties.deaths(now),
+            deaths=self._casualties.crashes(now),
             watchers=self._watchers(fresh),
             vms=len(fresh),
             take_over=vm.id in self._succession.asked,
@@ -595,7 +595,9 @@
     def _formers_lapse(self) -> float:
         """Time at which all grants of former leaders have run out."""
         tables = (keyed.table for keyed in self._services.values())
-        return self._formers.lapse(max((t.hold for t in tables), default=0.0))
+        return self._formers.grants_expire_at(
+            max((t.hold for t in tables), default=0.0)
+        )
 
     def longer_grants(self) -> float | None:
         """Returns how long grants that this VM has made longer may last.
@@ -606,7 +608,7 @@
 
     def _longer_seconds(self) -> float:
         """Returns how long longer grants may last, former leaders' included."""
-        until = max(self._authority.longer_until, self._formers_lapse)
+        until = max(self._authority.extended_grants_until, self._formers_lapse)
         return max(until - self._clock.boot(), 0.0)
 
     def _watchers(
@@ -682,7 +684,7 @@
         self._serial += 1
         for keyed in self._services.values():
             self._telling.publish(
-                assignments.of_table(
+                assignments.from_table(
                     keyed.table,
                     (entry.epoch, self._serial),
                     keyed.granting.ready(),
@@ -700,7 +702,7 @@
             reached = self._store_failing_since is None
             if self._witnesses is not None and reached:
                 clear_at = max(
-                    self._formers_lapse, self._authority.longer_until
+                    self._formers_lapse, self._authority.extended_grants_until
                 )
                 await self._witnesses.name(self._revision, clear_at)
 
@@ -814,7 +816,7 @@
         if now - newest < configured.settle and waited < configured.settle_most:
             return
         weights = {planning.holder(t): float(t.slots) for t in targets}
-        table = ranges.initial(service, weights, self._clock.new_id())
+        table = ranges.initial_table(service, weights, self._clock.new_id())
         keyed = self._new_keyed(table, 0)
         await self._commit(keyed, table)
 
@@ -831,7 +833,7 @@
         entry = self._entry
         if entry is None:
             return False
-        wrong = ranges.problem(table)
+        wrong = ranges.find_problem(table)
         if wrong:
             self._events.write(
                 "leader", "table_refused", service=table.service, why=wrong
@@ -895,7 +897,7 @@
     ) -> None:
         fresh = keyed.table.next_fence
         stale = {item.owner for item in table.ranges if item.fence < fresh}
-        renewed = table.holders() - stale
+        renewed = table.owners() - stale
         keyed.table = table
         keyed.revision = revision
         self._services[table.service] = keyed
@@ -940,5 +942,5 @@
     table: ranges.RangeTable, settled: Mapping[ranges.Piece, Iterable[int]]
 ) -> ranges.RangeTable:
     """Drops settled formers of pieces that a change has left as they were."""
-    cleaned = ranges.settle(table, settled, table.commit)
+    cleaned = ranges.remove_released(table, settled, table.commit)
     return msgspec.structs.replace(cleaned, version=table.version)
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
@@ -420,7 +420,7 @@
                 table = messages.decode(item.value, ranges.RangeTable)
                 every = {part.piece for part in table.ranges}
                 self._beliefs.take_assignment(
-                    assignments.of_table(table, (0, table.version), every)
+                    assignments.from_table(table, (0, table.version), every)
                 )
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             self._events.write(
@@ -667,7 +667,7 @@
         self._leader.hear(reply)
         self._vms = reply.vms
         for death in reply.deaths:
-            self._casualties.learn(death, now)
+            self._casualties.record_crash(death, now)
         if reply.stamp is not None:
             self._stamp = freshness.ClockOffset(
                 reply.stamp, self._reported_at, now
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/planning.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/planning.py
@@ -158,7 +158,7 @@
         present = {target.id: holder(target) for target in targets}
         renewed = {
             owner: present[owner.id]
-            for owner in keyed.table.holders()
+            for owner in keyed.table.owners()
             if owner.id in present
             and (
                 present[owner.id] != owner or keyed.granting.needs_fence(owner)
@@ -337,7 +337,7 @@
         now: float,
     ) -> list[ranges.Holder]:
         """Returns owners that need to be relieved of all keys."""
-        owners = keyed.table.holders()
+        owners = keyed.table.owners()
         silent = {o for o in owners if keyed.granting.silent(o)}
         if len(silent) * 2 > len(owners) and len(owners) > 1:
             # It is this VM that is cut off, not most of the targets.
@@ -359,7 +359,9 @@
         if not settled or now - self._settled_at < _SETTLE_PAUSE:
             return None
         self._settled_at = now
-        return ranges.settle(keyed.table, settled, self._clock.new_id())
+        return ranges.remove_released(
+            keyed.table, settled, self._clock.new_id()
+        )
 
     def _joined(self, keyed: KeyedService) -> ranges.RangeTable | None:
         now = self._clock.now()
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/settings.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/settings.py
@@ -153,7 +153,7 @@
 
     def pace(self, ranges: int) -> leadership.RenewalPace:
         """Returns the pace of renewals for a number of ranges."""
-        return leadership.paced(
+        return leadership.renewal_pace(
             ranges,
             leadership.RenewalPace(self.renew, self.hold),
             self.renew_slowest,
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/store_watching.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/store_watching.py
@@ -172,7 +172,7 @@
                     continue
                 listing, asked = found
                 listed(listing)
-                view.note(asked)
+                view.record(asked)
             await self._follow_from(prefix, seen, view, changed)
             lost = True
 
@@ -242,7 +242,7 @@
                 waited = self._clock.now() - asked >= wait
                 # The store has answered a watch that brings nothing at the
                 # end of its wait, which began when it arrived there.
-                view.note(asked + (wait if waited and not moved else 0.0))
+                view.record(asked + (wait if waited and not moved else 0.0))
                 if moved:
                     await asyncio.sleep(self._settings.watch_pause)
                 continue
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/witnessing.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/witnessing.py
@@ -75,7 +75,7 @@
 
     def promised(self) -> float | None:
         """Returns the seconds until the last promise ends, None for none."""
-        return self._promises.seconds(self._clock.boot())
+        return self._promises.seconds_left(self._clock.boot())
 
     async def answer(
         self, request: messages.ExtensionRequest
@@ -205,12 +205,14 @@
         able = self._able()
         present = {_identity(vm) for vm in able}
         record = self._record
-        if record and not lease_extension.outdated(
+        if record and not lease_extension.should_replace(
             record.witnesses, present, len(present)
         ):
             return
         self._named_at = now
-        chosen = lease_extension.chosen((_identity(vm), vm.zone) for vm in able)
+        chosen = lease_extension.choose_witnesses(
+            (_identity(vm), vm.zone) for vm in able
+        )
         if not chosen:
             return
         await self._write(
--- a/packages/mimosastile-standins/src/mimosastile_standins/platform_demo.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/platform_demo.py
@@ -81,4 +81,4 @@
 def _owners(world: platform_world.World) -> set[str]:
     raw = world.store.value(messages.table_key(platform_world.KEYED)) or b""
     table = messages.decode(raw, ranges.RangeTable)
-    return {holder.id for holder in table.holders()}
+    return {holder.id for holder in table.owners()}
--- a/tests/gateway/test_assignments.py
+++ b/tests/gateway/test_assignments.py
@@ -57,6 +57,6 @@
         """Keys in a handover have no owner to route to."""
         holder = ranges.Holder("t1", 1, "t1:80")
         other = ranges.Holder("t2", 1, "t2:80")
-        table = ranges.initial("s", {holder: 1.0, other: 1.0}, "c")
-        updated = assignments.of_table(table, (4, 7), {table.ranges[1].piece})
+        table = ranges.initial_table("s", {holder: 1.0, other: 1.0}, "c")
+        updated = assignments.from_table(table, (4, 7), {table.ranges[1].piece})
         assert (updated.owner(0), updated.owner(65535)) == ("", "t2")
--- a/tests/gateway/test_cluster_state.py
+++ b/tests/gateway/test_cluster_state.py
@@ -53,7 +53,7 @@
             leaving = fakes.target("a", leaving=True, revision=6)
             known.take_news(_news(5, 9, leaving))
             assert known.seen == 9
-            standing = known.directory.get("a").standing
+            standing = known.directory.get("a").status
             assert standing is directory.TargetStatus.LEAVING
 
         _play(check)
--- a/tests/gateway/test_configurations.py
+++ b/tests/gateway/test_configurations.py
@@ -100,9 +100,9 @@
     def test_takes_newer_only(self):
         """An older version never replaces a newer one."""
         history = configurations.History(4)
-        assert history.take(_version(2, "a"))
-        assert not history.take(_version(2, "b"))
-        assert not history.take(_version(1, "b"))
+        assert history.add(_version(2, "a"))
+        assert not history.add(_version(2, "b"))
+        assert not history.add(_version(1, "b"))
         assert history.present == _version(2, "a")
 
     @pytest.mark.parametrize(
@@ -119,13 +119,13 @@
         """VMs far behind get the whole version; current ones get nothing."""
         history = configurations.History(3)
         for number in range(1, 6):
-            history.take(_version(number, "a", f"r-{number}"))
+            history.add(_version(number, "a", f"r-{number}"))
         assert isinstance(history.since(known), kind)
 
     def test_equal_routes_are_shared(self):
         """Versions share their equal routes."""
         history = configurations.History(3)
-        history.take(_version(1, "a", "b"))
+        history.add(_version(1, "a", "b"))
         first = history.present.routes[0]
-        history.take(_version(2, "a", "c"))
+        history.add(_version(2, "a", "c"))
         assert history.present.routes[0] is first
--- a/tests/gateway/test_crash_detection.py
+++ b/tests/gateway/test_crash_detection.py
@@ -8,8 +8,8 @@
 def _crash(detector, request, count, begin=0.0):
     for number in range(count):
         at = begin + number
-        detector.lost(f"t{number}", request, at)
-        detector.unreachable(f"t{number}", at + 0.1, f"id{at}")
+        detector.record_loss(f"t{number}", request, at)
+        detector.confirm_crashes(f"t{number}", at + 0.1, f"id{at}")
 
 
 class TestHeld:
@@ -26,8 +26,8 @@
         """
         detector = crash_detection.CrashDetector()
         _crash(detector, "r", count)
-        assert detector.held("r", 5.0) is held
-        assert not detector.held("other", 5.0)
+        assert detector.is_held("r", 5.0) is held
+        assert not detector.is_held("other", 5.0)
 
     def test_responses_lost_in_transit(self):
         """Targets lose a third of their responses but stay up.
@@ -36,18 +36,18 @@
         """
         detector = crash_detection.CrashDetector()
         for number in range(50):
-            detector.lost("t1", "r", number * 0.1)
-            detector.answered("t1")
-            detector.unreachable("t1", number * 0.1, str(number))
-        assert not detector.held("r", 5.0)
+            detector.record_loss("t1", "r", number * 0.1)
+            detector.record_response("t1")
+            detector.confirm_crashes("t1", number * 0.1, str(number))
+        assert not detector.is_held("r", 5.0)
 
     def test_crash_long_after(self):
         """A target crashes for another reason seconds after a lost response."""
         detector = crash_detection.CrashDetector()
         for number in range(5):
-            detector.lost(f"t{number}", "r", 0.0)
-            assert detector.unreachable(f"t{number}", 4.0, "x") == []
-        assert not detector.held("r", 5.0)
+            detector.record_loss(f"t{number}", "r", 0.0)
+            assert detector.confirm_crashes(f"t{number}", 4.0, "x") == []
+        assert not detector.is_held("r", 5.0)
 
     def test_crashes_observed_by_other_vms(self):
         """The request arrives at another VM each time."""
@@ -56,13 +56,13 @@
             crash_detection.CrashDetector(),
         )
         _crash(detector, "r", 3)
-        for death in detector.deaths(5.0):
-            other.learn(death, 5.0)
-        assert other.held("r", 5.0)
+        for death in detector.crashes(5.0):
+            other.record_crash(death, 5.0)
+        assert other.is_held("r", 5.0)
 
     def test_expires(self):
         """Memory does not grow, and a caller may try again later."""
         detector = crash_detection.CrashDetector()
         _crash(detector, "r", 3)
-        assert not detector.held("r", 70.0)
-        assert detector.deaths(70.0) == ()
+        assert not detector.is_held("r", 70.0)
+        assert detector.crashes(70.0) == ()
--- a/tests/gateway/test_directory.py
+++ b/tests/gateway/test_directory.py
@@ -104,7 +104,7 @@
         """Memory does not grow with every target that ever registered."""
         entries = _directory(_target())
         entries.remove("t1", 1.0)
-        entries.forget(20.0, 30.0)
+        entries.drop_vanished(20.0, 30.0)
         assert entries.get("t1")
-        entries.forget(32.0, 30.0)
+        entries.drop_vanished(32.0, 30.0)
         assert entries.get("t1") is None
--- a/tests/gateway/test_former_leaders.py
+++ b/tests/gateway/test_former_leaders.py
@@ -53,7 +53,7 @@
         leaders = _former_leaders()
         for witness, promised in reports:
             leaders.testify(witness, promised, 0.0)
-        assert leaders.lapse() == pytest.approx(expires, abs=0.01)
+        assert leaders.grants_expire_at() == pytest.approx(expires, abs=0.01)
 
     def test_expired_promise(self):
         """Guards against ignoring grants once the promise has expired.
@@ -62,20 +62,20 @@
         under the promise.
         """
         leaders = _former_leaders()
-        leaders.stopped(1.0)
+        leaders.record_stopped(1.0)
         leaders.testify(W1, 3.0, 0.0)
         leaders.testify(W1, -2.0, 5.0)
-        assert leaders.lapse() == pytest.approx(5.3, abs=0.01)
+        assert leaders.grants_expire_at() == pytest.approx(5.3, abs=0.01)
 
     def test_reports_of_leader_and_witness(self):
         """The former leader reports as a follower; its grants were usual."""
         leaders = _former_leaders()
         leaders.testify(W1, None, 0.5)
-        leaders.follows("vm-0", 1.0, None)
-        assert leaders.lapse() == pytest.approx(3.14, abs=0.01)
+        leaders.record_follower("vm-0", 1.0, None)
+        assert leaders.grants_expire_at() == pytest.approx(3.14, abs=0.01)
 
     def test_restarted_leader_without_record(self):
         """Guards against ignoring the extended grants of a restarted leader."""
         leaders = _former_leaders()
-        leaders.follows("vm-0", 1.0, None)
-        assert leaders.lapse() == pytest.approx(11.3, abs=0.01)
+        leaders.record_follower("vm-0", 1.0, None)
+        assert leaders.grants_expire_at() == pytest.approx(11.3, abs=0.01)
--- a/tests/gateway/test_freshness.py
+++ b/tests/gateway/test_freshness.py
@@ -24,7 +24,7 @@
         """Guards against a late response that makes a view look older."""
         view = freshness.Freshness()
         for at in times:
-            view.note(at)
+            view.record(at)
         assert view.age(now) == age
 
 
--- a/tests/gateway/test_grant_reconciliation.py
+++ b/tests/gateway/test_grant_reconciliation.py
@@ -43,7 +43,7 @@
             self.alive_at,
             lambda: None,
         )
-        self.table = ranges.initial("s", {A: 1.0, B: 1.0}, "c1")
+        self.table = ranges.initial_table("s", {A: 1.0, B: 1.0}, "c1")
         self.granting.follow(self.table)
 
     def move(self, first, last, to):
@@ -156,7 +156,7 @@
             await asyncio.sleep(10.0)
             grants = [o for kind, n, o in rig.orders.log if kind == "grant"]
             assert {order.hold for order in grants[3:]} == {4.0}
-            by_target = len(grants) / len(rig.table.holders())
+            by_target = len(grants) / len(rig.table.owners())
             assert 9 <= by_target <= 13
             rig.granting.stop()
 
@@ -457,8 +457,8 @@
         """
         silence = former_leaders.FormerLeaders(10.0, ("vm-0",), calm, 2.0, 10.0)
         if known is not None:
-            silence.stopped(known)
-        assert silence.lapse() == pytest.approx(expected, abs=0.01)
+            silence.record_stopped(known)
+        assert silence.grants_expire_at() == pytest.approx(expected, abs=0.01)
 
     def test_new_leader_waits_for_the_former_one(self):
         """Keys of a silent target are given away by a new leader.
--- a/tests/gateway/test_leader_role.py
+++ b/tests/gateway/test_leader_role.py
@@ -77,7 +77,7 @@
             store, orders, (one,) = _world("vm-1")
             assert await one.leading.take_over("test")
             await _until(lambda: _owned(orders, 0) and _owned(orders, 65535))
-            assert ranges.problem(_stored(store)) == ""
+            assert ranges.find_problem(_stored(store)) == ""
             one.leading.step_down("end")
 
         virtual.run(main())
@@ -623,7 +623,7 @@
             store.loses = True
             one.beliefs.take_target(fakes.target("a", leaving=True))
             await _until(
-                lambda: "a" not in {h.id for h in _stored(store).holders()}
+                lambda: "a" not in {h.id for h in _stored(store).owners()}
             )
             await _until(
                 lambda: all(
--- a/tests/gateway/test_leadership.py
+++ b/tests/gateway/test_leadership.py
@@ -24,17 +24,17 @@
 
         Meanwhile another leader may have given its keys away.
         """
-        assert _confirmed(0.0).holds(at) is holds
+        assert _confirmed(0.0).is_valid(at) is holds
 
     def test_no_orders_before_the_first_confirmation(self):
         """A VM that was never named as leader may give no orders."""
-        assert not leadership.LeaderLease(SPAN).holds(0.0)
+        assert not leadership.LeaderLease(SPAN).is_valid(0.0)
 
     def test_late_response_does_not_shorten_the_lease(self):
         """Responses that arrive out of order never shorten the lease."""
         lease = _confirmed(5.0)
         lease.confirm(3.0)
-        assert lease.ends == 15.0
+        assert lease.expires_at == 15.0
 
 
 class TestHold:
@@ -50,19 +50,19 @@
         No VM can take over before the store is back. With usual grants,
         requests for all keys would be refused after two seconds.
         """
-        hold = _confirmed(0.0).hold_seconds(now, now, USUAL, MOST, TROUBLE)
+        hold = _confirmed(0.0).grant_seconds(now, now, USUAL, MOST, TROUBLE)
         assert hold == pytest.approx(expected)
 
     @pytest.mark.parametrize("now", [x / 10 for x in range(100)])
     def test_never_outlasts_the_wait_of_a_successor(self, now):
         """Without reports a successor waits for the lease and a usual grant."""
-        hold = _confirmed(0.0).hold_seconds(now, now, USUAL, MOST, TROUBLE)
+        hold = _confirmed(0.0).grant_seconds(now, now, USUAL, MOST, TROUBLE)
         assert now + hold <= SPAN + USUAL + 1e-9
         assert hold <= MOST
 
     def test_expiry_allows_for_a_slow_clock(self):
         """A target's clock may run 2% slow."""
-        assert leadership.lapsed_at(5.0, 10.0) >= 15.2
+        assert leadership.grant_expiry(5.0, 10.0) >= 15.2
 
 
 class TestPace:
@@ -81,6 +81,6 @@
     def test_paced(self, ranges, renew, hold):
         """Guards against a leader that has more orders than it can send."""
         usual = leadership.RenewalPace(0.5, 2.0)
-        found = leadership.paced(ranges, usual, 1.0, 1000.0)
+        found = leadership.renewal_pace(ranges, usual, 1.0, 1000.0)
         assert found.renew == pytest.approx(renew)
         assert found.hold == pytest.approx(hold)
--- a/tests/gateway/test_lease_extension.py
+++ b/tests/gateway/test_lease_extension.py
@@ -27,7 +27,9 @@
     )
     def test_zones(self, able, names):
         """Guards against losing all witnesses to the failure of one zone."""
-        chosen = lease_extension.chosen((_witness(n), zone) for n, zone in able)
+        chosen = lease_extension.choose_witnesses(
+            (_witness(n), zone) for n, zone in able
+        )
         assert [w.vm for w in chosen] == names
 
     @pytest.mark.parametrize(
@@ -41,7 +43,7 @@
     )
     def test_outdated(self, named, present, expected):
         """Others are named if a witness is lost or there are too few."""
-        found = lease_extension.outdated(
+        found = lease_extension.should_replace(
             [_witness(n) for n in named],
             {_witness(n) for n in present},
             len(present),
@@ -51,7 +53,7 @@
     def test_restarted_witness_is_lost(self):
         """Guards against reliance on an incarnation without its promises."""
         present = {lease_extension.Witness("a", "later")}
-        assert lease_extension.outdated([_witness("a")], present, 1)
+        assert lease_extension.should_replace([_witness("a")], present, 1)
 
 
 class TestPromises:
@@ -60,11 +62,11 @@
     def test_longest_counts(self):
         """A shorter promise does not shorten an earlier one."""
         promises = lease_extension.Promises()
-        assert promises.seconds(0.0) is None
+        assert promises.seconds_left(0.0) is None
         promises.add(9.0)
         promises.add(4.0)
-        assert promises.seconds(2.0) == 7.0
-        assert promises.seconds(20.0) == -11.0
+        assert promises.seconds_left(2.0) == 7.0
+        assert promises.seconds_left(20.0) == -11.0
 
 
 class TestAuthority:
@@ -86,7 +88,7 @@
             authority.need_witnesses()
         if extended:
             authority.extend(0.0)
-        assert authority.ends == ends
+        assert authority.expires_at == ends
         assert authority.extended is extended
 
     @pytest.mark.parametrize(
@@ -109,7 +111,7 @@
         authority.replaceable = replaceable
         if extended:
             authority.extend(0.0)
-        found = authority.hold_seconds(now, now, 2.0, 10.0, 1.6)
+        found = authority.grant_seconds(now, now, 2.0, 10.0, 1.6)
         assert found == pytest.approx(hold)
 
     def test_next_outage_needs_new_promises(self):
@@ -120,4 +122,4 @@
         authority.extend(0.0)
         authority.confirm(9.0)
         assert not authority.extended
-        assert authority.ends == 11.5
+        assert authority.expires_at == 11.5
--- a/tests/gateway/test_membership.py
+++ b/tests/gateway/test_membership.py
@@ -224,7 +224,7 @@
                 messages.ReportReply(ENTRY, leading=True, stamp=100.0)
             )
             await asyncio.sleep(2.0)
-            known.registrations.note(virtual.now() - 0.5)
+            known.registrations.record(virtual.now() - 0.5)
             report = made._make_report()
             assert report.seen_at == pytest.approx(101.5)
             assert report.configuration_at is None
--- a/tests/gateway/test_proofs.py
+++ b/tests/gateway/test_proofs.py
@@ -58,7 +58,7 @@
             {},
             lambda: None,
         )
-        self.table = ranges.initial("s", {_run(BORN): 1.0, B: 1.0}, "c")
+        self.table = ranges.initial_table("s", {_run(BORN): 1.0, B: 1.0}, "c")
         self.granting.follow(self.table)
 
     def register(self, name="a", **changes):
@@ -223,7 +223,7 @@
                 lambda made, holder: (
                     (entry := made._beliefs.directory.get(holder.id)) is None
                     or entry.target.born != holder.born
-                    or entry.standing is not directory.TargetStatus.READY
+                    or entry.status is not directory.TargetStatus.READY
                 ),
             ),
         }
@@ -295,7 +295,7 @@
         async def main():
             world = World()
             known = world.beliefs.directory
-            known.end("a", BORN, 0.0)
+            known.record_end("a", BORN, 0.0)
             known.learn_run("a", BORN + 5, "a:81", 0.0)
             found = known.get("a").target
             assert (found.born, found.address) == (BORN + 5, "a:81")
--- a/tests/gateway/test_ranges.py
+++ b/tests/gateway/test_ranges.py
@@ -12,7 +12,7 @@
 
 def _table(*weights):
     given = weights or (1, 1, 1)
-    return ranges.initial(
+    return ranges.initial_table(
         "s", dict(zip(HOLDERS, map(float, given), strict=False)), "c1"
     )
 
@@ -26,7 +26,7 @@
     def test_covers_all_keys(self, weights):
         """Every key has one owner."""
         table = _table(*weights)
-        assert ranges.problem(table) == ""
+        assert ranges.find_problem(table) == ""
 
     def test_widths_follow_weights(self):
         """A target with twice the slots gets twice the keys."""
@@ -40,7 +40,7 @@
     def test_middle_of_a_range(self):
         """A hot interval within a range moves, and adjacent keys stay."""
         table = ranges.move(_table(1, 1), [ranges.Move(100, 200, B)], "c2")
-        assert ranges.problem(table) == ""
+        assert ranges.find_problem(table) == ""
         assert [(r.first, r.last, r.owner) for r in table.ranges[:3]] == [
             (0, 99, A),
             (100, 200, B),
@@ -59,7 +59,7 @@
         assert moved.formers[0].holder == A
         assert moved.formers[0].fence == 3
         assert moved.fence == 4
-        settled = ranges.settle(first, {moved.piece: [3]}, "c3")
+        settled = ranges.remove_released(first, {moved.piece: [3]}, "c3")
         back = ranges.move(settled, [ranges.Move(0, 9, A)], "c4").find(5)
         assert (back.formers[0].fence, back.fence) == (5, 6)
 
@@ -94,7 +94,7 @@
         assert table.find(0).owner == restarted
         assert table.find(0).fence >= 3
         assert table.find(40000).fence == 2
-        assert ranges.problem(table) == ""
+        assert ranges.find_problem(table) == ""
 
 
 class TestJoin:
@@ -103,13 +103,13 @@
     def test_joined_under_a_new_fence(self):
         """Ranges split for a hot interval are joined when the load is gone."""
         table = ranges.move(_table(1, 1), [ranges.Move(5, 9, B)], "c2")
-        table = ranges.settle(table, {table.find(5).piece: [3]}, "c3")
+        table = ranges.remove_released(table, {table.find(5).piece: [3]}, "c3")
         table = ranges.move(table, [ranges.Move(5, 9, A)], "c4")
-        table = ranges.settle(table, {table.find(5).piece: [5]}, "c5")
+        table = ranges.remove_released(table, {table.find(5).piece: [5]}, "c5")
         joined = ranges.join(table, 8, "c6")
         assert len(joined.ranges) == 2
         assert joined.find(7).fence >= table.next_fence
-        assert ranges.problem(joined) == ""
+        assert ranges.find_problem(joined) == ""
 
     def test_not_during_a_handover(self):
         """A range in a handover is not joined."""
@@ -152,12 +152,12 @@
         elif step == "settle":
             item = table.find(first)
             done = {item.piece: [f.fence for f in item.formers]}
-            table = ranges.settle(table, done, commit)
+            table = ranges.remove_released(table, done, commit)
         elif step == "refence":
             table = ranges.refence(table, {holder: holder}, commit)
         else:
             table = ranges.join(table, 4, commit)
-        assert ranges.problem(table) == ""
+        assert ranges.find_problem(table) == ""
         for key in (0, *borders, ranges.KEYS - 1):
             found = table.find(key)
             assert key in found
--- a/tests/gateway/test_rebalance.py
+++ b/tests/gateway/test_rebalance.py
@@ -12,14 +12,14 @@
 
 
 def _table(holders=HOLDERS):
-    return ranges.initial("s", dict.fromkeys(holders, 4.0), "c1")
+    return ranges.initial_table("s", dict.fromkeys(holders, 4.0), "c1")
 
 
 def _settled(table, moves):
     """Returns the table after moves, with all former owners released."""
     moved = ranges.move(table, moves, "c")
     done = {r.piece: [f.fence for f in r.formers] for r in moved.ranges}
-    return ranges.settle(moved, done, "c")
+    return ranges.remove_released(moved, done, "c")
 
 
 def _loads(table, heat):
@@ -162,7 +162,7 @@
         capacity = dict.fromkeys(HOLDERS[lost:], 4.0)
         moves = rebalance.evacuate(_table(), capacity, {}, HOLDERS[:lost])
         table = ranges.move(_table(), moves, "c2")
-        assert not table.holders() & set(HOLDERS[:lost])
+        assert not table.owners() & set(HOLDERS[:lost])
 
     def test_without_rates_widths_are_spread(self):
         """Without request rates, cold ranges do not all go to one target."""
--- a/tests/gateway/test_reload.py
+++ b/tests/gateway/test_reload.py
@@ -40,7 +40,7 @@
             leaving = fakes.target("a", leaving=True)
             known.take_target(leaving)
             entry = known.directory.get("a")
-            assert entry.standing is directory.TargetStatus.LEAVING
+            assert entry.status is directory.TargetStatus.LEAVING
             assert entry.until == pytest.approx(entry.since + 0.9)
             assert made._forwarding._settings.bounds.retry_fixed == 9.0
             assert log.named("settings_read")[0]["at_next_start"] == []
--- a/tests/gateway/test_store_watching.py
+++ b/tests/gateway/test_store_watching.py
@@ -280,7 +280,7 @@
             known.seen = 40
             made.start()
             await asyncio.sleep(current)
-            known.registrations.note(virtual.now())
+            known.registrations.record(virtual.now())
             await asyncio.sleep(followed - current)
             made.rely_on_leader(False)
             await asyncio.sleep(max(leaves_at - followed, 0.0) + 0.1)
@@ -311,7 +311,7 @@
             made, known, _ = _watching(store, fakes.target("a"))
             known.seen = 40
             made.start()
-            known.registrations.note(virtual.now())
+            known.registrations.record(virtual.now())
             await asyncio.sleep(8.0)
             made.rely_on_leader(False)
             gone = ports.Changes((), (("servers/a", 41),), 41)
--- a/tests/gateway/test_unowned_ranges.py
+++ b/tests/gateway/test_unowned_ranges.py
@@ -12,7 +12,7 @@
 
 def _seconds_left(gone, *, key=100):
     unowned = unowned_ranges.UnownedRanges(2.2, 12.2)
-    unowned.take(_assigned(1, (0, 50, 200), ("a", "", "b")), 10.0)
+    unowned.update(_assigned(1, (0, 50, 200), ("a", "", "b")), 10.0)
     return unowned.seconds("s", key, 10.0 + gone)
 
 
@@ -53,27 +53,29 @@
     def test_time_continues_for_the_rest_of_a_range(self):
         """Parts of a range get owners; the time of the rest continues."""
         unowned = unowned_ranges.UnownedRanges(2.2, 12.2)
-        unowned.take(_assigned(1, (0, 50, 200), ("a", "", "b")), 10.0)
-        unowned.take(_assigned(2, (0, 60, 90, 200), ("a", "", "c", "b")), 11.0)
+        unowned.update(_assigned(1, (0, 50, 200), ("a", "", "b")), 10.0)
+        unowned.update(
+            _assigned(2, (0, 60, 90, 200), ("a", "", "c", "b")), 11.0
+        )
         assert unowned.seconds("s", 70, 11.2) == pytest.approx(1.0)
         assert unowned.seconds("s", 95, 11.2) == 0.0
 
     def test_time_starts_anew_after_an_owner(self):
         """Keys got an owner and lost it again; the time starts anew."""
         unowned = unowned_ranges.UnownedRanges(2.2, 12.2)
-        unowned.take(_assigned(1, (0,), ("",)), 10.0)
-        unowned.take(_assigned(2, (0,), ("a",)), 11.0)
-        unowned.take(_assigned(3, (0,), ("",)), 12.0)
+        unowned.update(_assigned(1, (0,), ("",)), 10.0)
+        unowned.update(_assigned(2, (0,), ("a",)), 11.0)
+        unowned.update(_assigned(3, (0,), ("",)), 12.0)
         assert unowned.seconds("s", 1, 13.0) == pytest.approx(1.2)
 
     @pytest.mark.parametrize("joined", [True, False])
     def test_joined_ranges_keep_the_oldest_time(self, joined):
         """Guards against a range that loses the time of its oldest part."""
         unowned = unowned_ranges.UnownedRanges(2.2, 12.2)
-        unowned.take(_assigned(1, (0, 10, 20), ("", "a", "")), 10.0)
-        unowned.take(_assigned(2, (0, 10, 15, 20), ("", "", "a", "")), 11.0)
+        unowned.update(_assigned(1, (0, 10, 20), ("", "a", "")), 10.0)
+        unowned.update(_assigned(2, (0, 10, 15, 20), ("", "", "a", "")), 11.0)
         if joined:
-            unowned.take(_assigned(3, (0,), ("",)), 11.1)
+            unowned.update(_assigned(3, (0,), ("",)), 11.1)
         assert unowned.seconds("s", 5, 11.2) == pytest.approx(1.0)
         assert unowned.seconds("s", 30, 11.2) == pytest.approx(1.0)
         expected = 1.0 if joined else 0.0
--- a/tests/gateway/test_witnessing.py
+++ b/tests/gateway/test_witnessing.py
@@ -283,7 +283,7 @@
             await asyncio.sleep(4.0)
             asked = fleet.vms["vm-1"].log.named("extension_asked")
             assert asked and all(a["promised"] == 0 for a in asked)
-            hold = leadership.lapsed_at(0.0, 2.0)
+            hold = leadership.grant_expiry(0.0, 2.0)
             assert fleet.vms["vm-1"].leading.longer_grants() <= hold
             fleet.stop()
 
--- a/tests/gateway/test_world.py
+++ b/tests/gateway/test_world.py
@@ -157,7 +157,7 @@
                 return all(a.status == 200 for a in answers)
 
             await world.until(served, 20.0)
-            assert "k0" not in {h.id for h in _table(world).holders()}
+            assert "k0" not in {h.id for h in _table(world).owners()}
 
         _play(scenario)
 
@@ -176,7 +176,7 @@
                 for key in range(0, 65536, 8000):
                     answer = await world.ask("/read/x", key)
                     statuses.add(answer.status)
-                owners = {h.id for h in _table(world).holders()}
+                owners = {h.id for h in _table(world).owners()}
                 return "k1" not in owners
 
             await world.until(moved)
@@ -453,7 +453,7 @@
 
             async def moved():
                 table = _table(world)
-                return {h.id for h in table.holders()} == {"kb"}
+                return {h.id for h in table.owners()} == {"kb"}
 
             world.store.put("op/evacuate/zone-a", {})
             await world.until(moved)
