--- a/packages/mimosastile-core/src/mimosastile_core/gateway/directory.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/directory.py
@@ -129,7 +129,7 @@
         """Returns the entry of a target, None if it is unknown."""
         return self._entries.get(target)
 
-    def newer_run(self, target: Target) -> Target | None:
+    def newer_incarnation(self, target: Target) -> Target | None:
         """Returns a recorded incarnation later than a registering one, if any.
 
         A write to the store that got no response may be carried out seconds
@@ -301,7 +301,7 @@
             and entry.status is TargetStatus.ENDED
         )
 
-    def has_started_again(self, target: str, born: int) -> bool:
+    def has_restarted(self, target: str, born: int) -> bool:
         """Whether an incarnation later than a given one has registered.
 
         Args:
@@ -311,7 +311,7 @@
         entry = self._entries.get(target)
         return entry is not None and entry.target.born > born
 
-    def learn_run(
+    def record_incarnation(
         self, target: str, born: int, address: str, now: float
     ) -> None:
         """Records that a table names a later incarnation than the recorded one.
@@ -415,7 +415,7 @@
         entry = self._entries.get(target)
         return entry.warm_in(now) if entry else 0.0
 
-    def take_for_cold(
+    def mark_zone_cold(
         self, zone: str, seconds: Mapping[str, float], now: float
     ) -> None:
         """Treats the targets of a zone as cold for some time.
@@ -431,7 +431,7 @@
                 lasts = seconds.get(entry.target.service, 0.0)
                 entry.cold_until = max(entry.cold_until, now + lasts)
 
-    def note_cold(self, target: str, seconds: float, now: float) -> None:
+    def record_cold(self, target: str, seconds: float, now: float) -> None:
         """Records how long a target stays cold, as it reported itself."""
         entry = self._entries.get(target)
         if entry is not None:
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/former_leaders.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/former_leaders.py
@@ -102,7 +102,7 @@
             if not self._unconfirmed:
                 self.record_stopped(now)
 
-    def testify(
+    def record_promise(
         self,
         witness: lease_extension.Witness,
         promised: float | None,
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/leadership.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/leadership.py
@@ -119,7 +119,7 @@
         """
         return self._extended_grants_until
 
-    def note_longer(self, until: float) -> None:
+    def record_extended_grant(self, until: float) -> None:
         """Records the time at which an extended grant expires."""
         self._extended_grants_until = max(self._extended_grants_until, until)
 
--- a/tests/gateway/test_former_leaders.py
+++ b/tests/gateway/test_former_leaders.py
@@ -52,7 +52,7 @@
         """
         leaders = _former_leaders()
         for witness, promised in reports:
-            leaders.testify(witness, promised, 0.0)
+            leaders.record_promise(witness, promised, 0.0)
         assert leaders.grants_expire_at() == pytest.approx(expires, abs=0.01)
 
     def test_expired_promise(self):
@@ -63,14 +63,14 @@
         """
         leaders = _former_leaders()
         leaders.record_stopped(1.0)
-        leaders.testify(W1, 3.0, 0.0)
-        leaders.testify(W1, -2.0, 5.0)
+        leaders.record_promise(W1, 3.0, 0.0)
+        leaders.record_promise(W1, -2.0, 5.0)
         assert leaders.grants_expire_at() == pytest.approx(5.3, abs=0.01)
 
     def test_reports_of_leader_and_witness(self):
         """The former leader reports as a follower; its grants were usual."""
         leaders = _former_leaders()
-        leaders.testify(W1, None, 0.5)
+        leaders.record_promise(W1, None, 0.5)
         leaders.record_follower("vm-0", 1.0, None)
         assert leaders.grants_expire_at() == pytest.approx(3.14, abs=0.01)
 
