--- a/packages/mimosastile-core/src/mimosastile_core/gateway/freshness.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/freshness.py
@@ -46,7 +46,7 @@
     def __init__(
         self, peer_clock: float, sent_at: float, received_at: float
     ) -> None:
-        """Creates a stamp from one exchange with a peer.
+        """Creates an offset from one exchange with a peer.
 
         Args:
             peer_clock: The peer's clock when it made its response.
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/leadership.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/leadership.py
@@ -14,7 +14,7 @@
   could renew those grants. Therefore a leader stops by itself when it has not
   seen its entry in the store for `authority` seconds, and its successor waits
   that long. If the leader has named witnesses, both times are far shorter
-  (`extension`).
+  (`lease_extension`).
 
 All times are readings of a clock that advances while the machine is suspended,
 so that a leader sees on resumption that its lease has expired.
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/lease_extension.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/lease_extension.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-WITNESSES = 3
+WITNESS_COUNT = 3
 """Witnesses named at a time. All must agree in an outage, and one must survive
 a loss of the leader."""
 
@@ -96,7 +96,7 @@
     rounds = itertools.zip_longest(*by_zone.values())
     interleaved = itertools.chain.from_iterable(rounds)
     named = (witness for witness in interleaved if witness is not None)
-    return tuple(itertools.islice(named, WITNESSES))
+    return tuple(itertools.islice(named, WITNESS_COUNT))
 
 
 def should_replace(
@@ -110,4 +110,4 @@
         candidate_count: Number of VMs that may be named.
     """
     missing = set(named) - set(present)
-    return bool(missing) or len(named) < min(candidate_count, WITNESSES)
+    return bool(missing) or len(named) < min(candidate_count, WITNESS_COUNT)
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/rebalance.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/rebalance.py
@@ -66,7 +66,7 @@
         self.last = last
         self.owner = owner
         self.keys = keys
-        self.load = sum(heat for _, heat in keys)
+        self.load = sum(rate for _, rate in keys)
 
 
 class _Balance:
--- a/tests/gateway/test_crash_detection.py
+++ b/tests/gateway/test_crash_detection.py
@@ -12,7 +12,7 @@
         detector.confirm_crashes(f"t{number}", at + 0.1, f"id{at}")
 
 
-class TestHeld:
+class TestRefusal:
     """Which requests are refused."""
 
     @pytest.mark.parametrize(
--- a/tests/gateway/test_freshness.py
+++ b/tests/gateway/test_freshness.py
@@ -7,7 +7,7 @@
 from mimosastile_core.gateway import freshness
 
 
-class TestCurrency:
+class TestFreshness:
     """Bounds from several sources."""
 
     @pytest.mark.parametrize(
@@ -28,7 +28,7 @@
         assert view.age(now) == age
 
 
-class TestStamp:
+class TestClockOffset:
     """Times that are sent to a peer whose clock differs."""
 
     @hypothesis.given(
@@ -45,8 +45,8 @@
         This could happen if the request or the response is delayed in transit.
         """
         answered_at = asked + transit[0]
-        stamp = freshness.ClockOffset(
+        clock_offset = freshness.ClockOffset(
             answered_at + offset, asked, answered_at + transit[1]
         )
-        assert stamp.to_peer(at) <= at + offset + 1e-6
-        assert stamp.from_peer(at + offset) <= at + 1e-6
+        assert clock_offset.to_peer(at) <= at + offset + 1e-6
+        assert clock_offset.from_peer(at + offset) <= at + 1e-6
--- a/tests/gateway/test_leadership.py
+++ b/tests/gateway/test_leadership.py
@@ -13,7 +13,7 @@
     return lease
 
 
-class TestAuthority:
+class TestLeaderLease:
     """How long one confirmation by the store lets a leader continue."""
 
     @pytest.mark.parametrize(
@@ -37,7 +37,7 @@
         assert lease.expires_at == 15.0
 
 
-class TestHold:
+class TestGrantSeconds:
     """How long grants last."""
 
     @pytest.mark.parametrize(
--- a/tests/gateway/test_lease_extension.py
+++ b/tests/gateway/test_lease_extension.py
@@ -10,7 +10,7 @@
     return lease_extension.Witness(name, f"boot-{name}")
 
 
-class TestChosen:
+class TestChooseWitnesses:
     """The choice of witnesses."""
 
     @pytest.mark.parametrize(
@@ -69,7 +69,7 @@
         assert promises.seconds_left(20.0) == -11.0
 
 
-class TestAuthority:
+class TestLeaderLease:
     """Lease of a leader with witnesses."""
 
     @pytest.mark.parametrize(
--- a/tests/gateway/test_successors.py
+++ b/tests/gateway/test_successors.py
@@ -16,7 +16,7 @@
     return now
 
 
-class TestCuts:
+class TestLostAccess:
     """The leader and some VMs that it asks are cut off from the store."""
 
     @pytest.mark.parametrize(
