--- a/packages/mimosastile-core/src/mimosastile_core/gateway/former_leaders.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/former_leaders.py
@@ -1,4 +1,4 @@
-"""When former leaders have stopped, and how long their grants last."""
+"""When former leaders have stopped, and when their grants expire."""
 
 from collections.abc import Iterable
 
@@ -7,94 +7,100 @@
 
 
 class FormerLeaders:
-    """Leaders that may not have noticed yet that they were replaced."""
+    """Former leaders that may not have noticed their replacement yet."""
 
     __slots__ = (
-        "_calm_until",
+        "_usual_grants_until",
         "_extended_until",
-        "_held_up",
-        "_hold",
-        "_known",
-        "_longer_until",
-        "_most",
-        "_named",
-        "_silent",
+        "_transit_seconds",
+        "_usual_hold",
+        "_stopped_by",
+        "_extended_grants_until",
+        "_longest_hold",
+        "_had_leaders",
+        "_unconfirmed",
         "_unextended_until",
-        "_until",
+        "_stop_bound",
         "_witnesses",
-        "_wordless",
+        "_without_report",
     )
 
     def __init__(
         self,
         until: float,
         vms: Iterable[str] = (),
-        calm_until: float = float("-inf"),
-        hold: float = 0.0,
-        most: float = 0.0,
-        longer_until: float = float("-inf"),
+        usual_grants_until: float = float("-inf"),
+        usual_hold: float = 0.0,
+        longest_hold: float = 0.0,
+        extended_grants_until: float = float("-inf"),
         witnesses: Iterable[lease_extension.Witness] = (),
         unextended_until: float = float("inf"),
-        held_up: float = 0.0,
+        transit_seconds: float = 0.0,
     ) -> None:
-        """Makes one.
+        """Creates the record that a new leader keeps of its predecessors.
 
         Args:
-            until: When all have surely stopped.
+            until: Time by which all of them have stopped for certain.
             vms: Identifiers of their VMs.
-            calm_until: Until when they surely gave usual grants only.
-            hold: Seconds of a usual grant.
-            most: Seconds of the longest grant.
-            longer_until: When the longer grants that they gave before have
-                run out.
-            witnesses: Witnesses of the last one, if it named some.
-            unextended_until: When that one has stopped if one of these made no
-                promise.
-            held_up: Seconds for which what a leader sent until it stopped may
-                be on its way. One whose authority ends sends its last orders
-                earlier by as much.
+            usual_grants_until: Time until which they gave no extended grants
+                for certain.
+            usual_hold: Usual duration of a grant in seconds.
+            longest_hold: Longest duration of a grant in seconds.
+            extended_grants_until: Time at which the extended grants that they
+                gave before have expired.
+            witnesses: Witnesses of the last one, if it named any.
+            unextended_until: Time by which the last one has stopped if one of
+                these witnesses made no promise.
+            transit_seconds: Seconds for which orders that a leader sent until
+                it stopped may be in transit. A leader whose lease expires stops
+                sending earlier by as much.
         """
-        self._held_up = held_up
-        self._until = until
-        self._longer_until = longer_until
-        self._known = until
-        self._calm_until = calm_until
-        self._hold = hold
-        self._most = most
-        self._silent = set(vms)
-        self._named = bool(self._silent)
-        self._wordless = set(self._silent)
+        self._transit_seconds = transit_seconds
+        self._stop_bound = until
+        self._extended_grants_until = extended_grants_until
+        self._stopped_by = until
+        self._usual_grants_until = usual_grants_until
+        self._usual_hold = usual_hold
+        self._longest_hold = longest_hold
+        self._unconfirmed = set(vms)
+        self._had_leaders = bool(self._unconfirmed)
+        self._without_report = set(self._unconfirmed)
         self._witnesses = frozenset(witnesses)
         self._unextended_until = unextended_until
         self._extended_until = float("inf")
 
     @property
     def stopped_by(self) -> float:
-        """Time by which all orders of theirs have surely arrived."""
-        return self._known
+        """Time by which all of their orders have arrived for certain."""
+        return self._stopped_by
 
-    def stopped(self, now: float) -> None:
-        """Notes that all are known to have stopped."""
-        self._silent.clear()
-        self._known = min(self._known, now + self._held_up)
+    def record_stopped(self, now: float) -> None:
+        """Records that all of them have stopped."""
+        self._unconfirmed.clear()
+        self._stopped_by = min(self._stopped_by, now + self._transit_seconds)
 
-    def follows(self, vm: str, now: float, longer: float | None) -> None:
-        """Notes that a VM follows the present leader and gives no orders.
+    def record_follower(
+        self, vm: str, now: float, extended_seconds: float | None
+    ) -> None:
+        """Records that a VM follows the present leader and gives no orders.
 
         Args:
             vm: Identifier of the VM.
-            now: The time.
-            longer: Seconds until grants that were longer than usual, its own
-                and those of leaders before it, have run out, as it says; None
-                if it has started again since it led and cannot tell.
+            now: Current time.
+            extended_seconds: Seconds until the extended grants of this VM and
+                of leaders before it have expired, as reported by the VM; None
+                if it has restarted since it was leader and no longer has this
+                information.
         """
-        if vm in self._silent:
-            self._silent.discard(vm)
-            if longer is not None:
-                self._wordless.discard(vm)
-                self._longer_until = max(self._longer_until, now + longer)
-            if not self._silent:
-                self.stopped(now)
+        if vm in self._unconfirmed:
+            self._unconfirmed.discard(vm)
+            if extended_seconds is not None:
+                self._without_report.discard(vm)
+                self._extended_grants_until = max(
+                    self._extended_grants_until, now + extended_seconds
+                )
+            if not self._unconfirmed:
+                self.record_stopped(now)
 
     def record_promise(
         self,
@@ -102,53 +108,56 @@
         promised: float | None,
         now: float,
     ) -> None:
-        """Takes a VM's word on what it has promised to former leaders.
+        """Processes a witness's report on its promises to former leaders.
 
-        It follows the present leader, so it promises nothing more. Leaders
-        before the last one had stopped when that one named its witnesses.
+        The witness follows the present leader, so it makes no further promises
+        to them. Leaders before the last one had stopped when that one named its
+        witnesses.
 
         Args:
-            witness: The VM and its run.
-            promised: Seconds until its last promise ends, negative for one
-                that has ended, None if it has made none.
-            now: The time.
+            witness: The VM and the incarnation of its daemon.
+            promised: Seconds until its last promise expires, negative if it has
+                expired, None if it has made none.
+            now: Current time.
         """
         if witness not in self._witnesses:
             return
-        # The last leader needed the promises of all, so the first to end
-        # counts.
-        ends = float("-inf") if promised is None else now + promised
-        self._extended_until = min(self._extended_until, ends)
+        # The last leader needed the promises of all witnesses, so the one that
+        # expires first counts.
+        expires = float("-inf") if promised is None else now + promised
+        self._extended_until = min(self._extended_until, expires)
         bound = max(self._unextended_until, self._extended_until)
-        self._until = min(self._until, bound)
-        self._known = min(self._known, bound)
+        self._stop_bound = min(self._stop_bound, bound)
+        self._stopped_by = min(self._stopped_by, bound)
 
-    def lapse(self, hold: float = 0.0) -> float:
-        """Returns when all their grants have run out.
+    def grants_expire_at(self, usual_hold: float = 0.0) -> float:
+        """Returns the time at which all their grants have expired.
 
         Args:
-            hold: Seconds of their usual grants, if that is longer than the
-                one in the settings.
+            usual_hold: Duration of their usual grants in seconds, if longer
+                than the configured one.
         """
-        usual = max(self._hold, hold)
-        longer_until = self._longer_until
-        all_said = self._named and not self._wordless
-        calm = all_said or self._known <= self._calm_until
+        usual = max(self._usual_hold, usual_hold)
+        extended_grants_until = self._extended_grants_until
+        all_reported = self._had_leaders and not self._without_report
+        usual_only = (
+            all_reported or self._stopped_by <= self._usual_grants_until
+        )
         if self._extended_until < float("inf"):
-            # Longer grants were given under promises only.
-            calm = True
-            lapsed = self._lapsed_after(self._extended_until, usual)
-            longer_until = max(longer_until, lapsed)
-        longest = usual if calm else max(self._most, usual)
-        known = leadership.lapsed_at(self._known, longest)
-        latest = self._lapsed_after(self._until, usual)
-        return min(latest, max(known, longer_until))
-
-    def _lapsed_after(self, until: float, usual: float) -> float:
-        """Returns when all grants have run out after authority has ended.
-
-        None outlasts it by more than a usual one, but for the drift of the
-        target's clock.
+            # Extended grants were given under promises only.
+            usual_only = True
+            expired = self._expired_after(self._extended_until, usual)
+            extended_grants_until = max(extended_grants_until, expired)
+        longest = usual if usual_only else max(self._longest_hold, usual)
+        earliest = leadership.grant_expiry(self._stopped_by, longest)
+        latest = self._expired_after(self._stop_bound, usual)
+        return min(latest, max(earliest, extended_grants_until))
+
+    def _expired_after(self, until: float, usual: float) -> float:
+        """Returns when all grants have expired after a lease has expired.
+
+        No grant outlasts the lease by more than the usual duration, except for
+        the drift of the target's clock.
         """
-        drift = max(self._most - usual, 0.0) * leadership.CLOCK_DRIFT
-        return leadership.lapsed_at(until, usual) + drift
+        drift = max(self._longest_hold - usual, 0.0) * leadership.CLOCK_DRIFT
+        return leadership.grant_expiry(until, usual) + drift
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/daemon.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/daemon.py
@@ -364,8 +364,7 @@
             "leader": msgspec.to_builtins(state.leader),
             "vms": sorted(state.vms),
             "targets": {
-                entry.target.id: entry.standing.value
-                for entry in state.directory
+                entry.target.id: entry.status.value for entry in state.directory
             },
             "assignments": state.versions(),
             "evacuated_zones": state.evacuations.zones,
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
@@ -276,7 +276,7 @@
     async def _forward(self, call: pending.Call) -> http_server.Response:
         last: errors.Failure | None = None
         while True:
-            if self._crashes.held(call.fingerprint, self._clock.now()):
+            if self._crashes.is_held(call.fingerprint, self._clock.now()):
                 held = errors.Failure(errors.ErrorKind.HELD_BACK)
                 failure = _final_failure(call, last, held)
                 return self._refuse(call, call.incoming, failure)
@@ -349,7 +349,7 @@
         now = self._clock.now()
         entry = self._cluster.directory.get(target.id)
         return pending.Basis(
-            entry.standing.value if entry else "",
+            entry.status.value if entry else "",
             round(now - entry.since, 3) if entry else 0.0,
             _round_age(self._cluster.registrations_age),
             _round_age(self._cluster.configuration_age),
@@ -374,7 +374,7 @@
         """Records that a target accepts no connection."""
         now = self._clock.now()
         self._balancer.load(target.id).unreachable(now)
-        crashes = self._crashes.unreachable(
+        crashes = self._crashes.confirm_crashes(
             target.id, now, self._clock.new_id()
         )
         if crashes:
@@ -565,7 +565,7 @@
         now = self._clock.now()
         load = self._balancer.load(target.id)
         if isinstance(sent, result.Ok):
-            self._crashes.answered(target.id)
+            self._crashes.record_response(target.id)
             self._membership.answered(target.id)
             response = sent.ok_value
             if response.status < 500 and response.body_stream is None:
@@ -597,7 +597,7 @@
         if call.key is not None and failure.kind in _OVERLOAD_KINDS:
             self._membership.report_full_target(target.id)
         if failure.kind is errors.ErrorKind.ANSWER_LOST:
-            self._crashes.lost(target.id, call.fingerprint, now)
+            self._crashes.record_loss(target.id, call.fingerprint, now)
         self._events.write(
             "requests",
             "send_failed",
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/grant_reconciliation.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/grant_reconciliation.py
@@ -155,7 +155,7 @@
     @property
     def _formers_lapse(self) -> float:
         """Time at which all grants of former leaders have run out."""
-        return self._formers.lapse(self._table_hold)
+        return self._formers.grants_expire_at(self._table_hold)
 
     @property
     def _hold(self) -> float:
@@ -353,17 +353,17 @@
                 continue
             # The order may wait on its way, and must not arrive later.
             late = self._settings.leader.order_timeout + self._held_up(holder)
-            if not self._lease.holds(now + late):
+            if not self._lease.is_valid(now + late):
                 self._events.write(
                     "grants",
                     "authority_ended",
                     target=holder.id,
-                    since=round(now - self._lease.ends, 2),
+                    since=round(now - self._lease.expires_at, 2),
                 )
                 await asyncio.sleep(_RETRY_SECONDS)
                 continue
             async with self._sending:
-                if not self._lease.holds(self._clock.boottime() + late):
+                if not self._lease.is_valid(self._clock.boottime() + late):
                     continue
                 await self._grant(holder, owner, state)
 
@@ -389,7 +389,7 @@
         configured = self._settings.leader
         sent = self._clock.boottime()
         latest = sent + configured.order_timeout + self._held_up(holder)
-        hold = self._lease.hold_seconds(
+        hold = self._lease.grant_seconds(
             sent,
             latest,
             self._hold,
@@ -405,7 +405,7 @@
             # Before it can arrive: a leader that is replaced meanwhile is
             # asked how long its grants last.
             self._lease.record_extended_grant(
-                leadership.lapsed_at(latest, hold)
+                leadership.grant_expiry(latest, hold)
             )
         self._exposures.setdefault(holder, []).append(exposure)
         order = ports.GrantOrder(
@@ -418,13 +418,13 @@
         finally:
             # Answered, or its connection was reset.
             now = self._clock.boottime()
-            exposure.until = leadership.lapsed_at(now, hold)
+            exposure.until = leadership.grant_expiry(now, hold)
             exposure.until += self._held_up(holder)
             if hold > self._hold:
                 self._lease.record_extended_grant(exposure.until)
         current = self._states.get(item.piece) is state
         if isinstance(answer, result.Ok):
-            exposure.until = leadership.lapsed_at(now, hold)
+            exposure.until = leadership.grant_expiry(now, hold)
             self._hear(holder, answer.ok_value)
             self._granted(holder, owner, state, sent, current)
             return
@@ -527,7 +527,7 @@
                 how = "run ended"
             elif now >= lapse:
                 how = "lapsed"
-            elif self._lease.holds(now):
+            elif self._lease.is_valid(now):
                 tries += 1
                 timeout = min(_RELEASE_TRY_SECONDS * tries, lapse - now)
                 answer = await self._orders.release(
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/leader_role.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/leader_role.py
@@ -349,7 +349,7 @@
         if not entry.unsure:
             # There was none, or it was an earlier run of this daemon, whose
             # longer grants may still last.
-            self._formers.stopped(now)
+            self._formers.record_stopped(now)
         self._formers.record_promise(
             self._witness.identity, self._witness.promised(), now
         )
@@ -426,7 +426,7 @@
             return
         keyed = self._new_keyed(table, item.revision)
         self._services[table.service] = keyed
-        for owner in table.holders():
+        for owner in table.owners():
             self._cluster.directory.record_incarnation(
                 owner.id, owner.born, owner.address, self._clock.now()
             )
@@ -488,7 +488,7 @@
         vm = report.vm
         boot = self._clock.boottime()
         # A VM that reports here does not lead itself.
-        self._formers.follows(vm.id, boot, report.longer)
+        self._formers.record_follower(vm.id, boot, report.longer)
         if report.epoch >= self._entry.epoch:
             witness = lease_extension.Witness(vm.id, vm.boot)
             self._formers.record_promise(witness, report.promised, boot)
@@ -517,7 +517,7 @@
         seen = self._clock.boottime()
         self._alive_at.update(dict.fromkeys(report.alive, seen))
         for death in report.deaths:
-            self._crashes.learn(death, now)
+            self._crashes.record_crash(death, now)
         for ended in report.ended:
             self._cluster.end_target(ended.target, ended.born)
         for miss in report.misses:
@@ -543,7 +543,7 @@
             configuration=self._cluster.version,
             configuration_seen=self._cluster.configuration_seen,
             store=self._informed(fresh),
-            deaths=self._crashes.deaths(now),
+            deaths=self._crashes.crashes(now),
             watchers=self._watchers(fresh),
             vms=len(fresh),
             take_over=vm.id in self._successors.asked,
@@ -597,7 +597,9 @@
     def _formers_lapse(self) -> float:
         """Time at which all grants of former leaders have run out."""
         tables = (keyed.table for keyed in self._services.values())
-        return self._formers.lapse(max((t.hold for t in tables), default=0.0))
+        return self._formers.grants_expire_at(
+            max((t.hold for t in tables), default=0.0)
+        )
 
     def longer_grants(self) -> float | None:
         """Returns how long grants that this VM has made longer may last.
@@ -608,7 +610,7 @@
 
     def _longer_seconds(self) -> float:
         """Returns how long longer grants may last, former leaders' included."""
-        until = max(self._lease.longer_until, self._formers_lapse)
+        until = max(self._lease.extended_grants_until, self._formers_lapse)
         return max(until - self._clock.boottime(), 0.0)
 
     def _watchers(
@@ -684,7 +686,7 @@
         self._serial += 1
         for keyed in self._services.values():
             self._disseminator.publish(
-                assignments.of_table(
+                assignments.from_table(
                     keyed.table,
                     (entry.epoch, self._serial),
                     keyed.reconciler.ready(),
@@ -701,7 +703,9 @@
             await self._confirm()
             reached = self._store_failing_since is None
             if self._witnesses is not None and reached:
-                clear_at = max(self._formers_lapse, self._lease.longer_until)
+                clear_at = max(
+                    self._formers_lapse, self._lease.extended_grants_until
+                )
                 await self._witnesses.name(self._revision, clear_at)
 
     async def _confirm(self) -> None:
@@ -814,7 +818,7 @@
         if now - newest < configured.settle and waited < configured.settle_most:
             return
         weights = {planning.holder(t): float(t.slots) for t in targets}
-        table = ranges.initial(service, weights, self._clock.new_id())
+        table = ranges.initial_table(service, weights, self._clock.new_id())
         keyed = self._new_keyed(table, 0)
         await self._commit(keyed, table)
 
@@ -831,7 +835,7 @@
         entry = self._entry
         if entry is None:
             return False
-        wrong = ranges.problem(table)
+        wrong = ranges.find_problem(table)
         if wrong:
             self._events.write(
                 "leader", "table_refused", service=table.service, why=wrong
@@ -895,7 +899,7 @@
     ) -> None:
         fresh = keyed.table.next_fence
         stale = {item.owner for item in table.ranges if item.fence < fresh}
-        renewed = table.holders() - stale
+        renewed = table.owners() - stale
         keyed.table = table
         keyed.revision = revision
         self._services[table.service] = keyed
@@ -940,5 +944,5 @@
     table: ranges.RangeTable, settled: Mapping[ranges.Piece, Iterable[int]]
 ) -> ranges.RangeTable:
     """Drops settled formers of pieces that a change has left as they were."""
-    cleaned = ranges.settle(table, settled, table.commit)
+    cleaned = ranges.remove_released(table, settled, table.commit)
     return msgspec.structs.replace(cleaned, version=table.version)
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/settings.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/settings.py
@@ -155,7 +155,7 @@
 
     def renewal_pace(self, ranges: int) -> leadership.RenewalPace:
         """Returns interval and duration of grants for a number of ranges."""
-        return leadership.paced(
+        return leadership.renewal_pace(
             ranges,
             leadership.RenewalPace(self.renew, self.hold),
             self.renew_slowest,
--- a/tests/gateway/test_lease_extension.py
+++ b/tests/gateway/test_lease_extension.py
@@ -1,4 +1,4 @@
-"""Which VMs are named as witnesses, and what they remember."""
+"""Which VMs are named as witnesses, and which promises they record."""
 
 import pytest
 
@@ -10,7 +10,7 @@
     return lease_extension.Witness(name, f"boot-{name}")
 
 
-class TestChosen:
+class TestChooseWitnesses:
     """The choice of witnesses."""
 
     @pytest.mark.parametrize(
@@ -26,8 +26,10 @@
         ],
     )
     def test_zones(self, able, names):
-        """Guards against one zone's fault taking all witnesses."""
-        chosen = lease_extension.chosen((_witness(n), zone) for n, zone in able)
+        """Guards against losing all witnesses to the failure of one zone."""
+        chosen = lease_extension.choose_witnesses(
+            (_witness(n), zone) for n, zone in able
+        )
         assert [w.vm for w in chosen] == names
 
     @pytest.mark.parametrize(
@@ -40,8 +42,8 @@
         ],
     )
     def test_outdated(self, named, present, expected):
-        """Others are named when one is lost, or when there are too few."""
-        found = lease_extension.outdated(
+        """Others are named if a witness is lost or there are too few."""
+        found = lease_extension.should_replace(
             [_witness(n) for n in named],
             {_witness(n) for n in present},
             len(present),
@@ -49,26 +51,26 @@
         assert found is expected
 
     def test_restarted_witness_is_lost(self):
-        """Guards against reliance on a run that has forgotten its promises."""
+        """Guards against reliance on an incarnation without its promises."""
         present = {lease_extension.Witness("a", "later")}
-        assert lease_extension.outdated([_witness("a")], present, 1)
+        assert lease_extension.should_replace([_witness("a")], present, 1)
 
 
 class TestPromises:
-    """A witness's memory."""
+    """What a witness records."""
 
     def test_longest_counts(self):
         """A shorter promise does not shorten an earlier one."""
         promises = lease_extension.Promises()
-        assert promises.seconds(0.0) is None
+        assert promises.seconds_left(0.0) is None
         promises.add(9.0)
         promises.add(4.0)
-        assert promises.seconds(2.0) == 7.0
-        assert promises.seconds(20.0) == -11.0
+        assert promises.seconds_left(2.0) == 7.0
+        assert promises.seconds_left(20.0) == -11.0
 
 
-class TestAuthority:
-    """Authority of a leader with witnesses."""
+class TestLeaderLease:
+    """Lease of a leader with witnesses."""
 
     @pytest.mark.parametrize(
         ("witnessed", "extended", "ends"),
@@ -86,7 +88,7 @@
             authority.need_witnesses()
         if extended:
             authority.extend(0.0)
-        assert authority.ends == ends
+        assert authority.expires_at == ends
         assert authority.extended is extended
 
     @pytest.mark.parametrize(
@@ -99,25 +101,25 @@
             (9.0, True, False, 3.0),
         ],
     )
-    def test_longer_grants_need_promises(
+    def test_extended_grants_need_promises(
         self, now, extended, replaceable, hold
     ):
-        """Guards against longer grants that no witness knows of."""
+        """Guards against extended grants that no witness can report."""
         authority = leadership.LeaderLease(10.0, 2.5)
         authority.confirm(0.0)
         authority.need_witnesses()
         authority.replaceable = replaceable
         if extended:
             authority.extend(0.0)
-        found = authority.hold_seconds(now, now, 2.0, 10.0, 1.6)
+        found = authority.grant_seconds(now, now, 2.0, 10.0, 1.6)
         assert found == pytest.approx(hold)
 
     def test_next_outage_needs_new_promises(self):
-        """Guards against one outage's promises serving for the next one."""
+        """Guards against use of one outage's promises in the next outage."""
         authority = leadership.LeaderLease(10.0, 2.5)
         authority.need_witnesses()
         authority.confirm(0.0)
         authority.extend(0.0)
         authority.confirm(9.0)
         assert not authority.extended
-        assert authority.ends == 11.5
+        assert authority.expires_at == 11.5
