--- a/packages/mimosastile-entry/src/mimosastile_entry/_keeper.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_keeper.py
@@ -1,4 +1,8 @@
-"""The keeper service: grants to the targets that this VM keeps."""
+"""Renews grants to the targets that have this VM as their keeper.
+
+A target's keeper is the entry VM through which alone the target gets requests
+and grants.
+"""
 
 import asyncio
 from collections.abc import Iterator
@@ -30,14 +34,14 @@
 from mimosastile_entry import ports
 
 _PREFIX = "keeper:"
-_PAUSE_SECONDS = 0.5
-"""Longest gap between two looks at the clock that is not a pause."""
+_MAX_CLOCK_GAP_SECONDS = 0.5
+"""A longer gap between two clock checks counts as a pause of this VM."""
 _RETRY_SECONDS = 0.5
-"""Wait after nobody could tell what has happened during a pause."""
+"""Delay before a retry when neither the store nor peers could be read."""
 
 
 class KeeperService:
-    """Renews grants, collects proofs of release and finishes moves."""
+    """Renews grants, collects proofs of release and completes moves."""
 
     __slots__ = (
         "_boot",
@@ -48,12 +52,12 @@
         "_kept",
         "_loads",
         "_lock",
-        "_outranked",
+        "_superseding_fences",
         "_proving",
         "_retiring",
         "_state",
         "_targets",
-        "_tick",
+        "_clock_task",
         "_vm",
         "_zone",
         "name",
@@ -80,7 +84,7 @@
         self._zone = zone
         self._boot = ""
         self._kept: dict[_kept.KeptId, _kept.Kept] = {}
-        self._outranked: dict[_kept.KeptId, int] = {}
+        self._superseding_fences: dict[_kept.KeptId, int] = {}
         self._retiring: dict[_kept.KeptId, gates.GatedTarget] = {}
         self._lock = asyncio.Lock()
         self._state: _state.StateService
@@ -91,22 +95,22 @@
         self._catch_up: _catchup.CatchUp
         self._guard: pauses.PauseGuard
         self._proving: _proving.Proving
-        self._tick: asyncio.Task[None] | None = None
+        self._clock_task: asyncio.Task[None] | None = None
 
     @property
     def boot(self) -> str:
-        """Identifier of this run of the daemon."""
+        """Identifier of this incarnation of the daemon."""
         return self._boot
 
     def is_keeper(self, keeper: tables.KeeperRef | None) -> bool:
-        """Whether a table names this run of the daemon as keeper."""
+        """Whether a table names this incarnation of the daemon as keeper."""
         return keeper is not None and (keeper.vm, keeper.boot) == (
             self._vm,
             self._boot,
         )
 
     async def start(self, kernel: kernel.Kernel) -> None:
-        """Begins to keep what the tables name this VM for."""
+        """Starts keeping the targets that the tables assign to this VM."""
         self._clock = kernel.find("clock")
         self._state = kernel.find("state")
         self._fleet = kernel.find("fleet")
@@ -114,24 +118,28 @@
         self._loads = kernel.find("loads")
         self._boot = self._clock.new_id()
         self._catch_up = _catchup.CatchUp(self._vm, self._zone, kernel)
-        self._guard = pauses.PauseGuard(_PAUSE_SECONDS, self._clock.now())
+        self._guard = pauses.PauseGuard(
+            _MAX_CLOCK_GAP_SECONDS, self._clock.now()
+        )
         self._proving = _proving.Proving(
             self._kept, self._state, self._fleet, self._clock, self._guard
         )
-        self._tick = asyncio.create_task(self._look(), name="keeper-clock")
+        self._clock_task = asyncio.create_task(
+            self._check_clock(), name="keeper-clock"
+        )
         self._state.replica.subscribe(self.reconcile)
         self.reconcile()
 
     async def stop(self) -> None:
-        """Stops renewing."""
-        if self._tick is not None:
-            self._tick.cancel()
+        """Stops all renewals."""
+        if self._clock_task is not None:
+            self._clock_task.cancel()
         for kept in self._kept.values():
             kept.cancel()
         self._kept.clear()
 
     def dump(self) -> dict[str, Any]:
-        """Returns the kept targets."""
+        """Returns the state of each kept target."""
         return {
             f"{_state.block_key(block)}/{target}": {
                 "keeper_fence": kept.state.keeper_fence,
@@ -143,36 +151,43 @@
         }
 
     def reconcile(self) -> None:
-        """Starts, wakes and ends the renewing as the tables now say."""
+        """Starts, wakes and stops renewals to match the current tables."""
         wanted = {
             (block.id, target): keeper
             for block in self._state.replica.blocks.values()
             if block.slices
             for target, keeper in block.keepers.items()
             if self.is_keeper(keeper)
-            and keeper.fence > self._outranked.get((block.id, target), 0)
+            and keeper.fence
+            > self._superseding_fences.get((block.id, target), 0)
         }
-        for at in [at for at in self._kept if at not in wanted]:
-            self._end(at)
-        for at, keeper in wanted.items():
-            kept = self._kept.get(at)
+        for kept_id in [
+            kept_id for kept_id in self._kept if kept_id not in wanted
+        ]:
+            self._stop_keeping(kept_id)
+        for kept_id, keeper in wanted.items():
+            kept = self._kept.get(kept_id)
             if kept is not None and kept.state.keeper_fence != keeper.fence:
-                self._end(at)
+                self._stop_keeping(kept_id)
                 kept = None
             if kept is None:
-                self._begin(at, keeper)
+                self._start_keeping(kept_id, keeper)
             else:
                 kept.wake.set()
 
-    def awaited(self) -> Iterator[tuple[messages.Role, tables.FormerKeeper]]:
-        """Yields each role with a former keeper that is to be silent first."""
-        for at, kept in self._kept.items():
+    def unreleased_former_keepers(
+        self,
+    ) -> Iterator[tuple[messages.Role, tables.FormerKeeper]]:
+        """Yields the former keepers not known to have stopped, each by role."""
+        for kept_id, kept in self._kept.items():
             if kept.state.awaits_silence:
-                role = messages.Role(*at, kept.state.keeper_fence)
+                role = messages.Role(*kept_id, kept.state.keeper_fence)
                 yield from ((role, former) for former in kept.former)
 
-    def silence(self, role: messages.Role, former: tables.FormerKeeper) -> None:
-        """Notes that a former keeper is known to send nothing more."""
+    def record_former_stopped(
+        self, role: messages.Role, former: tables.FormerKeeper
+    ) -> None:
+        """Records that a former keeper sends nothing more."""
         kept = self._kept.get((role.block, role.target))
         if kept is None or kept.state.keeper_fence != role.fence:
             return
@@ -181,38 +196,38 @@
             kept.state.former_keepers_stopped(self._clock.now())
             kept.wake.set()
 
-    def orphan(self, role: messages.Role) -> None:
-        """Notes that a former keeper ended and acknowledged nothing."""
+    def record_former_lost(self, role: messages.Role) -> None:
+        """Records that a former keeper ended without acknowledging its stop."""
         kept = self._kept.get((role.block, role.target))
         if kept is not None and isinstance(kept.state, gates.GatedTarget):
             kept.state.former_keeper_lost()
 
-    def settled_fences(self, block: tables.BlockId) -> dict[str, int]:
-        """Returns target to fence where no former keeper matters any more."""
+    def released_fences(self, block: tables.BlockId) -> dict[str, int]:
+        """Returns the fences of targets whose former keepers have stopped."""
         return {
             target: kept.state.keeper_fence
-            for (at, target), kept in self._kept.items()
-            if at == block and not kept.state.awaits_silence
+            for (block_id, target), kept in self._kept.items()
+            if block_id == block and not kept.state.awaits_silence
         }
 
     def stand_down(self, role: messages.Role) -> bool:
         """Ends a role because another VM has it under a higher fence.
 
         Returns:
-            Whether nothing of it can reach the target any more, or whatever
-            does is refused there.
+            Whether no request of the role can reach the target any more, or
+            the target refuses those that do.
         """
-        at = (role.block, role.target)
-        known = self._outranked.get(at, 0)
-        # The role with this very fence is the sender's, all below are over.
-        self._outranked[at] = max(known, role.fence)
-        kept = self._kept.get(at)
+        kept_id = (role.block, role.target)
+        current = self._superseding_fences.get(kept_id, 0)
+        # The sender holds the role with this fence; all lower ones have ended.
+        self._superseding_fences[kept_id] = max(current, role.fence)
+        kept = self._kept.get(kept_id)
         if kept is not None and kept.state.keeper_fence < role.fence:
-            self._end(at)
+            self._stop_keeping(kept_id)
         return self.has_retired(role)
 
     def has_retired(self, role: messages.Role) -> bool:
-        """Whether nothing of an earlier role of this run can be running."""
+        """Whether no request of an earlier role here can still be running."""
         retiring = self._retiring.get((role.block, role.target))
         return retiring is None or retiring.idle
 
@@ -224,7 +239,8 @@
     ) -> result.Result[ports.Response, errors.Failure]:
         """Sends a request to a kept target, as `TargetPort.send` does.
 
-        Requests for a key of a target that checks nothing pass a gate here.
+        If the target doesn't check fences, requests for its keys pass through
+        the gate of the target first.
         """
         kept = self._kept.get((fence.block, vm.id)) if fence else None
         if fence is not None and not self._may_send(kept):
@@ -242,89 +258,104 @@
     def _may_send(self, kept: _kept.Kept | None) -> bool:
         return kept is not None and self._guard.is_open(self._clock.now())
 
-    def _begin(self, at: _kept.KeptId, keeper: tables.KeeperRef) -> None:
-        block, target = at
+    def _start_keeping(
+        self, kept_id: _kept.KeptId, keeper: tables.KeeperRef
+    ) -> None:
+        block, target = kept_id
         service = self._service(block.service)
         if service is None:
             return
-        silent = not keeper.former
+        former_stopped = not keeper.former
         state: keeping.Kept
         if service.checks_orders:
             now = self._clock.now()
             state = grants.KeptTarget(
-                block, target, keeper.fence, service.grant, now, silent
+                block, target, keeper.fence, service.grant, now, former_stopped
             )
         else:
-            state = gates.GatedTarget(block, target, keeper.fence, silent)
+            state = gates.GatedTarget(
+                block, target, keeper.fence, former_stopped
+            )
         kept = _kept.Kept(state, keeper.former)
-        self._kept[at] = kept
+        self._kept[kept_id] = kept
         kept.task = asyncio.create_task(
             self._keep(kept, block), name=f"keep-{target}"
         )
-        logging.info("%s keeps %s for %s.", _PREFIX, target, block.service)
+        logging.info(
+            "%s started keeping %s for %s.", _PREFIX, target, block.service
+        )
 
-    def _end(self, at: _kept.KeptId) -> None:
-        kept = self._kept.pop(at)
+    def _stop_keeping(self, kept_id: _kept.KeptId) -> None:
+        kept = self._kept.pop(kept_id)
         kept.cancel()
         if isinstance(kept.state, gates.GatedTarget):
             kept.state.set_wanted(())
             if not kept.state.idle:
-                self._retiring[at] = kept.state
-        logging.info("%s keeps %s no longer.", _PREFIX, at[1])
+                self._retiring[kept_id] = kept.state
+        logging.info("%s stopped keeping %s.", _PREFIX, kept_id[1])
 
     def _service(self, name: str) -> config.Service | None:
         return self._state.replica.config.document.services.get(name)
 
-    async def _look(self) -> None:
+    async def _check_clock(self) -> None:
         while True:
             self._guard.is_open(self._clock.now())
-            self._loads.set_heard(self._heard())
-            await asyncio.sleep(_PAUSE_SECONDS / 5)
+            self._loads.set_heard(self._responding_targets())
+            await asyncio.sleep(_MAX_CLOCK_GAP_SECONDS / 5)
 
-    def _heard(self) -> dict[str, tuple[str, ...]]:
-        """Returns by service the kept targets that answer."""
+    def _responding_targets(self) -> dict[str, tuple[str, ...]]:
+        """Returns the responsive kept targets by service."""
         now = self._clock.now()
-        heard: dict[str, set[str]] = {}
-        for (at, target), kept in self._kept.items():
-            if not _kept.is_unheard(kept.state, now):
-                heard.setdefault(at.service, set()).add(target)
-        return {name: tuple(sorted(vms)) for name, vms in heard.items()}
-
-    async def _awake(self) -> None:
-        """Returns once this VM may speak as a keeper."""
+        responding: dict[str, set[str]] = {}
+        for (block_id, target), kept in self._kept.items():
+            if not _kept.is_unresponsive(kept.state, now):
+                responding.setdefault(block_id.service, set()).add(target)
+        return {name: tuple(sorted(vms)) for name, vms in responding.items()}
+
+    async def _wait_until_current(self) -> None:
+        """Waits until this VM may send as a keeper.
+
+        After a pause, it first reads the tables again: this VM may have been
+        replaced as keeper meanwhile.
+        """
         if self._guard.is_open(self._clock.now()):
             return
         async with self._lock:
             while not self._guard.is_open(self._clock.now()):
-                began = await self._catch_up.everything()
-                if began is None:
+                read_started_at = await self._catch_up.everything()
+                if read_started_at is None:
                     await asyncio.sleep(_RETRY_SECONDS)
                     continue
-                self._guard.tables_read(began)
-                logging.warning("%s was paused, has caught up.", _PREFIX)
+                self._guard.tables_read(read_started_at)
+                logging.warning(
+                    "%s resumed after a pause; tables are up to date.", _PREFIX
+                )
                 for kept in self._kept.values():
                     _kept.resume(kept.state, self._clock.now())
 
-    async def _keep(self, kept: _kept.Kept, at: tables.BlockId) -> None:
+    async def _keep(self, kept: _kept.Kept, block_id: tables.BlockId) -> None:
         while not _kept.is_replaced(kept.state):
             kept.wake.clear()
-            await self._awake()
-            service = self._service(at.service) or config.Service()
-            self._order(kept, at, service)
-            await self._exchange(kept, at, service)
-            self._proving.conclude(kept, at, service)
-            await self._rest(kept, service)
-
-    def _order(
-        self, kept: _kept.Kept, at: tables.BlockId, service: config.Service
+            await self._wait_until_current()
+            service = self._service(block_id.service) or config.Service()
+            self._set_wanted(kept, block_id, service)
+            await self._exchange_grant(kept, block_id, service)
+            self._proving.conclude(kept, block_id, service)
+            await self._wait_for_renewal(kept, service)
+
+    def _set_wanted(
+        self,
+        kept: _kept.Kept,
+        block_id: tables.BlockId,
+        service: config.Service,
     ) -> None:
-        """Sets what the target should own as the block now says."""
-        block = self._state.replica.blocks[at]
+        """Sets the slices that the target should own by the current block."""
+        block = self._state.replica.blocks[block_id]
         proof = kept.proof
 
-        def withheld(piece: tables.Slice) -> bool:
-            handed_in = proof is not None and moves.proves(proof, block, piece)
-            return handed_in or self._state.writes.withholds(at, piece)
+        def withheld(slice_: tables.Slice) -> bool:
+            in_proof = proof is not None and moves.proves(proof, block, slice_)
+            return in_proof or self._state.writes.withholds(block_id, slice_)
 
         target = kept.state.target
         kept.state.set_wanted(keeping.wanted(block, target, withheld))
@@ -332,42 +363,49 @@
             kept.state.prepare(keeping.prepared(block, target))
             kept.state.set_timing(service.grant)
 
-    async def _exchange(
-        self, kept: _kept.Kept, at: tables.BlockId, service: config.Service
+    async def _exchange_grant(
+        self,
+        kept: _kept.Kept,
+        block_id: tables.BlockId,
+        service: config.Service,
     ) -> None:
-        vm = self._fleet.fleet.targets(at.service).get(kept.state.target)
+        vm = self._fleet.fleet.targets(block_id.service).get(kept.state.target)
         state = kept.state
         if vm is None or not isinstance(state, grants.KeptTarget):
             return
         message = state.message()
         left = state.expires_at - self._clock.now()
         longest = service.grant.timeout
-        # Waits no longer than it takes to know that the grant has lapsed.
+        # Waits no longer than until the grant has certainly expired.
         timeout = (
-            min(longest, left + _kept.SHORTEST_REST) if left > 0 else longest
+            min(longest, left + _kept.EXPIRY_MARGIN_SECONDS)
+            if left > 0
+            else longest
         )
         reply = await self._targets.grant(vm, message, timeout)
         if isinstance(reply, result.Ok):
             state.handle_reply(message, reply.ok_value, self._clock.now())
         if state.needs_confirmation:
-            await self._confirm(state, at)
+            await self._confirm(state, block_id)
 
     async def _confirm(
-        self, state: grants.KeptTarget, at: tables.BlockId
+        self, state: grants.KeptTarget, block_id: tables.BlockId
     ) -> None:
-        began = await self._catch_up.block(at)
-        if began is None:
+        read_started_at = await self._catch_up.block(block_id)
+        if read_started_at is None:
             return
-        keeper = self._state.replica.blocks[at].keepers.get(state.target)
+        keeper = self._state.replica.blocks[block_id].keepers.get(state.target)
         if keeper is not None and keeper.fence == state.keeper_fence:
-            state.confirm(began)
+            state.confirm(read_started_at)
 
-    async def _rest(self, kept: _kept.Kept, service: config.Service) -> None:
-        rest = _kept.rest_seconds(
+    async def _wait_for_renewal(
+        self, kept: _kept.Kept, service: config.Service
+    ) -> None:
+        seconds = _kept.wait_seconds(
             kept.state, service.grant.renew, self._clock.now()
         )
         with contextlib.suppress(TimeoutError):
-            # Not `wait_for`: in Python 3.11 it loses a cancellation that comes
-            # together with the event; an ended keeper would go on renewing.
-            async with asyncio.timeout(rest):
+            # `wait_for` in Python 3.11 loses a cancellation that coincides with
+            # the event; a stopped keeper would then go on renewing.
+            async with asyncio.timeout(seconds):
                 await kept.wake.wait()
--- a/packages/mimosastile-entry/src/mimosastile_entry/_kept.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_kept.py
@@ -1,4 +1,4 @@
-"""A kept target as the keeper service holds it."""
+"""State that the keeper service holds for each kept target."""
 
 import asyncio
 import functools
@@ -9,25 +9,25 @@
 from mimosastile_core import moves
 from mimosastile_core import tables
 
-SHORTEST_REST = 0.002
-"""Seconds to wait beyond a moment, so as to be after it for certain."""
+EXPIRY_MARGIN_SECONDS = 0.002
+"""Extra wait, so that a timer surely fires after the expiry it waits for."""
 
 KeptId = tuple[tables.BlockId, str]
 
 
 class Kept:
-    """A kept target and what goes on about it.
+    """A kept target and the tasks that serve it.
 
     Attributes:
-        state: What is known of the target.
-        former: Former keepers that are not known to be silent.
-        proof: Proof of release that is being handed in. While it is, its
-            slices are not granted, whatever the target answers meanwhile.
-        gone_since: Since when the list has lacked the target's VM.
-        retry_at: No change is tried before this time.
-        task: The task that renews.
-        write: The task that hands the proof in.
-        wake: Ends a rest.
+        state: Grant or gate state of the target.
+        former: Former keepers that are not known to have stopped.
+        proof: Proof of release that is being written to the store. Until the
+            write ends, its slices are not granted, however the target responds.
+        gone_since: When the target's VM was first missing from the VM list.
+        retry_at: Earliest time for the next change of the block.
+        task: The task that renews grants.
+        write: The task that changes the block, for example with a proof.
+        wake: Ends the wait for the next renewal.
     """
 
     __slots__ = (
@@ -54,7 +54,7 @@
         self.write: asyncio.Task[None] | None = None
 
     def cancel(self) -> None:
-        """Ends both tasks."""
+        """Cancels both tasks."""
         for task in (self.task, self.write):
             if task is not None:
                 task.cancel()
@@ -62,7 +62,7 @@
 
 @functools.singledispatch
 def is_replaced(state: keeping.Kept) -> bool:
-    """Whether the target knows a newer keeper."""
+    """Whether the target has reported a newer keeper."""
     raise TypeError(f"not a kept target: {state!r}")
 
 
@@ -78,41 +78,41 @@
 
 
 @functools.singledispatch
-def rest_seconds(state: keeping.Kept, renew: float, now: float) -> float:
-    """Returns how long to wait before a target is looked at again.
+def wait_seconds(state: keeping.Kept, renew: float, now: float) -> float:
+    """Returns the seconds until a target is due for its next renewal.
 
     Args:
         state: The kept target.
-        renew: Interval of renewals in seconds.
-        now: Present time.
+        renew: Renewal interval in seconds.
+        now: Current time in seconds.
     """
     raise TypeError(f"not a kept target: {state!r}")
 
 
-@rest_seconds.register
+@wait_seconds.register
 def _(state: grants.KeptTarget, renew: float, now: float) -> float:
-    answers = (
+    responsive = (
         state.last_reply_at is not None and now - state.last_reply_at < renew
     )
-    if answers and not state.synchronized and not state.needs_confirmation:
+    if responsive and not state.synchronized and not state.needs_confirmation:
         return renew / 10
-    # A lapse is noticed when it happens, not at the next renewal.
+    # An expiry is detected when it happens, not at the next renewal.
     left = state.expires_at - now
-    return min(renew, left + SHORTEST_REST) if left > 0 else renew
+    return min(renew, left + EXPIRY_MARGIN_SECONDS) if left > 0 else renew
 
 
-@rest_seconds.register
+@wait_seconds.register
 def _(state: gates.GatedTarget, renew: float, now: float) -> float:
     del state, now
     return renew
 
 
-def is_unheard(state: keeping.Kept, now: float) -> bool:
-    """Whether a target has not answered for as long as a grant lasts."""
+def is_unresponsive(state: keeping.Kept, now: float) -> bool:
+    """Whether a target has not responded for a whole grant duration."""
     return isinstance(state, grants.KeptTarget) and now > state.expires_at
 
 
 def resume(state: keeping.Kept, now: float) -> None:
-    """Notes that the keeper goes on after a pause."""
+    """Extends the grant state after a pause of the keeper."""
     if isinstance(state, grants.KeptTarget):
         state.extend_after_pause(now)
--- a/packages/mimosastile-entry/src/mimosastile_entry/_proving.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_proving.py
@@ -1,4 +1,4 @@
-"""Hands proofs of release in and ends doubts about writes."""
+"""Writes proofs of release and resolves writes with an unknown outcome."""
 
 import asyncio
 import functools
@@ -20,17 +20,24 @@
 
 _PREFIX = "keeper:"
 _RETRY_SECONDS = 0.5
-"""Wait after the store did not take a change."""
+"""Delay before a retry after the store did not accept a change."""
 
 
 class Proving:
-    """Looks at kept targets and changes their block where that follows.
+    """Changes the blocks of kept targets as the targets' states require.
 
-    One change at a time is under way for a target, beside its renewals: a
-    slow store must not keep the slices that stay from being renewed.
+    Each target has at most one change in progress. It runs concurrently with
+    renewals: a slow store must not delay the renewal of the other slices.
     """
 
-    __slots__ = ("_clock", "_fleet", "_guard", "_kept", "_settling", "_state")
+    __slots__ = (
+        "_clock",
+        "_fleet",
+        "_guard",
+        "_kept",
+        "_settling_blocks",
+        "_state",
+    )
 
     def __init__(
         self,
@@ -40,85 +47,108 @@
         clock: ports.ClockPort,
         guard: pauses.PauseGuard,
     ) -> None:
-        """Makes it for a keeper's targets.
+        """Initializes the instance for a keeper's targets.
 
         Args:
             kept: All kept targets.
-            state: Changes blocks.
-            fleet: Knows which targets are listed.
-            clock: Tells the time.
-            guard: Tells whether this VM may speak as a keeper.
+            state: Holds the blocks and changes them.
+            fleet: Holds the list of targets.
+            clock: Source of the current time.
+            guard: Detects pauses, after which this VM may not send as a keeper.
         """
         self._kept = kept
         self._state = state
         self._fleet = fleet
         self._clock = clock
         self._guard = guard
-        self._settling: set[tables.BlockId] = set()
+        self._settling_blocks: set[tables.BlockId] = set()
 
     def conclude(
-        self, kept: _kept.Kept, at: tables.BlockId, service: config.Service
+        self,
+        kept: _kept.Kept,
+        block_id: tables.BlockId,
+        service: config.Service,
     ) -> None:
-        """Hands in a proof if there is one, or ends doubts about a write."""
+        """Starts the next change of the block that a kept target requires.
+
+        In this order: a proof of release, the withdrawal of a move that can't
+        be proved, a change of reachability, and a pending write.
+        """
         now = self._clock.now()
         if kept.write is not None and not kept.write.done():
             return
         if now < kept.retry_at or not self._guard.is_open(now):
             return
-        proof = self._proof(kept, at, service)
+        proof = self._proof(kept, block_id, service)
         if proof is not None:
             kept.proof = proof
             kept.write = asyncio.create_task(
-                self._hand_in(kept, at, proof), name=f"prove-{proof.target}"
+                self._submit_proof(kept, block_id, proof),
+                name=f"prove-{proof.target}",
             )
-        elif plan := self._stuck(kept, at):
+        elif plan := self._unprovable_moves(kept, block_id):
             kept.write = asyncio.create_task(
-                self._try(kept, at, lambda b: moves.start_moves(b, plan)),
-                name=f"stay-{at.service}",
+                self._apply_change(
+                    kept, block_id, lambda b: moves.start_moves(b, plan)
+                ),
+                name=f"stay-{block_id.service}",
             )
-        elif note := self._note(kept, at):
+        elif change := self._reachability_change(kept, block_id):
             kept.write = asyncio.create_task(
-                self._try(kept, at, note), name=f"note-{at.service}"
+                self._apply_change(kept, block_id, change),
+                name=f"note-{block_id.service}",
             )
-        elif self._state.writes.is_pending(at) and at not in self._settling:
-            self._settling.add(at)
+        elif (
+            self._state.writes.is_pending(block_id)
+            and block_id not in self._settling_blocks
+        ):
+            self._settling_blocks.add(block_id)
             kept.write = asyncio.create_task(
-                self._settle(kept, at), name=f"settle-{at.service}"
+                self._settle(kept, block_id), name=f"settle-{block_id.service}"
             )
 
-    def _stuck(self, kept: _kept.Kept, at: tables.BlockId) -> dict[int, str]:
+    def _unprovable_moves(
+        self, kept: _kept.Kept, block_id: tables.BlockId
+    ) -> dict[int, str]:
         target = kept.state.target
-        if target not in self._fleet.fleet.live_targets(at.service):
+        if target not in self._fleet.fleet.live_targets(block_id.service):
             return {}
-        owned = self._state.replica.blocks[at].owned_by(target)
+        owned = self._state.replica.blocks[block_id].owned_by(target)
         return keeping.unprovable_moves(kept.state, owned)
 
-    def _note(
-        self, kept: _kept.Kept, at: tables.BlockId
+    def _reachability_change(
+        self, kept: _kept.Kept, block_id: tables.BlockId
     ) -> _state.Change | None:
-        """Returns the change that says whether the target answers."""
+        """Returns a change that records whether the target responds, if due."""
         state = kept.state
         if not isinstance(state, grants.KeptTarget):
             return None
-        lost = _kept.is_unheard(state, self._clock.now())
-        note = functools.partial(
+        lost = _kept.is_unresponsive(state, self._clock.now())
+        change = functools.partial(
             moves.record_lost,
             target=state.target,
             keeper_fence=state.keeper_fence,
             lost=lost,
         )
-        return note if note(self._state.replica.blocks[at]).is_ok() else None
+        return (
+            change
+            if change(self._state.replica.blocks[block_id]).is_ok()
+            else None
+        )
 
-    async def _try(
-        self, kept: _kept.Kept, at: tables.BlockId, change: _state.Change
+    async def _apply_change(
+        self, kept: _kept.Kept, block_id: tables.BlockId, change: _state.Change
     ) -> None:
-        outcome = await self._state.change(at, change)
+        outcome = await self._state.change(block_id, change)
         if outcome.is_err():
             kept.retry_at = self._clock.now() + _RETRY_SECONDS
         kept.wake.set()
 
     def _proof(
-        self, kept: _kept.Kept, at: tables.BlockId, service: config.Service
+        self,
+        kept: _kept.Kept,
+        block_id: tables.BlockId,
+        service: config.Service,
     ) -> moves.Proof | None:
         now = self._clock.now()
         target = kept.state.target
@@ -132,44 +162,46 @@
             service.grant.max_validity,
             kept.gone_since,
         )
-        owned = self._state.replica.blocks[at].owned_by(target)
+        owned = self._state.replica.blocks[block_id].owned_by(target)
         return keeping.proof(kept.state, owned, evidence)
 
-    async def _hand_in(
-        self, kept: _kept.Kept, at: tables.BlockId, proof: moves.Proof
+    async def _submit_proof(
+        self, kept: _kept.Kept, block_id: tables.BlockId, proof: moves.Proof
     ) -> None:
         def change(block: tables.Block) -> moves.BlockResult:
-            chosen = self._chooser(block, proof.target)
-            return moves.finish_moves(block, proof, chosen)
+            choose_owner = self._owner_chooser(block, proof.target)
+            return moves.finish_moves(block, proof, choose_owner)
 
         try:
-            outcome = await self._state.change(at, change)
+            outcome = await self._state.change(block_id, change)
             if isinstance(outcome, result.Ok):
                 kind = type(proof).__name__.lower()
-                logging.info("%s %s is %s.", _PREFIX, proof.target, kind)
+                logging.info(
+                    "%s recorded proof for %s: %s.", _PREFIX, proof.target, kind
+                )
             else:
                 kept.retry_at = self._clock.now() + _RETRY_SECONDS
         finally:
             kept.proof = None
             kept.wake.set()
 
-    async def _settle(self, kept: _kept.Kept, at: tables.BlockId) -> None:
+    async def _settle(self, kept: _kept.Kept, block_id: tables.BlockId) -> None:
         try:
-            if not await self._state.settle(at):
+            if not await self._state.settle(block_id):
                 kept.retry_at = self._clock.now() + _RETRY_SECONDS
         finally:
-            self._settling.discard(at)
+            self._settling_blocks.discard(block_id)
 
-    def _chooser(
+    def _owner_chooser(
         self, block: tables.Block, lost: str
     ) -> placement.OwnerChooser:
         live = set(self._fleet.fleet.live_targets(block.service)) - {lost}
         now = self._clock.now()
-        unheard = {
+        unresponsive = {
             target
-            for (at, target), kept in self._kept.items()
-            if at == block.id and _kept.is_unheard(kept.state, now)
+            for (block_id, target), kept in self._kept.items()
+            if block_id == block.id and _kept.is_unresponsive(kept.state, now)
         }
         return placement.owner_chooser(
-            block, (live & block.reachable()) - unheard
+            block, (live & block.reachable()) - unresponsive
         )
--- a/packages/mimosastile-entry/src/mimosastile_entry/_roles.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_roles.py
@@ -1,4 +1,4 @@
-"""The roles service: who keeps which target, and the change of keepers."""
+"""Claims keeper roles and hands them over between entry VMs."""
 
 import asyncio
 from collections.abc import Callable
@@ -25,25 +25,25 @@
 from mimosastile_entry import ports
 
 _PREFIX = "roles:"
-_TICK_SECONDS = 0.25
-_ASK_SECONDS = 0.1
+_CLAIM_INTERVAL_SECONDS = 0.25
+_QUERY_INTERVAL_SECONDS = 0.1
 _RETRY_SECONDS = 0.5
-_CALL_SECONDS = 0.3
-_HANDOVER_STEP = 0.05
+_CALL_TIMEOUT_SECONDS = 0.3
+_HANDOVER_INTERVAL_SECONDS = 0.05
 
 
 class Membership(Protocol):
-    """The part of the membership service that takeovers use."""
+    """The interface of the membership service that takeovers need."""
 
     def suspects(self, vm: str) -> bool:
-        """Whether an entry VM seems lost."""
+        """Whether an entry VM is suspected to have failed."""
 
     def subscribe(self, listener: Callable[[], None]) -> None:
-        """Calls the listener when a suspicion begins or ends."""
+        """Calls the listener when a suspicion starts or ends."""
 
 
-class _Nobody:
-    """Suspects nobody, where there is no membership service."""
+class _NoSuspicions:
+    """Suspects no VM; stands in for an absent membership service."""
 
     def suspects(self, vm: str) -> bool:
         """Returns False."""
@@ -56,7 +56,7 @@
 
 
 class RolesService:
-    """Claims roles, hands them over and asks former keepers for silence."""
+    """Claims roles, hands them over and asks former keepers to stop."""
 
     __slots__ = (
         "_claimed",
@@ -100,7 +100,7 @@
         self._stopping = False
         self._wake = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
-        self._membership: Membership = _Nobody()
+        self._membership: Membership = _NoSuspicions()
         self._clock: ports.ClockPort
         self._state: _state.StateService
         self._fleet: _fleet.FleetService
@@ -108,7 +108,7 @@
         self._peers: ports.PeerPort
 
     async def start(self, kernel: kernel.Kernel) -> None:
-        """Begins to claim roles."""
+        """Starts claiming roles."""
         self._clock = kernel.find("clock")
         self._state = kernel.find("state")
         self._fleet = kernel.find("fleet")
@@ -116,38 +116,40 @@
         self._peers = kernel.find("peers")
         inbox: _inbox.InboxService = kernel.find("inbox")
         inbox.handle(messages.StandDown, self._stand_down)
-        inbox.handle(messages.Handover, self._take_offer)
+        inbox.handle(messages.Handover, self._receive_handover)
         with contextlib.suppress(LookupError):
             self._membership = kernel.find("membership")
         self._membership.subscribe(self._wake.set)
         self._fleet.subscribe(self._wake.set)
         self._state.replica.subscribe(self._wake.set)
         self._tasks = [
-            asyncio.create_task(self._claim_always(), name="roles-claim"),
-            asyncio.create_task(self._ask_always(), name="roles-ask"),
+            asyncio.create_task(self._claim_roles(), name="roles-claim"),
+            asyncio.create_task(self._query_former_keepers(), name="roles-ask"),
         ]
 
     async def stop(self) -> None:
-        """Ends the claiming."""
+        """Stops claiming roles."""
         for task in self._tasks:
             task.cancel()
 
     def dump(self) -> dict[str, Any]:
-        """Returns what this VM claims and awaits."""
+        """Returns the number of claims and the former keepers to wait for."""
         return {
             "claims": self._claimed,
             "stopping": self._stopping,
-            "awaited": sorted({f.vm for _, f in self._keeper.awaited()}),
+            "awaited": sorted(
+                {f.vm for _, f in self._keeper.unreleased_former_keepers()}
+            ),
         }
 
     async def hand_over(self, seconds: float = 2.0) -> None:
-        """Gives all roles to peers of the zone before a graceful stop.
+        """Hands all roles to peers of the zone before a graceful stop.
 
-        This VM goes on as keeper until each role has its next keeper, so
-        callers notice nothing.
+        This VM remains keeper until each role has its next keeper, so that no
+        call fails.
 
         Args:
-            seconds: Longest time to wait for the peers.
+            seconds: Longest wait for the peers.
         """
         self._stopping = True
         end = self._clock.now() + seconds
@@ -159,17 +161,19 @@
                 self._peers.call(
                     self._fleet.fleet.entries[vm],
                     messages.Handover(self._vm, tuple(offered)),
-                    _CALL_SECONDS,
+                    _CALL_TIMEOUT_SECONDS,
                 )
                 for vm, offered in offers.items()
             )
             await asyncio.gather(*calls)
-            await asyncio.sleep(_HANDOVER_STEP)
-        logging.warning("%s stops with roles that nobody took.", _PREFIX)
+            await asyncio.sleep(_HANDOVER_INTERVAL_SECONDS)
+        logging.warning(
+            "%s stopping with roles that no peer has claimed.", _PREFIX
+        )
 
     def _offers(self) -> dict[str, list[messages.Role]]:
-        """Returns the own roles by the VM that should take them."""
-        others = [
+        """Returns the roles of this VM by the peer that should claim them."""
+        peers = [
             vm
             for vm in self._fleet.fleet.live_entries().values()
             if vm.id != self._vm and not self._membership.suspects(vm.id)
@@ -177,37 +181,37 @@
         offers: dict[str, list[messages.Role]] = {}
         for block in self._state.replica.blocks.values():
             listed = self._fleet.fleet.targets(block.service)
-            mine = [
+            own = [
                 listed[target]
                 for target, keeper in block.keepers.items()
                 if self._keeper.is_keeper(keeper) and target in listed
             ]
-            for target, vm in roles.assign_keepers(block, mine, others).items():
+            for target, vm in roles.assign_keepers(block, own, peers).items():
                 fence = block.keepers[target].fence
                 role = messages.Role(block.id, target, fence)
                 offers.setdefault(vm, []).append(role)
         return offers
 
-    def _take_offer(self, handover: messages.Handover) -> messages.Ack:
+    def _receive_handover(self, handover: messages.Handover) -> messages.Ack:
         for role in handover.roles:
             self._offered.setdefault(role.block, {})[role.target] = role.fence
         self._wake.set()
         return messages.Ack(self._vm)
 
-    def _stand_down(self, question: messages.StandDown) -> messages.StoodDown:
-        ended = tuple(r for r in question.roles if self._keeper.stand_down(r))
+    def _stand_down(self, request: messages.StandDown) -> messages.StoodDown:
+        ended = tuple(r for r in request.roles if self._keeper.stand_down(r))
         return messages.StoodDown(self._vm, self._keeper.boot, ended)
 
-    async def _claim_always(self) -> None:
+    async def _claim_roles(self) -> None:
         while True:
             self._wake.clear()
             for block in list(self._state.replica.blocks.values()):
                 await self._claim(block)
-                await self._forget(block.id)
+                await self._drop_former_keepers(block.id)
             with contextlib.suppress(TimeoutError):
-                # Not `wait_for`: in Python 3.11 it loses a cancellation that
-                # comes together with the event; the task would go on for good.
-                async with asyncio.timeout(_TICK_SECONDS):
+                # `wait_for` in Python 3.11 loses a cancellation that coincides
+                # with the event; the task would then never end.
+                async with asyncio.timeout(_CLAIM_INTERVAL_SECONDS):
                     await self._wake.wait()
 
     async def _claim(self, block: tables.Block) -> None:
@@ -223,7 +227,7 @@
         allowed = {claim.target for claim in due}
         checks = self._service(block.id).checks_orders
         outcome = await self._state.change(
-            block.id, lambda b: self._named(b, allowed, checks)
+            block.id, lambda b: self._set_keepers(b, allowed, checks)
         )
         if isinstance(outcome, result.Ok):
             self._claimed += len(due)
@@ -240,72 +244,77 @@
             or self._takeover_backoff.allows(block.id, claim.target, now)
         ]
 
-    def _named(
+    def _set_keepers(
         self, block: tables.Block, allowed: set[str], checks_orders: bool
     ) -> moves.BlockResult:
-        # Another VM may have taken a role meanwhile; it is not taken back.
-        mine = {
+        # Another VM may have claimed a role meanwhile; it keeps that role.
+        own = {
             claim.target: (self._vm, self._keeper.boot)
             for claim in roles.claims(block, self._view(block.id))
             if claim.target in allowed
         }
-        return moves.set_keepers(block, mine, checks_orders)
+        return moves.set_keepers(block, own, checks_orders)
 
-    def _view(self, block: tables.BlockId) -> roles.View:
+    def _view(self, block_id: tables.BlockId) -> roles.View:
         listed = self._fleet.fleet
         return roles.View(
             self._vm,
             self._keeper.boot,
             listed,
             frozenset(filter(self._membership.suspects, listed.entries)),
-            self._offered.get(block, {}),
+            self._offered.get(block_id, {}),
         )
 
-    def _service(self, block: tables.BlockId) -> config.Service:
+    def _service(self, block_id: tables.BlockId) -> config.Service:
         services = self._state.replica.config.document.services
-        return services.get(block.service) or config.Service()
+        return services.get(block_id.service) or config.Service()
 
-    async def _forget(self, at: tables.BlockId) -> None:
-        """Drops former keepers that can do nothing any more."""
-        settled = self._keeper.settled_fences(at)
-        block = self._state.replica.blocks[at]
-        due = moves.drop_former_keepers(block, settled)
+    async def _drop_former_keepers(self, block_id: tables.BlockId) -> None:
+        """Removes former keepers that have stopped from a block."""
+        released = self._keeper.released_fences(block_id)
+        block = self._state.replica.blocks[block_id]
+        due = moves.drop_former_keepers(block, released)
         now = self._clock.now()
-        if due.is_err() or now < self._retry_at.get(at, 0.0):
+        if due.is_err() or now < self._retry_at.get(block_id, 0.0):
             return
         outcome = await self._state.change(
-            at, lambda b: moves.drop_former_keepers(b, settled)
+            block_id, lambda b: moves.drop_former_keepers(b, released)
         )
         if outcome.is_err():
-            self._retry_at[at] = now + _RETRY_SECONDS
+            self._retry_at[block_id] = now + _RETRY_SECONDS
 
-    async def _ask_always(self) -> None:
+    async def _query_former_keepers(self) -> None:
         while True:
-            awaited = sorted(
-                self._keeper.awaited(), key=lambda pair: pair[1].vm
+            pending = sorted(
+                self._keeper.unreleased_former_keepers(),
+                key=lambda pair: pair[1].vm,
+            )
+            by_vm = itertools.groupby(pending, lambda pair: pair[1].vm)
+            queries = [self._query_vm(vm, list(pairs)) for vm, pairs in by_vm]
+            await asyncio.gather(*queries)
+            await asyncio.sleep(
+                _QUERY_INTERVAL_SECONDS if pending else _CLAIM_INTERVAL_SECONDS
             )
-            by_vm = itertools.groupby(awaited, lambda pair: pair[1].vm)
-            asked = [self._ask(vm, list(pairs)) for vm, pairs in by_vm]
-            await asyncio.gather(*asked)
-            await asyncio.sleep(_ASK_SECONDS if awaited else _TICK_SECONDS)
 
-    async def _ask(
+    async def _query_vm(
         self,
         vm: str,
         pairs: list[tuple[messages.Role, tables.FormerKeeper]],
     ) -> None:
-        """Learns whether one former keeper is silent."""
+        """Finds out which former keepers on a VM have stopped."""
         if vm == self._vm:
-            self._ask_itself(pairs)
+            self._check_own_roles(pairs)
             return
         if self._fleet.is_gone(vm):
-            self._silence_checked(pairs)
+            self._record_ended(pairs)
             return
         peer = self._fleet.fleet.entries.get(vm)
         if peer is None:
             return
-        question = messages.StandDown(self._vm, tuple(r for r, _ in pairs))
-        reply = (await self._peers.call(peer, question, _CALL_SECONDS)).ok()
+        request = messages.StandDown(self._vm, tuple(r for r, _ in pairs))
+        reply = (
+            await self._peers.call(peer, request, _CALL_TIMEOUT_SECONDS)
+        ).ok()
         if not isinstance(reply, messages.StoodDown):
             return
         ended = [
@@ -314,35 +323,39 @@
             if reply.boot == former.boot and role in reply.roles
         ]
         for role, former in ended:
-            self._keeper.silence(role, former)
-        # Another run answers: the one that was the keeper is over.
-        over = [pair for pair in pairs if pair[1].boot != reply.boot]
-        self._silence_checked(over)
+            self._keeper.record_former_stopped(role, former)
+        # Another incarnation responded, so the former keeper has ended.
+        ended_incarnations = [
+            pair for pair in pairs if pair[1].boot != reply.boot
+        ]
+        self._record_ended(ended_incarnations)
 
-    def _ask_itself(
+    def _check_own_roles(
         self, pairs: list[tuple[messages.Role, tables.FormerKeeper]]
     ) -> None:
-        """Looks at roles that this VM had before another one had them.
+        """Checks roles that this VM held before another VM held them.
 
-        Asked like a peer, it would stand down from the role that it has now.
+        A `StandDown` request to itself would end the role that it holds now.
         """
         for role, former in pairs:
-            same_run = former.boot == self._keeper.boot
-            if same_run and self._keeper.has_retired(role):
-                self._keeper.silence(role, former)
-        over = [p for p in pairs if p[1].boot != self._keeper.boot]
-        self._silence_checked(over)
+            same_incarnation = former.boot == self._keeper.boot
+            if same_incarnation and self._keeper.has_retired(role):
+                self._keeper.record_former_stopped(role, former)
+        ended_incarnations = [
+            p for p in pairs if p[1].boot != self._keeper.boot
+        ]
+        self._record_ended(ended_incarnations)
 
-    def _silence_checked(
+    def _record_ended(
         self, pairs: list[tuple[messages.Role, tables.FormerKeeper]]
     ) -> None:
-        """Counts keepers that ended as silent, where targets check orders.
+        """Records ended keepers as stopped if the targets check fences.
 
-        Where they do not, a request of an ended keeper may still lie in a
-        frozen target's buffer and run when it thaws.
+        If they don't, a request of an ended keeper may still be in the receive
+        buffer of a frozen target and run when the target resumes.
         """
         for role, former in pairs:
             if self._service(role.block).checks_orders:
-                self._keeper.silence(role, former)
+                self._keeper.record_former_stopped(role, former)
             else:
-                self._keeper.orphan(role)
+                self._keeper.record_former_lost(role)
