--- a/packages/mimosastile-entry/src/mimosastile_entry/_digests.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_digests.py
@@ -1,4 +1,7 @@
-"""The digest service: peers compare what they hold, the net below telling."""
+"""Compares state digests with peers (anti-entropy).
+
+This recovers the updates that dissemination by push has missed.
+"""
 
 import asyncio
 from collections.abc import Iterable
@@ -15,17 +18,17 @@
 from mimosastile_entry import ports
 
 _PREFIX = "digests:"
-_DIGEST_SECONDS = 0.8
-"""Mean interval between two exchanges within the zone."""
+_MEAN_INTERVAL_SECONDS = 0.8
+"""Mean interval between two exchanges in the zone."""
 
 
 class DigestService:
-    """Exchanges digests with peers and fetches what they have newer."""
+    """Exchanges digests with peers and fetches newer state from them."""
 
     __slots__ = (
         "_clock",
         "_fleet",
-        "_found",
+        "_newer_found",
         "_membership",
         "_propagation",
         "_state",
@@ -47,7 +50,7 @@
         self.needs: tuple[str, ...] = ("propagation", "inbox")
         self._vm = vm
         self._zone = zone
-        self._found = 0
+        self._newer_found = 0
         self._tasks: list[asyncio.Task[None]] = []
         self._clock: ports.ClockPort
         self._state: _state.StateService
@@ -56,31 +59,31 @@
         self._propagation: _propagation.PropagationService
 
     async def start(self, kernel: kernel.Kernel) -> None:
-        """Begins to compare."""
+        """Starts the exchange of digests."""
         self._clock = kernel.find("clock")
         self._state = kernel.find("state")
         self._fleet = kernel.find("fleet")
         self._membership = kernel.find("membership")
         self._propagation = kernel.find("propagation")
         inbox: _inbox.InboxService = kernel.find("inbox")
-        inbox.handle(messages.Digest, self._answer_digest)
+        inbox.handle(messages.Digest, self._receive_digest)
         self._tasks = [
             asyncio.create_task(
                 _propagation.repeat(step, _PREFIX), name="digests"
             )
-            for step in (self._near, self._far)
+            for step in (self._compare_in_zone, self._compare_across_zones)
         ]
 
     async def stop(self) -> None:
-        """Ends the comparing."""
+        """Stops the exchange of digests."""
         for task in self._tasks:
             task.cancel()
 
     def dump(self) -> dict[str, Any]:
-        """Returns how often a peer had something newer."""
-        return {"found": self._found}
+        """Returns how often a peer had newer state."""
+        return {"found": self._newer_found}
 
-    def _members(self) -> set[str]:
+    def _live_zone_vms(self) -> set[str]:
         return set(self._membership.alive(self._zone))
 
     def _jitter(self, seconds: float) -> float:
@@ -97,7 +100,7 @@
             readings.age(self._clock.now()),
         )
 
-    def _answer_digest(self, digest: messages.Digest) -> messages.Digest:
+    def _receive_digest(self, digest: messages.Digest) -> messages.Digest:
         self._confirm(digest)
         return self._digest()
 
@@ -109,16 +112,18 @@
             self._clock.now(),
         )
 
-    async def _near(self) -> None:
-        await asyncio.sleep(self._jitter(_DIGEST_SECONDS))
-        peer = self._pick(self._members() - {self._vm})
+    async def _compare_in_zone(self) -> None:
+        await asyncio.sleep(self._jitter(_MEAN_INTERVAL_SECONDS))
+        peer = self._choose_peer(self._live_zone_vms() - {self._vm})
         if peer is not None:
             await self._compare(peer)
 
-    async def _far(self) -> None:
-        interval = gossip.far_interval(_DIGEST_SECONDS, len(self._members()))
+    async def _compare_across_zones(self) -> None:
+        interval = gossip.far_interval(
+            _MEAN_INTERVAL_SECONDS, len(self._live_zone_vms())
+        )
         await asyncio.sleep(self._jitter(interval))
-        peer = self._pick(
+        peer = self._choose_peer(
             vm.id
             for vm in self._fleet.fleet.entries.values()
             if vm.zone != self._zone and not self._membership.suspects(vm.id)
@@ -126,20 +131,20 @@
         if peer is None:
             return
         delta, listed = await self._compare(peer)
-        # The whole zone may be cut off from the platform and lack it too.
+        # The whole zone may be cut off from the platform and miss it too.
         if delta is not None:
             self._propagation.push(delta)
         if listed:
-            self._propagation.tell_listing()
+            self._propagation.push_listing()
 
-    def _pick(self, vms: Iterable[str]) -> str | None:
+    def _choose_peer(self, vms: Iterable[str]) -> str | None:
         choices = sorted(vms)
         if not choices:
             return None
         return choices[int(self._clock.random() * len(choices)) % len(choices)]
 
     async def _compare(self, peer: str) -> tuple[messages.Delta | None, bool]:
-        """Compares digests and fetches what the peer has newer."""
+        """Compares digests and fetches newer state from the peer."""
         reply = await self._propagation.call(peer, self._digest())
         if not isinstance(reply, messages.Digest):
             return None, False
@@ -149,23 +154,23 @@
         )
 
     async def _fetch_state(
-        self, peer: str, theirs: messages.Digest
+        self, peer: str, digest: messages.Digest
     ) -> messages.Delta | None:
         replica = self._state.replica
-        ahead = theirs.config_number > replica.config.number
-        if not ahead and theirs.tables == replica.tables_digest():
+        ahead = digest.config_number > replica.config.number
+        if not ahead and digest.tables == replica.tables_digest():
             return None
         delta = await self._propagation.call(peer, replica.pull(self._vm))
         if not isinstance(delta, messages.Delta) or not replica.merge(delta):
             return None
-        self._found += 1
+        self._newer_found += 1
         return delta
 
-    async def _fetch_list(self, peer: str, theirs: messages.Digest) -> bool:
+    async def _fetch_list(self, peer: str, digest: messages.Digest) -> bool:
         if not self._fleet.readings.wants(
-            theirs.reader,
-            theirs.list_number,
-            theirs.list_age,
+            digest.reader,
+            digest.list_number,
+            digest.list_age,
             self._clock.now(),
         ):
             return False
--- a/packages/mimosastile-entry/src/mimosastile_entry/_inbox.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_inbox.py
@@ -1,4 +1,4 @@
-"""The inbox service: brings a peer's message to the service that handles it."""
+"""Dispatches messages of peers to the services that handle them."""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,10 +14,10 @@
 
 
 class InboxService(kernel.Passive):
-    """Handlers of peer messages by type.
+    """Registry of the handlers of peer messages, by message type.
 
-    A service registers its handlers when it starts. Handlers answer at once;
-    what takes time they start as a task of their own.
+    A service registers its handlers when it starts. A handler must return
+    immediately; it starts long work as a separate task.
     """
 
     __slots__ = ("_handlers", "_received", "_vm")
@@ -48,5 +48,5 @@
         return handler(message)
 
     def dump(self) -> dict[str, Any]:
-        """Returns how many messages of each type came."""
+        """Returns how many messages of each type were received."""
         return {"received": dict(self._received)}
--- a/packages/mimosastile-entry/src/mimosastile_entry/_membership.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_membership.py
@@ -1,4 +1,4 @@
-"""The membership service: presence among entry VMs."""
+"""Detects failed entry VMs by presence messages between them."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,43 +18,44 @@
 from mimosastile_entry import ports
 
 _PREFIX = "membership:"
-# Longer than the limits of silence, so that a late answer still counts.
-_ANSWER_SECONDS = 1.0
-_MOST_OPEN = 4
+# Longer than the detection timeouts, so that a late response still counts.
+_CALL_TIMEOUT_SECONDS = 1.0
+_MAX_OPEN_CALLS_PER_PEER = 4
 
 
 class Traffic:
-    """Messages and their bytes, before what HTTP adds.
+    """Counts of messages and their bytes, without the HTTP overhead.
 
     Attributes:
         messages: Messages sent or received.
-        octets: Their sizes in bytes.
+        bytes_total: Total size of the messages in bytes.
     """
 
-    __slots__ = ("messages", "octets")
+    __slots__ = ("bytes_total", "messages")
 
     def __init__(self) -> None:
         self.messages = 0
-        self.octets = 0
+        self.bytes_total = 0
 
     def count(self, message: messages.PeerMessage) -> None:
         """Adds one message."""
         self.messages += 1
-        self.octets += len(messages.encode(message))
+        self.bytes_total += len(messages.encode(message))
 
     def per_second(self, seconds: float) -> dict[str, float]:
         """Returns the mean rates for the state dump."""
-        spent = max(seconds, 1e-9)
+        elapsed = max(seconds, 1e-9)
         return {
-            "messages_per_second": round(self.messages / spent, 2),
-            "bytes_per_second": round(self.octets / spent, 1),
+            "messages_per_second": round(self.messages / elapsed, 2),
+            "bytes_per_second": round(self.bytes_total / elapsed, 1),
         }
 
 
 class MembershipService:
-    """Exchanges presence and tells others of suspicions.
+    """Exchanges presence messages and reports suspicions to peers.
 
-    A suspicion proves nothing; what follows from it must be safe without it.
+    A suspicion proves nothing: an action that a suspicion starts must be safe
+    even if the suspected VM is running.
     """
 
     __slots__ = (
@@ -62,7 +63,7 @@
         "_detector",
         "_fleet",
         "_listeners",
-        "_open",
+        "_open_calls",
         "_peers",
         "_received",
         "_sent",
@@ -89,7 +90,7 @@
         self._zone = zone
         self._detector = presence.Detector(vm, presence.Timing(), 0.0)
         self._listeners: list[Callable[[], None]] = []
-        self._open: dict[str, int] = {}
+        self._open_calls: dict[str, int] = {}
         self._tasks = _background.Background()
         self._sent = Traffic()
         self._received = Traffic()
@@ -106,7 +107,7 @@
         return self._zone
 
     def suspects(self, vm: str) -> bool:
-        """Whether a VM is suspected to be lost; never a proof that it is."""
+        """Whether a VM is suspected to have failed; never a proof of it."""
         return vm in self._detector.suspected
 
     def subscribe(self, listener: Callable[[], None]) -> None:
@@ -126,35 +127,35 @@
         }
 
     def reaches(self, zone: str) -> bool:
-        """Whether the followed VM of another zone is heard."""
+        """Whether the followed VM of a zone responds; True for the own zone."""
         return zone == self._zone or any(
             self._detector.is_responsive(vm.id)
             for vm in self._fleet.fleet.live_entries(zone).values()
         )
 
     async def start(self, kernel: kernel.Kernel) -> None:
-        """Begins to exchange presence."""
+        """Starts the exchange of presence messages."""
         self._clock = kernel.find("clock")
         self._fleet = kernel.find("fleet")
         self._peers = kernel.find("peers")
         inbox: _inbox.InboxService = kernel.find("inbox")
-        inbox.handle(messages.Presence, self._answer)
+        inbox.handle(messages.Presence, self._receive)
         self._started_at = self._clock.now()
         self._detector = presence.Detector(
             self._vm, presence.Timing(), self._started_at
         )
-        self._fleet.subscribe(self._follow)
-        self._follow()
+        self._fleet.subscribe(self._choose_followed)
+        self._choose_followed()
         self._task = asyncio.create_task(self._exchange(), name="membership")
 
     async def stop(self) -> None:
-        """Ends the exchange."""
+        """Stops the exchange."""
         if self._task is not None:
             self._task.cancel()
         self._tasks.cancel()
 
     def dump(self) -> dict[str, Any]:
-        """Returns suspicions and what presence costs."""
+        """Returns suspicions and the rates of presence messages and bytes."""
         seconds = self._clock.now() - self._started_at
         return {
             "suspected": sorted(self._detector.suspected),
@@ -163,7 +164,7 @@
             "received": self._received.per_second(seconds),
         }
 
-    def _follow(self) -> None:
+    def _choose_followed(self) -> None:
         entries = self._fleet.fleet.entries
         chosen = presence.choose_peers(
             self._vm, self._zone, entries.values(), self._detector.suspected
@@ -171,29 +172,29 @@
         self._detector.follow(chosen, entries, self._clock.now())
 
     def _message(self, receiver: str) -> messages.Presence:
-        if self._is_near(receiver):
+        if self._in_same_zone(receiver):
             suspected = self._detector.zone_report
         else:
             suspected = self._detector.far_report(self._clock.now())
         return messages.Presence(self._vm, tuple(sorted(suspected)))
 
-    def _is_near(self, vm: str) -> bool:
+    def _in_same_zone(self, vm: str) -> bool:
         listed = self._fleet.fleet.entries.get(vm)
         return listed is not None and listed.zone == self._zone
 
-    def _answer(self, message: messages.Presence) -> messages.Presence:
-        self._hear(message)
+    def _receive(self, message: messages.Presence) -> messages.Presence:
+        self._record(message)
         reply = self._message(message.vm)
         self._sent.count(reply)
         return reply
 
-    def _hear(self, message: messages.Presence) -> None:
+    def _record(self, message: messages.Presence) -> None:
         self._received.count(message)
         self._detector.receive(
             message.vm,
             message.suspected,
             self._clock.now(),
-            self._is_near(message.vm),
+            self._in_same_zone(message.vm),
         )
         if not self._detector.suspected.issuperset(message.suspected):
             self._wake.set()
@@ -202,48 +203,53 @@
         while True:
             step = self._detector.tick(self._clock.now())
             if step.changed:
-                self._note_change()
-            receivers = {*step.probes, *(self._others() if step.report else ())}
+                self._report_change()
+            receivers = {
+                *step.probes,
+                *(self._zone_peers() if step.report else ()),
+            }
             for vm in sorted(receivers):
                 self._send(vm)
             now = self._clock.now()
             self._wake.clear()
             with contextlib.suppress(TimeoutError):
-                # Not `wait_for`: in Python 3.11 it loses a cancellation that
-                # comes together with the event; the task would go on for good.
+                # `wait_for` in Python 3.11 loses a cancellation that coincides
+                # with the event; the task would then never end.
                 async with asyncio.timeout(self._detector.next_due(now) - now):
                     await self._wake.wait()
 
-    def _others(self) -> set[str]:
+    def _zone_peers(self) -> set[str]:
         return set(self._fleet.fleet.live_entries(self._zone)) - {self._vm}
 
-    def _note_change(self) -> None:
+    def _report_change(self) -> None:
         logging.info(
-            "%s suspects %s.",
+            "%s suspected VMs: %s.",
             _PREFIX,
-            ", ".join(sorted(self._detector.suspected)) or "nobody",
+            ", ".join(sorted(self._detector.suspected)) or "none",
         )
-        self._follow()
+        self._choose_followed()
         for listener in self._listeners:
             listener()
 
     def _send(self, vm: str) -> None:
-        # A dead peer's open calls would pile up until their timeouts.
-        if self._open.get(vm, 0) < _MOST_OPEN:
+        # Open calls to a failed peer would accumulate until they time out.
+        if self._open_calls.get(vm, 0) < _MAX_OPEN_CALLS_PER_PEER:
             self._tasks.start(self._call(vm), f"presence-{vm}")
 
     async def _call(self, vm: str) -> None:
         listed = self._fleet.fleet.entries.get(vm)
         if listed is None:
             return
-        self._open[vm] = self._open.get(vm, 0) + 1
+        self._open_calls[vm] = self._open_calls.get(vm, 0) + 1
         message = self._message(vm)
         self._sent.count(message)
         try:
-            reply = await self._peers.call(listed, message, _ANSWER_SECONDS)
+            reply = await self._peers.call(
+                listed, message, _CALL_TIMEOUT_SECONDS
+            )
         finally:
-            self._open[vm] -= 1
+            self._open_calls[vm] -= 1
         if isinstance(reply, result.Ok) and isinstance(
             reply.ok_value, messages.Presence
         ):
-            self._hear(reply.ok_value)
+            self._record(reply.ok_value)
--- a/packages/mimosastile-entry/src/mimosastile_entry/_peers_http.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_peers_http.py
@@ -1,4 +1,4 @@
-"""Adapter to other entry VMs over HTTP with JSON."""
+"""Sends messages and requests to other entry VMs over HTTP with JSON."""
 
 import asyncio
 import ssl
@@ -16,12 +16,11 @@
 from mimosastile_entry import kernel
 from mimosastile_entry import ports
 
-# A peer's word on what happened is taken as it is.
-_ANY_KIND = frozenset(errors.ErrorKind)
+# Any error kind that a peer reports is accepted unchanged.
+_ALL_KINDS = frozenset(errors.ErrorKind)
 
 
-_CONNECTIONS = 256
-"""Most connections to one peer."""
+_MAX_CONNECTIONS_PER_PEER = 256
 
 
 class HttpPeers(kernel.Passive):
@@ -30,10 +29,10 @@
     __slots__ = ("_base", "_client", "_clock", "_signer", "_tls")
 
     def __init__(self, signer: _auth.Signer) -> None:
-        """Makes the adapter.
+        """Initializes the adapter.
 
         Args:
-            signer: Signs what is sent.
+            signer: Signs messages and requests.
         """
         super().__init__("peers", ("client", "clock", "tls"))
         self._signer = signer
@@ -43,7 +42,7 @@
         self._clock: ports.ClockPort
 
     async def start(self, kernel: kernel.Kernel) -> None:
-        """Finds client, clock and the way to call."""
+        """Looks up the client, the clock and the TLS context for peers."""
         self._client = kernel.find("client")
         self._clock = kernel.find("clock")
         self._tls = kernel.find("tls").client("peers")
@@ -54,7 +53,7 @@
     ) -> result.Result[messages.PeerMessage, errors.Failure]:
         """Sends a message and returns the peer's reply."""
         url = f"{self._base}://{vm.host}:{vm.port}{_wire.MESSAGE_PATH}"
-        pool = self._client.pool(vm, _CONNECTIONS, self._tls)
+        pool = self._client.pool(vm, _MAX_CONNECTIONS_PER_PEER, self._tls)
         body = messages.encode(message)
         signed = self._signer.sign(vm.id, "POST", _wire.MESSAGE_PATH, (), body)
         try:
@@ -73,26 +72,27 @@
     async def forward(
         self, vm: fleet.Vm, request: ports.Request
     ) -> result.Result[ports.Response, errors.Failure]:
-        """Passes a request to the keeper of its target."""
-        left = request.deadline - self._clock.now()
+        """Forwards a request to the keeper of its target."""
+        remaining = request.deadline - self._clock.now()
         headers = [
             *request.headers,
             (_wire.MEMBER, request.member),
             (_wire.REQUEST_ID, request.request_id),
-            (_wire.DEADLINE_MS, str(max(0, int(left * 1000)))),
+            (_wire.DEADLINE_MS, str(max(0, int(remaining * 1000)))),
             (_wire.TARGET, request.target),
             (_wire.ORIGIN, request.origin),
         ]
         query = f"?{request.query}" if request.query else ""
         path = f"{_wire.FORWARD_PATH}{request.path}{query}"
-        whole = request.body if request.stream is None else None
+        signed_body = request.body if request.stream is None else None
         headers += self._signer.sign(
-            vm.id, request.method, path, headers, whole
+            vm.id, request.method, path, headers, signed_body
         )
         url = f"{self._base}://{vm.host}:{vm.port}{path}"
-        # A request may wait long in the keeper's queue: silence proves little.
-        terms = _exchange.Terms(left, 0.0, _ANY_KIND)
-        pool = self._client.pool(vm, _CONNECTIONS, self._tls)
+        # No first-byte timeout: a request may wait long in the keeper's queue,
+        # so a late first byte doesn't indicate a failure.
+        terms = _exchange.Terms(remaining, 0.0, _ALL_KINDS)
+        pool = self._client.pool(vm, _MAX_CONNECTIONS_PER_PEER, self._tls)
         return await _exchange.send(
             self._client, pool, request, url, headers, terms
         )
--- a/packages/mimosastile-entry/src/mimosastile_entry/_planner.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_planner.py
@@ -1,4 +1,4 @@
-"""The planner service: proposes owners; the store decides."""
+"""Proposes slice owners; compare-and-swap in the store decides."""
 
 import asyncio
 from typing import Any
@@ -17,15 +17,18 @@
 from mimosastile_entry import kernel
 from mimosastile_entry import ports
 
-_TICK_SECONDS = 0.1
-_BALANCE_SECONDS = 2.0
-_PATIENCE_SECONDS = 3.0
-_REST_SECONDS = 30.0
-"""Time for which a slice that has moved stays where it is."""
+_PLAN_INTERVAL_SECONDS = 0.1
+_BALANCE_INTERVAL_SECONDS = 2.0
+_FIRST_PLACEMENT_TIMEOUT_SECONDS = 3.0
+_MOVE_COOLDOWN_SECONDS = 30.0
+"""Minimum time between two moves of a slice for balance."""
 
 
 class PlannerService:
-    """Looks at tables and fleet at an interval and proposes changes."""
+    """Compares tables with the fleet periodically and proposes changes.
+
+    One entry VM plans for each service.
+    """
 
     __slots__ = (
         "_balance_at",
@@ -36,7 +39,7 @@
         "_loads",
         "_membership",
         "_moved_at",
-        "_planned",
+        "_proposed",
         "_state",
         "_task",
         "_vm",
@@ -59,7 +62,7 @@
             "clock",
         )
         self._vm = vm
-        self._planned = 0
+        self._proposed = 0
         self._balance_at: dict[str, float] = {}
         self._moved_at: dict[int, float] = {}
         self._cold_since: dict[str, float] = {}
@@ -72,7 +75,7 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self, kernel: kernel.Kernel) -> None:
-        """Begins to plan."""
+        """Starts the planning task."""
         self._state = kernel.find("state")
         self._fleet = kernel.find("fleet")
         self._membership = kernel.find("membership")
@@ -81,50 +84,53 @@
         self._task = asyncio.create_task(self._plan(), name="planner")
 
     async def stop(self) -> None:
-        """Ends the planning."""
+        """Stops the planning task."""
         if self._task is not None:
             self._task.cancel()
 
     def dump(self) -> dict[str, Any]:
-        """Returns how many changes this VM has proposed."""
-        return {"proposed": self._planned}
+        """Returns the number of changes that this VM has proposed."""
+        return {"proposed": self._proposed}
 
     async def _plan(self) -> None:
         while True:
             document = self._state.replica.config.document
             for name, service in document.services.items():
                 await self._plan_service(name, service)
-            await asyncio.sleep(_TICK_SECONDS)
+            await asyncio.sleep(_PLAN_INTERVAL_SECONDS)
 
     async def _plan_service(self, name: str, service: config.Service) -> None:
-        usual = placement.preferred_planner(name, self._membership.alive())
-        if usual != self._vm:
+        planner = placement.preferred_planner(name, self._membership.alive())
+        if planner != self._vm:
             return
         table = self._state.replica.table(name)
         blocks = table.blocks if table else {}
         await self._create_blocks(name, service, blocks)
         for block in list(blocks.values()):
             if block.slices and self._is_ready(block):
-                await self._place(block, service.placement)
-                await self._obey(block, service)
+                await self._assign_owners(block, service.placement)
+                await self._apply_operator_moves(block, service)
         now = self._clock.now()
-        due = self._balance_at.setdefault(name, now + _BALANCE_SECONDS)
+        due = self._balance_at.setdefault(name, now + _BALANCE_INTERVAL_SECONDS)
         if now >= due:
-            self._balance_at[name] = now + _BALANCE_SECONDS
+            self._balance_at[name] = now + _BALANCE_INTERVAL_SECONDS
             await self._balance(name, service, list(blocks.values()))
 
     def _is_ready(self, block: tables.Block) -> bool:
-        """Whether a block's first owners can be named.
+        """Whether a block's first owners can be assigned.
 
-        If they were named as soon as the first target has a keeper, that one
-        would get all slices, and most of them would have to move again.
+        If owners were assigned as soon as the first target has a keeper, that
+        target would get all slices, and most would have to move again.
         """
-        if any(piece.owner for piece in block.slices):
+        if any(slice_.owner for slice_ in block.slices):
             return True
         live = set(self._fleet.fleet.live_targets(block.service))
         now = self._clock.now()
         since = self._empty_since.setdefault(block.id, now)
-        return live <= set(block.keepers) or now - since > _PATIENCE_SECONDS
+        return (
+            live <= set(block.keepers)
+            or now - since > _FIRST_PLACEMENT_TIMEOUT_SECONDS
+        )
 
     async def _balance(
         self,
@@ -132,58 +138,62 @@
         service: config.Service,
         blocks: list[tables.Block],
     ) -> None:
-        """Evens the load out with few moves."""
+        """Balances the load of a service with few moves."""
         weights = service.placement
-        board = self._loads.board(name)
+        aggregator = self._loads.board(name)
         now = self._clock.now()
-        slices = [piece for block in blocks for piece in block.slices]
-        board.decay((piece.first for piece in slices), now)
+        slices = [slice_ for block in blocks for slice_ in block.slices]
+        aggregator.decay((slice_.first for slice_ in slices), now)
         candidates = self._candidates(name, slices, weights)
-        owned = {piece.owner for piece in slices if piece.owner}
+        owned = {slice_.owner for slice_ in slices if slice_.owner}
         if not slices or not owned <= {c.id for c in candidates}:
-            # Some owner is leaving, lost or not heard: its slices move first,
-            # and who is to have them is decided elsewhere.
+            # An owner is leaving, lost or unresponsive. Its slices move first;
+            # `_assign_owners` and the keepers choose their new owners.
             return
-        loads = board.loads
+        loads = aggregator.loads
         if balance_plan.is_idle(
             slices, loads, weights.idle_below * service.slots
         ):
             if not balance_plan.is_underfilled(slices, candidates):
                 return
-            # A new target gets its share by count.
+            # The service is idle: a new target gets its share by slice count.
             loads = {}
         self._moved_at = {
             first: at
             for first, at in self._moved_at.items()
-            if now - at < _REST_SECONDS
+            if now - at < _MOVE_COOLDOWN_SECONDS
         }
-        resting = {*self._moved_at, *_ordered_slices(slices, service)}
-        plan = balance_plan.plan(slices, loads, candidates, weights, resting)
+        cooling = {*self._moved_at, *_operator_placed_slices(slices, service)}
+        plan = balance_plan.plan(slices, loads, candidates, weights, cooling)
         self._moved_at |= dict.fromkeys(plan.moves, now)
         for block in blocks:
-            await self._carry_out(block, plan)
+            await self._apply_plan(block, plan)
 
-    async def _obey(self, block: tables.Block, service: config.Service) -> None:
-        """Carries out the moves that operators have ordered."""
+    async def _apply_operator_moves(
+        self, block: tables.Block, service: config.Service
+    ) -> None:
+        """Proposes the moves that operators have ordered."""
         live = set(self._fleet.fleet.live_targets(block.service))
         plan = balance_plan.plan_operator_moves(
             block.slices, service.moves, live & block.reachable()
         )
-        await self._carry_out(block, plan)
+        await self._apply_plan(block, plan)
 
-    async def _carry_out(
+    async def _apply_plan(
         self, block: tables.Block, plan: balance_plan.Plan
     ) -> None:
-        firsts = {piece.first for piece in block.slices}
-        parts = {f: p for f, p in plan.splits.items() if f in firsts}
-        named = {f: t for f, t in plan.moves.items() if f in firsts}
-        if parts:
-            self._planned += 1
-            await self._state.change(block.id, lambda b: splits.split(b, parts))
-        if named:
-            self._planned += 1
+        firsts = {slice_.first for slice_ in block.slices}
+        block_splits = {f: p for f, p in plan.splits.items() if f in firsts}
+        block_moves = {f: t for f, t in plan.moves.items() if f in firsts}
+        if block_splits:
+            self._proposed += 1
             await self._state.change(
-                block.id, lambda b: moves.start_moves(b, named)
+                block.id, lambda b: splits.split(b, block_splits)
+            )
+        if block_moves:
+            self._proposed += 1
+            await self._state.change(
+                block.id, lambda b: moves.start_moves(b, block_moves)
             )
 
     def _candidates(
@@ -193,12 +203,12 @@
         weights: config.Placement,
     ) -> list[balance_plan.Candidate]:
         now = self._clock.now()
-        heard = self._loads.board(name).responding_targets(now)
-        owning = {piece.owner for piece in slices if piece.owner}
+        responding = self._loads.board(name).responding_targets(now)
+        owning = {slice_.owner for slice_ in slices if slice_.owner}
         live = self._fleet.fleet.live_targets(name)
-        for target in heard & set(live):
-            # Cold is who was first seen without slices; a target that others
-            # have filled before this VM began to plan is warm.
+        for target in responding & set(live):
+            # A target first seen without slices is cold. A target that had
+            # slices before this VM became the planner is warm.
             if owning and target not in owning:
                 self._cold_since.setdefault(target, now)
         return [
@@ -206,7 +216,7 @@
                 vm.id, vm.zone, vm.region, self._capacity(vm.id, weights)
             )
             for vm in sorted(live.values(), key=lambda vm: vm.id)
-            if vm.id in heard
+            if vm.id in responding
         ]
 
     def _capacity(self, target: str, weights: config.Placement) -> float:
@@ -225,66 +235,69 @@
     ) -> None:
         count = service.slices if service.key else 0
         for index in placement.missing_blocks(service.blocks, blocks):
-            self._planned += 1
+            self._proposed += 1
             await self._state.create(
                 tables.empty_block(name, index, count, service.blocks)
             )
 
-    async def _place(
+    async def _assign_owners(
         self, block: tables.Block, weights: config.Placement
     ) -> None:
-        """Names owners for slices that have none or whose owner leaves."""
+        """Assigns owners to slices without one or with a leaving owner."""
         live = set(self._fleet.fleet.live_targets(block.service))
         ready = live & block.reachable()
-        homeless = {
-            piece.first
-            for piece in block.slices
-            if (piece.next or piece.owner) not in ready
-            and not _stays(block, piece.first, live)
+        orphaned = {
+            slice_.first
+            for slice_ in block.slices
+            if (slice_.next or slice_.owner) not in ready
+            and not _keeps_owner(block, slice_.first, live)
         }
-        if not homeless:
+        if not orphaned:
             return
-        board = self._loads.board(block.service)
+        aggregator = self._loads.board(block.service)
         slices = list(block.slices)
-        heard = [
+        responding = [
             candidate
             for candidate in self._candidates(block.service, slices, weights)
             if candidate.id in ready
         ]
-        # Before the first reports nothing is known of load.
+        # No load is known before the first reports.
         plan = (
-            balance_plan.reassign(slices, board.loads, heard, homeless)
-            if heard
+            balance_plan.reassign(
+                slices, aggregator.loads, responding, orphaned
+            )
+            if responding
             else {
                 first: target
                 for first, target in placement.plan_owners(block, ready).items()
-                if first in homeless
+                if first in orphaned
             }
         )
         if not plan:
             return
-        self._planned += 1
+        self._proposed += 1
         await self._state.change(block.id, lambda b: moves.start_moves(b, plan))
 
 
-def _ordered_slices(
+def _operator_placed_slices(
     slices: list[tables.Slice], service: config.Service
 ) -> set[int]:
-    """Returns first hashes of the slices that operators have placed."""
+    """Returns the first hashes of slices that operators have placed."""
     positions = [keys.key_hash(key) for key in service.moves]
     return {
-        piece.first
-        for piece in slices
-        if any(piece.first <= at <= piece.last for at in positions)
+        slice_.first
+        for slice_ in slices
+        if any(slice_.first <= at <= slice_.last for at in positions)
     }
 
 
-def _stays(block: tables.Block, first: int, live: set[str]) -> bool:
-    """Whether a slice's owner is to stay although it may not answer now.
+def _keeps_owner(block: tables.Block, first: int, live: set[str]) -> bool:
+    """Whether a slice's owner is kept even if it may be unresponsive now.
 
-    A move away from a silent target waits for its proof of release and takes
-    the key from the target if it answers again meanwhile. If it stays silent,
-    its keeper moves the slice without a plan, as soon as there is a proof.
+    A move away from an unresponsive target waits for its proof of release, and
+    takes the slice from the target even if the target recovers meanwhile. If
+    it doesn't recover, its keeper moves the slice without a plan, as soon as
+    there is a proof.
     """
-    piece = block.slice_at(first)
-    return piece is not None and piece.owner in live and not piece.next
+    slice_ = block.slice_at(first)
+    return slice_ is not None and slice_.owner in live and not slice_.next
--- a/packages/mimosastile-entry/src/mimosastile_entry/_platform_http.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_platform_http.py
@@ -1,4 +1,4 @@
-"""Adapters to the platform's key-value service and list of VMs over HTTP."""
+"""HTTP adapters to the platform's key-value service and VM list."""
 
 from typing import Any
 from urllib import parse
@@ -30,7 +30,7 @@
 
 
 class _HttpAdapter(kernel.Passive):
-    """Base of the adapters: address, time limit and client."""
+    """Base class of the adapters with address, timeout and client."""
 
     __slots__ = ("_base", "_client", "_timeout")
 
@@ -41,11 +41,11 @@
         self._client: _client.HttpClient | None = None
 
     async def start(self, kernel: kernel.Kernel) -> None:
-        """Finds the client."""
+        """Looks up the HTTP client."""
         self._client = kernel.find("client")
 
     def dump(self) -> dict[str, Any]:
-        """Returns the address."""
+        """Returns the address of the platform service."""
         return {"address": self._base}
 
     async def _call(
@@ -70,7 +70,7 @@
     async def get(
         self, key: str
     ) -> result.Result[ports.Entry | None, errors.Failure]:
-        """Reads one key."""
+        """Reads one key; returns None if the store has no such key."""
         try:
             status, body = await self._call("GET", f"/kv/{parse.quote(key)}")
             if status == _HTTP_NOT_FOUND:
@@ -90,7 +90,12 @@
     async def compare_and_swap(
         self, key: str, value: bytes, revision: int
     ) -> result.Result[int, errors.Failure | ports.Conflict]:
-        """Writes a key if its revision is the expected one."""
+        """Writes a key if its revision is the expected one.
+
+        Returns:
+            The new revision. A `Conflict` means that the revision differed;
+            STORE_UNKNOWN, that the write may or may not have taken effect.
+        """
         path = f"/kv/{parse.quote(key)}?revision={revision}"
         try:
             status, body = await self._call("PUT", path, value)
@@ -102,7 +107,7 @@
         except _client.CONNECT_ERRORS as error:
             return _unavailable(str(error))
         except (*_client.CALL_ERRORS, msgspec.DecodeError) as error:
-            # The write may have taken effect although its answer is lost.
+            # The write may have taken effect although the response was lost.
             return result.Err(
                 errors.Failure(errors.ErrorKind.STORE_UNKNOWN, str(error))
             )
@@ -110,7 +115,13 @@
     async def watch(
         self, prefix: str, revision: int, wait: float
     ) -> result.Result[ports.WatchBatch, errors.Failure]:
-        """Waits for a change under a prefix after a revision."""
+        """Waits for a change under a prefix after a revision.
+
+        Args:
+            prefix: Prefix of the keys.
+            revision: Revision after which changes are returned.
+            wait: Longest wait in seconds.
+        """
         query = parse.urlencode(
             {"prefix": prefix, "revision": revision, "wait": wait}
         )
@@ -129,7 +140,7 @@
 
 
 class HttpFleet(_HttpAdapter):
-    """The list of VMs over HTTP with JSON."""
+    """The VM list over HTTP with JSON."""
 
     __slots__ = ()
 
@@ -139,7 +150,7 @@
     async def vms(
         self,
     ) -> result.Result[tuple[fleet.Vm, ...], errors.Failure]:
-        """Reads the list."""
+        """Reads the VM list."""
         try:
             status, body = await self._call("GET", "/vms")
             if status != _HTTP_OK:
--- a/packages/mimosastile-entry/src/mimosastile_entry/_propagation.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_propagation.py
@@ -1,4 +1,7 @@
-"""The propagation service: few readers of the platform, peers told by peers."""
+"""Disseminates store changes and the VM list among entry VMs.
+
+A few VMs per zone read from the platform and push the changes to their peers.
+"""
 
 import asyncio
 from collections.abc import Awaitable
@@ -25,16 +28,16 @@
 
 
 class Timing(msgspec.Struct, frozen=True):
-    """Times of propagation, in seconds.
+    """Intervals and timeouts of propagation, in seconds.
 
     Attributes:
-        watch: Longest wait of one watch.
-        check: Interval at which a watcher asks for the store's revision.
-        retry: Wait after the store did not answer.
-        list: Interval at which the zone's reader reads the list of VMs.
-        stale: Age of the list at which a VM reads it itself.
-        call: Longest wait for a peer.
-        second: Wait before the second watcher tells its zone.
+        watch: Longest duration of one watch.
+        check: Interval at which a watcher polls the store's revision.
+        retry: Delay before a retry after the store did not respond.
+        list: Interval at which the zone's reader reads the VM list.
+        stale: Age of the VM list above which every VM reads it itself.
+        call: Timeout of a call to a peer.
+        second: Delay before the second watcher pushes a change to its zone.
     """
 
     watch: float = 20.0
@@ -48,13 +51,14 @@
 
 _WATCHERS = 2
 _LIST_READERS = 1
-_IDLE_SECONDS = 0.5
+_IDLE_INTERVAL_SECONDS = 0.5
 
 
 class PropagationService:
-    """Watches the store if it is this VM's turn, and tells and asks peers.
+    """Watches the store if this VM is a chosen watcher, and updates peers.
 
-    What is learned goes into the replica, which takes it forward only.
+    Updates are merged into the replica, which never goes back to an older
+    version.
     """
 
     __slots__ = (
@@ -69,7 +73,7 @@
         "_state",
         "_store",
         "_tasks",
-        "_tellings",
+        "_sends",
         "_timing",
         "_vm",
         "_zone",
@@ -98,7 +102,7 @@
         self._zone = zone
         self._timing = Timing()
         self._tasks: list[asyncio.Task[None]] = []
-        self._tellings = _background.Background()
+        self._sends = _background.Background()
         self._restart = asyncio.Event()
         self._counts: dict[str, int] = {}
         self._pushed: dict[str, int] = {}
@@ -111,7 +115,7 @@
         self._clock: ports.ClockPort
 
     async def start(self, kernel: kernel.Kernel) -> None:
-        """Begins to watch, to ask and to tell."""
+        """Starts the watch, the revision check and the reads of the VM list."""
         self._state = kernel.find("state")
         self._fleet = kernel.find("fleet")
         self._membership = kernel.find("membership")
@@ -119,8 +123,8 @@
         self._peers = kernel.find("peers")
         self._clock = kernel.find("clock")
         inbox: _inbox.InboxService = kernel.find("inbox")
-        inbox.handle(messages.Push, self._take_push)
-        inbox.handle(messages.Listing, self._take_listing)
+        inbox.handle(messages.Push, self._receive_push)
+        inbox.handle(messages.Listing, self._receive_listing)
         loops: dict[str, Callable[[], Awaitable[None]]] = {
             "watch": self._watch,
             "check": self._check,
@@ -132,13 +136,13 @@
         ]
 
     async def stop(self) -> None:
-        """Ends all of it."""
+        """Cancels all tasks."""
         for task in self._tasks:
             task.cancel()
-        self._tellings.cancel()
+        self._sends.cancel()
 
     def dump(self) -> dict[str, Any]:
-        """Returns calls of the platform, messages and bytes sent."""
+        """Returns counts of platform calls, messages and bytes sent."""
         return {
             "watches": self._watches(),
             "reads_list": self._reads_list(),
@@ -146,20 +150,20 @@
             "counts": dict(sorted(self._counts.items())),
         }
 
-    def _count(self, what: str) -> None:
-        self._counts[what] = self._counts.get(what, 0) + 1
+    def _increment(self, counter: str) -> None:
+        self._counts[counter] = self._counts.get(counter, 0) + 1
 
     # Reading the platform.
 
-    def _members(self) -> dict[str, fleet.Vm]:
+    def _live_zone_vms(self) -> dict[str, fleet.Vm]:
         return self._membership.alive(self._zone)
 
     def _rank(self, purpose: str, count: int) -> int | None:
-        members = self._members()
-        if not members:
-            # All of the zone leave, this VM too: nobody else would read.
+        zone_vms = self._live_zone_vms()
+        if not zone_vms:
+            # All VMs of the zone are leaving, this one too: no other reads.
             return 0
-        chosen = gossip.readers(members, purpose, count)
+        chosen = gossip.readers(zone_vms, purpose, count)
         return chosen.index(self._vm) if self._vm in chosen else None
 
     def _watches(self) -> bool:
@@ -173,16 +177,16 @@
 
     async def _watch(self) -> None:
         if not self._watches():
-            await asyncio.sleep(_IDLE_SECONDS)
+            await asyncio.sleep(_IDLE_INTERVAL_SECONDS)
             return
         if not self._state.synced:
-            self._count("store_list")
+            self._increment("store_list")
             if not await self._state.refresh_all():
                 await asyncio.sleep(self._jitter(self._timing.retry))
                 return
         batch = await self._watch_once()
         if isinstance(batch, result.Ok):
-            self._take(batch.ok_value)
+            self._apply_batch(batch.ok_value)
         elif batch is not None:
             logging.warning(
                 "%s watch failed: %s.", _PREFIX, batch.err_value.detail
@@ -192,9 +196,9 @@
     async def _watch_once(
         self,
     ) -> result.Result[ports.WatchBatch, errors.Failure] | None:
-        """Waits for a change; None if the watch was found to be silent."""
+        """Waits for a change; None if `_check` found the watch stalled."""
         self._restart.clear()
-        self._count("store_watch")
+        self._increment("store_watch")
         watch = asyncio.ensure_future(
             self._store.watch("", self._state.revision, self._timing.watch)
         )
@@ -209,26 +213,26 @@
                 task.cancel()
 
     async def _check(self) -> None:
-        """Finds a watch that has stopped without a word.
+        """Detects a watch that has stalled without an error.
 
-        Its connection may be gone without either side having been told; this
-        VM would then wait on and miss every change. A watch that need not
-        wait shows what the waiting one should have brought.
+        Its connection may be lost without either side being notified; this VM
+        would then keep waiting and miss every change. A watch with a zero wait
+        returns the changes that the pending one should have delivered.
         """
         await asyncio.sleep(self._jitter(self._timing.check))
         if not (self._watches() and self._state.synced):
             return
-        self._count("store_check")
+        self._increment("store_check")
         before = self._state.revision
         batch = await self._store.watch("", before, 0.0)
         if isinstance(batch, result.Err) or not batch.ok_value.entries:
             return
         if self._state.revision == before:
-            logging.warning("%s the watch was silent.", _PREFIX)
+            logging.warning("%s watch stalled; restarting it.", _PREFIX)
             self._restart.set()
-        self._take(batch.ok_value)
+        self._apply_batch(batch.ok_value)
 
-    def _take(self, batch: ports.WatchBatch) -> None:
+    def _apply_batch(self, batch: ports.WatchBatch) -> None:
         if not batch.entries:
             self._state.take(batch)
             return
@@ -236,102 +240,108 @@
         pull, former = replica.pull(self._vm), dict(replica.blocks)
         self._state.take(batch)
         delta = replica.with_changes(replica.delta(self._vm, pull), former)
-        if _numbers(delta):
-            self._tellings.start(self._tell_zone(delta))
+        if _versions(delta):
+            self._sends.start(self._push_to_zone(delta))
 
     async def _list(self) -> None:
         await asyncio.sleep(self._jitter(self._timing.list))
         stale = self._fleet.readings.age(self._clock.now()) > self._timing.stale
         if not (stale or self._reads_list()):
             return
-        self._count("list_read")
+        self._increment("list_read")
         if await self._fleet.read():
-            self.tell_listing()
+            self.push_listing()
+
+    # Pushing to the own zone.
 
-    # Telling the own zone.
+    async def _push_to_zone(self, delta: messages.Delta) -> None:
+        """Pushes a delta to the zone; the second watcher waits first.
 
-    async def _tell_zone(self, delta: messages.Delta) -> None:
-        """Pushes news into the zone; the second watcher waits for the first."""
+        It pushes only if the push of the first watcher has not arrived.
+        """
         if self._rank("watch", _WATCHERS) == 1:
             await asyncio.sleep(self._timing.second)
             if all(
                 self._pushed.get(name, 0) >= number
-                for name, number in _numbers(delta).items()
+                for name, number in _versions(delta).items()
             ):
                 return
         self.push(delta)
 
     def push(self, delta: messages.Delta) -> None:
-        """Tells the own zone what is newer."""
+        """Pushes a delta to the peers of the own zone."""
         self._push(messages.Push(self._vm, delta))
 
     def _push(self, push: messages.Push) -> None:
         for vm in self._receivers(push.root):
-            self._tellings.start(self.call(vm, push))
+            self._sends.start(self.call(vm, push))
 
-    def tell_listing(self) -> None:
-        """Tells the own zone the list of VMs as this VM has it."""
+    def push_listing(self) -> None:
+        """Pushes this VM's copy of the VM list to the peers of the own zone."""
         listing = self._fleet.readings.listing(self._vm, self._clock.now())
         for vm in self._receivers(self._vm):
-            self._tellings.start(self.call(vm, listing))
+            self._sends.start(self.call(vm, listing))
 
     def _receivers(self, root: str) -> list[str]:
-        members = [
+        zone_vms = [
             vm.id
             for vm in self._fleet.fleet.entries.values()
             if vm.zone == self._zone and not self._membership.suspects(vm.id)
         ]
-        return gossip.children(root, self._vm, [*members, self._vm])
+        return gossip.children(root, self._vm, [*zone_vms, self._vm])
 
-    def _take_push(self, push: messages.Push) -> messages.Ack:
-        self._count("push_taken")
-        self._pushed.update(_numbers(push.delta))
+    def _receive_push(self, push: messages.Push) -> messages.Ack:
+        self._increment("push_taken")
+        self._pushed.update(_versions(push.delta))
         self._state.merge_told(push.delta)
         self._push(push)
         return messages.Ack(self._vm)
 
-    def _take_listing(self, listing: messages.Listing) -> messages.Ack:
+    def _receive_listing(self, listing: messages.Listing) -> messages.Ack:
         if self._fleet.take(listing):
             for vm in self._receivers(listing.root):
-                self._tellings.start(self.call(vm, listing))
+                self._sends.start(self.call(vm, listing))
         return messages.Ack(self._vm)
 
     async def call(
         self, vm: str, message: messages.PeerMessage
     ) -> messages.PeerMessage | None:
-        """Sends a message and counts it; None if no answer came."""
+        """Sends a message and counts it; None if no response came."""
         listed = self._fleet.fleet.entries.get(vm)
         if listed is None:
             return None
-        self._count(f"sent_{type(message).__name__.lower()}")
+        self._increment(f"sent_{type(message).__name__.lower()}")
         self._bytes += len(messages.encode(message))
         reply = await self._peers.call(listed, message, self._timing.call)
         return reply.ok()
 
 
 async def repeat(step: Callable[[], Awaitable[None]], prefix: str) -> None:
-    """Runs a step again and again.
+    """Runs a step in an endless loop.
 
-    One bad answer must not end a loop for good: this VM would fall behind
-    without a sign. So a step that fails is logged and tried again.
+    A step that fails is logged and retried. If one bad response ended the
+    loop, this VM would fall behind without any indication.
 
     Args:
-        step: What to do.
+        step: Coroutine function to run in each iteration.
         prefix: Prefix of the log line.
     """
     while True:
         try:
             await step()
         except Exception:
-            logging.exception("%s a step failed.", prefix)
-            await asyncio.sleep(_IDLE_SECONDS)
+            logging.exception("%s iteration failed; retrying.", prefix)
+            await asyncio.sleep(_IDLE_INTERVAL_SECONDS)
 
 
-def _numbers(delta: messages.Delta) -> dict[str, int]:
-    """Returns what a delta brings, by name, with numbers that only rise."""
-    whole = {_state.block_key(b.id): b.version for b in delta.blocks}
+def _versions(delta: messages.Delta) -> dict[str, int]:
+    """Returns the version of each block and configuration in a delta.
+
+    The versions of a name only ever increase.
+    """
+    blocks = {_state.block_key(b.id): b.version for b in delta.blocks}
     changed = {_state.block_key(c.id): c.version for c in delta.changes}
-    brought = whole | changed
+    versions = blocks | changed
     if delta.configuration is not None:
-        brought[_state.CONFIG_KEY] = delta.configuration.number
-    return brought
+        versions[_state.CONFIG_KEY] = delta.configuration.number
+    return versions
--- a/packages/mimosastile-entry/src/mimosastile_entry/_sending.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_sending.py
@@ -1,4 +1,7 @@
-"""Sends a call once: to a target that this VM keeps, or to its keeper."""
+"""Sends a call once: to a kept target, or to the keeper of another target.
+
+A target's keeper is the entry VM through which alone the target gets requests.
+"""
 
 import asyncio
 
@@ -15,20 +18,20 @@
 from mimosastile_entry import _state
 from mimosastile_entry import ports
 
-_TARGET_SAID = frozenset(
+_TARGET_REFUSALS = frozenset(
     {
         errors.ErrorKind.WRONG_FENCE,
         errors.ErrorKind.DRAINING,
         errors.ErrorKind.OVERLOADED,
     }
 )
-"""The target itself refused, so it is alive."""
-_HEAD_BYTES = 512
-"""Request line, headers and framing, roughly, on the link between regions."""
+"""Errors that the target itself sent, so the target is running."""
+_ESTIMATED_HEAD_BYTES = 512
+"""Estimate of request line, headers and framing on an inter-region link."""
 
 
 class Sending:
-    """Carries a call over one hop and notes what became of it."""
+    """Sends a call over one hop and records the outcome."""
 
     __slots__ = (
         "_admission",
@@ -51,16 +54,16 @@
         links: _links.LinksService,
         clock: ports.ClockPort,
     ) -> None:
-        """Makes one with no queues.
+        """Initializes the instance with empty admission queues.
 
         Args:
-            region: Where this VM stands.
-            state: Knows the members' shares.
-            keeper: Speaks to the targets that this VM keeps.
-            peers: Speaks to keepers.
-            quarantine: Is told of deaths.
-            links: Paces what crosses to other regions.
-            clock: Tells the time.
+            region: Region in which this VM is located.
+            state: Holds the configuration with the members' shares.
+            keeper: Sends requests to the targets that this VM keeps.
+            peers: Forwards requests to other keepers.
+            quarantine: Records responses and crashes of targets.
+            links: Limits the byte rate to other regions.
+            clock: Source of the current time.
         """
         self._region = region
         self._state = state
@@ -73,22 +76,22 @@
 
     @property
     def admission(self) -> _admission.Admission:
-        """The queues of the targets that this VM keeps."""
+        """The admission queues of the targets that this VM keeps."""
         return self._admission
 
     async def forward(
         self, call: _calls.Call, hop: _calls.Hop, keeper: fleet.Vm
     ) -> _calls.SendResult:
-        """Passes a call to the keeper of its target."""
+        """Forwards a call to the keeper of its target."""
         request = call.request
         request.target = hop.target.id
         request.origin = self._region
         if self._links.crosses(keeper.region):
-            load = self._load(call, keeper.region)
+            load = self._link_load(call, keeper.region)
             left = request.deadline - self._clock.now()
             try:
                 async with asyncio.timeout(left):
-                    size = len(request.body) + _HEAD_BYTES
+                    size = len(request.body) + _ESTIMATED_HEAD_BYTES
                     await self._links.send(load, size)
             except TimeoutError:
                 return _calls.failed(errors.ErrorKind.QUEUE_TIMEOUT)
@@ -100,7 +103,7 @@
     async def send(
         self, call: _calls.Call, hop: _calls.Hop
     ) -> _calls.SendResult:
-        """Waits for a slot of a target that this VM keeps and sends."""
+        """Waits for a slot of a kept target, then sends the call to it."""
         target = hop.target
         ticket = self._ticket(call)
         refused = await self._admission.enter(
@@ -109,7 +112,7 @@
         if refused is not None:
             return result.Err(refused)
         call.attempts.send_started = True
-        began = self._clock.now()
+        started_at = self._clock.now()
         sent: _calls.SendResult | None = None
         try:
             sent = await self._keeper.send(target, call.request, hop.fence)
@@ -117,14 +120,16 @@
             if sent is None or sent.is_err():
                 self._admission.leave(target.id, ticket)
         if isinstance(sent, result.Err):
-            self._note(target.id, call, sent.err_value.kind, began)
+            self._record_failure(
+                target.id, call, sent.err_value.kind, started_at
+            )
             return sent
-        self._quarantine.answered(target.id, began)
+        self._quarantine.answered(target.id, started_at)
         response = sent.ok_value
         response.on_close(self._admission.leaver(target.id, ticket))
         origin = call.request.origin
         if call.request.forwarded and self._links.crosses(origin):
-            load = self._load(call, origin)
+            load = self._link_load(call, origin)
             response.body = self._links.paced(load, response.body)
         return sent
 
@@ -135,7 +140,7 @@
             name, call.treatment.priority, member.share if member else 1.0
         )
 
-    def _load(self, call: _calls.Call, region: str) -> _links.Load:
+    def _link_load(self, call: _calls.Call, region: str) -> _links.Load:
         return _links.Load(
             region,
             call.request.member,
@@ -143,16 +148,16 @@
             call.treatment.priority,
         )
 
-    def _note(
+    def _record_failure(
         self,
         target: str,
         call: _calls.Call,
         kind: errors.ErrorKind,
-        began: float,
+        started_at: float,
     ) -> None:
-        if kind in _TARGET_SAID:
-            self._quarantine.answered(target, began)
+        if kind in _TARGET_REFUSALS:
+            self._quarantine.answered(target, started_at)
         else:
-            self._quarantine.failed(target, call.request, kind, began)
+            self._quarantine.failed(target, call.request, kind, started_at)
         if kind is errors.ErrorKind.OVERLOADED:
             self._admission.shed(target)
--- a/packages/mimosastile-entry/src/mimosastile_entry/_targeting.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_targeting.py
@@ -1,4 +1,4 @@
-"""Where a call goes next: the owner of its key, or a target of its service."""
+"""Chooses the next hop of a call: its key's owner, or any service target."""
 
 import msgspec
 import result
@@ -16,82 +16,91 @@
 
 
 class _Pool(msgspec.Struct):
-    """The targets of one service that is not divided by key.
+    """The targets of one service that is not sharded by key.
 
     Attributes:
-        balancer: Chooses among them.
-        hops: How each one is reached.
-        fresh: Whether table and list are those known now.
+        balancer: Chooses a target for each call.
+        hops: Path to each target, by target id.
+        up_to_date: Whether the pool reflects the current table and VM list.
     """
 
     balancer: balancing.Balancer
     hops: dict[str, _calls.Hop] = {}
-    fresh: bool = False
+    up_to_date: bool = False
 
 
 class Targeting:
-    """Finds the next hop of calls; keeps what balancing has learned."""
+    """Finds the next hop of calls and holds the state of load balancing."""
 
-    __slots__ = ("_clock", "_fleet", "_here", "_pools", "_state")
+    __slots__ = ("_clock", "_fleet", "_locality", "_pools", "_state")
 
     def __init__(
         self,
-        here: balancing.Locality,
+        locality: balancing.Locality,
         state: _state.StateService,
         listed: _fleet.FleetService,
         clock: ports.ClockPort,
     ) -> None:
-        """Makes one that has learned nothing.
+        """Initializes the instance without load-balancing state.
 
         Args:
-            here: Where this VM stands.
-            state: Knows the tables.
-            listed: Knows the VMs.
-            clock: Tells the time.
+            locality: Zone and region of this VM.
+            state: Holds the tables.
+            listed: Holds the VM list.
+            clock: Source of the current time.
         """
-        self._here = here
+        self._locality = locality
         self._state = state
         self._fleet = listed
         self._clock = clock
         self._pools: dict[str, _Pool] = {}
 
     def changed(self) -> None:
-        """Notes that tables, configuration or list have changed."""
+        """Invalidates all pools.
+
+        To be called after a change of tables, configuration or VM list.
+        """
         for pool in self._pools.values():
-            pool.fresh = False
+            pool.up_to_date = False
 
     def ejected(self) -> dict[str, list[str]]:
-        """Returns the targets that are left alone, by service."""
+        """Returns the ejected targets by service."""
         now = self._clock.now()
         found = {n: p.balancer.ejected(now) for n, p in self._pools.items()}
         return {name: targets for name, targets in found.items() if targets}
 
     def next_hop(self, call: _calls.Call) -> HopResult:
-        """Returns where to send a call now."""
+        """Returns the next hop of a call, or the reason that there is none."""
         if call.position is None:
-            return self._any_target(call)
+            return self._choose_target(call)
         table = self._state.replica.table(call.plan.name)
-        home = table.locate(call.position) if table else None
-        if home is None or not home.slice.owner or home.keeper is None:
+        location = table.locate(call.position) if table else None
+        if (
+            location is None
+            or not location.slice.owner
+            or location.keeper is None
+        ):
             return _calls.failed(errors.ErrorKind.NO_OWNER)
-        vm = self._fleet.fleet.targets(call.plan.name).get(home.slice.owner)
+        vm = self._fleet.fleet.targets(call.plan.name).get(location.slice.owner)
         if vm is None:
             return _calls.failed(errors.ErrorKind.NO_OWNER)
         if self._fleet.has_left(vm.id):
             return _calls.failed(
-                errors.ErrorKind.NO_OWNER, "Its owner is leaving."
+                errors.ErrorKind.NO_OWNER, "The owner of the key is leaving."
             )
-        fence = holder.RequestFence(home.block, call.position, home.slice.fence)
-        return result.Ok(_calls.Hop(vm, home.keeper, fence))
+        fence = holder.RequestFence(
+            location.block, call.position, location.slice.fence
+        )
+        return result.Ok(_calls.Hop(vm, location.keeper, fence))
 
     def begin(self, call: _calls.Call, hop: _calls.Hop) -> None:
-        """Counts a call in."""
+        """Counts a call as in progress at its target."""
         pool = self._pools.get(call.plan.name)
         if pool is not None:
             pool.balancer.begin(hop.target.id)
 
     def end(self, call: _calls.Call, hop: _calls.Hop) -> None:
-        """Counts a call out."""
+        """Counts a call at its target as ended."""
         pool = self._pools.get(call.plan.name)
         if pool is not None:
             pool.balancer.end(hop.target.id)
@@ -99,19 +108,25 @@
     def answered(
         self, call: _calls.Call, hop: _calls.Hop, began: float
     ) -> None:
-        """Notes an answer to a call that was sent at a time."""
+        """Records the response to a call.
+
+        Args:
+            call: The call.
+            hop: The path that the call took.
+            began: Time at which the call was sent.
+        """
         pool = self._pools.get(call.plan.name)
         if pool is not None:
             now = self._clock.now()
             pool.balancer.record_response(hop.target.id, now - began, now)
 
     def failed(self, call: _calls.Call, hop: _calls.Hop) -> None:
-        """Notes that a target was not reached or gave no answer."""
+        """Records that a target was unreachable or sent no response."""
         pool = self._pools.get(call.plan.name)
         if pool is not None:
             pool.balancer.record_failure(hop.target.id, self._clock.now())
 
-    def _any_target(self, call: _calls.Call) -> HopResult:
+    def _choose_target(self, call: _calls.Call) -> HopResult:
         table = self._state.replica.table(call.plan.name)
         if table is None:
             return _calls.failed(errors.ErrorKind.NO_OWNER)
@@ -133,9 +148,9 @@
     def _pool(self, call: _calls.Call, table: tables.Table) -> _Pool:
         pool = self._pools.get(call.plan.name)
         if pool is None:
-            pool = _Pool(balancing.Balancer(self._here))
+            pool = _Pool(balancing.Balancer(self._locality))
             self._pools[call.plan.name] = pool
-        if not pool.fresh:
+        if not pool.up_to_date:
             self._refresh(pool, call, table)
         return pool
 
@@ -145,8 +160,8 @@
         listed = self._fleet.fleet
         live = listed.live_targets(call.plan.name)
         keepers = table.keepers()
-        # Targets that the list no longer names stay reachable; the balancer
-        # decides whether they are used.
+        # Targets that left the VM list keep their hops; the balancer decides
+        # whether they get calls.
         hops = {t: hop for t, hop in pool.hops.items() if t in keepers}
         for vm in listed.targets(call.plan.name).values():
             if vm.id in keepers:
@@ -165,4 +180,4 @@
             call.plan.service.slots,
             self._clock.now(),
         )
-        pool.fresh = True
+        pool.up_to_date = True
--- a/packages/mimosastile-entry/src/mimosastile_entry/_targets_http.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_targets_http.py
@@ -1,4 +1,4 @@
-"""Adapter to targets over HTTP."""
+"""Sends grants and requests to targets over HTTP."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 from mimosastile_entry import ports
 
 _REPLY = msgspec.json.Decoder(grants.GrantReply)
-_NOT_RUN = frozenset(
+_NOT_RUN_KINDS = frozenset(
     {
         errors.ErrorKind.WRONG_FENCE,
         errors.ErrorKind.DRAINING,
@@ -38,7 +38,7 @@
         self._state: _state.StateService
 
     async def start(self, kernel: kernel.Kernel) -> None:
-        """Finds client, clock and configuration."""
+        """Looks up the client, the clock and the state service."""
         self._client = kernel.find("client")
         self._clock = kernel.find("clock")
         self._state = kernel.find("state")
@@ -46,7 +46,13 @@
     async def grant(
         self, vm: fleet.Vm, grant: grants.Grant, timeout: float
     ) -> result.Result[grants.GrantReply, errors.Failure]:
-        """Sends a grant and waits for the reply."""
+        """Sends a grant and returns the reply.
+
+        Args:
+            vm: VM of the target.
+            grant: The grant to send.
+            timeout: Timeout in seconds.
+        """
         url = f"http://{vm.host}:{vm.port}{_wire.GRANT_PATH}"
         pool = self._pool(vm)
         try:
@@ -68,19 +74,19 @@
         request: ports.Request,
         fence: holder.RequestFence | None,
     ) -> result.Result[ports.Response, errors.Failure]:
-        """Sends a request once."""
-        left = request.deadline - self._clock.now()
+        """Sends a request once, without retries."""
+        remaining = request.deadline - self._clock.now()
         headers = [
             *request.headers,
             (_wire.MEMBER, request.member),
             (_wire.REQUEST_ID, request.request_id),
-            (_wire.DEADLINE_MS, str(max(0, int(left * 1000)))),
+            (_wire.DEADLINE_MS, str(max(0, int(remaining * 1000)))),
             *(_wire.fence_headers(fence).items() if fence else ()),
         ]
         query = f"?{request.query}" if request.query else ""
         url = f"http://{vm.host}:{vm.port}{request.path}{query}"
         terms = _exchange.Terms(
-            left, self._client.configured.first_byte, _NOT_RUN
+            remaining, self._client.configured.first_byte, _NOT_RUN_KINDS
         )
         return await _exchange.send(
             self._client, self._pool(vm), request, url, headers, terms
