--- a/packages/mimosastile-entry/src/mimosastile_entry/_membership.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_membership.py
@@ -225,7 +225,7 @@
         logging.info(
             "%s suspected VMs: %s.",
             _PREFIX,
-            ", ".join(sorted(self._detector.suspected)) or "none",
+            ", ".join(sorted(self._detector.suspected)) or "nobody",
         )
         self._choose_followed()
         for listener in self._listeners:
--- a/tests/entry/test_asgi.py
+++ b/tests/entry/test_asgi.py
@@ -49,7 +49,7 @@
 
         async def start():
             peer = await stack.enter_async_context(
-                rig.peer(lambda _: rig.Reply())
+                rig.raw_server(lambda _: rig.Reply())
             )
             front = await stack.enter_async_context(
                 rig.front(peer.port, limits)
--- a/tests/entry/test_client.py
+++ b/tests/entry/test_client.py
@@ -25,11 +25,11 @@
                 return rig.Reply() if number == 0 else rig.Reply(b"", True)
 
             async with (
-                rig.peer(replies) as peer,
+                rig.raw_server(replies) as peer,
                 rig.sender(peer.port) as (made, vm),
             ):
                 first = await rig.send(made, vm)
-                assert await rig.whole(first.ok()) == b"ok"
+                assert await rig.read_body(first.ok()) == b"ok"
                 second = await rig.send(made, vm, method)
                 return second, peer
 
@@ -55,7 +55,7 @@
                 b"content-length: 0\r\n\r\n"
             )
             async with (
-                rig.peer(lambda _: rig.Reply(moved)) as peer,
+                rig.raw_server(lambda _: rig.Reply(moved)) as peer,
                 rig.sender(peer.port) as (made, vm),
             ):
                 sent = await rig.send(made, vm, "POST", b"letter")
@@ -75,7 +75,7 @@
         """No byte can have left."""
 
         async def story():
-            async with rig.peer(lambda _: rig.Reply()) as peer:
+            async with rig.raw_server(lambda _: rig.Reply()) as peer:
                 port = peer.port
             async with rig.sender(port) as (made, vm):
                 return await rig.send(made, vm, "POST", b"letter")
@@ -93,10 +93,10 @@
 
         async def story():
             async with (
-                rig.peer(lambda _: rig.Reply()) as peer,
+                rig.raw_server(lambda _: rig.Reply()) as peer,
                 rig.sender(peer.port) as (made, vm),
             ):
-                await rig.whole((await rig.send(made, vm)).ok())
+                await rig.read_body((await rig.send(made, vm)).ok())
                 return peer.requests[0].lower()
 
         head = asyncio.run(story())
--- a/tests/entry/test_connections.py
+++ b/tests/entry/test_connections.py
@@ -16,7 +16,7 @@
 
 async def _gather(made, vm, count):
     sent = await asyncio.gather(*(rig.send(made, vm) for _ in range(count)))
-    return [await rig.whole(s.ok()) for s in sent]
+    return [await rig.read_body(s.ok()) for s in sent]
 
 
 class TestLimit:
@@ -30,7 +30,7 @@
 
         async def story():
             async with (
-                rig.peer(lambda _: rig.Reply()) as peer,
+                rig.raw_server(lambda _: rig.Reply()) as peer,
                 rig.sender(peer.port, connections=2) as (made, vm),
             ):
                 return await _gather(made, vm, 20), peer.connections
@@ -42,13 +42,15 @@
 
         async def story():
             async with (
-                rig.peer(lambda _: rig.Reply(PART, after=b"rest")) as peer,
+                rig.raw_server(
+                    lambda _: rig.Reply(PART, after=b"rest")
+                ) as peer,
                 rig.sender(peer.port, 1, connect=0.02) as (made, vm),
             ):
                 first = await rig.send(made, vm)
                 second = await rig.send(made, vm)
                 peer.release.set()
-                whole = await rig.whole(first.ok())
+                whole = await rig.read_body(first.ok())
                 return whole, second.err(), len(peer.requests)
 
         whole, failure, requests = asyncio.run(story())
@@ -61,7 +63,9 @@
 
         async def story():
             async with (
-                rig.peer(lambda _: rig.Reply(PART, after=b"rest")) as peer,
+                rig.raw_server(
+                    lambda _: rig.Reply(PART, after=b"rest")
+                ) as peer,
                 rig.sender(peer.port) as (made, vm),
             ):
                 client = made.find("client")
@@ -69,7 +73,7 @@
                 former = client.pool(vm, 120)
                 latter = client.pool(vm, 60)
                 peer.release.set()
-                whole = await rig.whole(first)
+                whole = await rig.read_body(first)
                 return whole, former.session.closed, latter.session.closed
 
         assert asyncio.run(story()) == (b"halfrest", True, False)
@@ -83,7 +87,7 @@
 
         async def story():
             async with (
-                rig.peer(lambda _: rig.Reply()) as peer,
+                rig.raw_server(lambda _: rig.Reply()) as peer,
                 rig.sender(peer.port) as (made, vm),
             ):
                 for _ in range(5):
@@ -98,7 +102,7 @@
 
         async def story():
             async with (
-                rig.peer(lambda _: rig.Reply()) as peer,
+                rig.raw_server(lambda _: rig.Reply()) as peer,
                 rig.sender(peer.port, **times) as (made, vm),
             ):
                 await _gather(made, vm, 1)
@@ -113,7 +117,7 @@
 
         async def story():
             async with (
-                rig.peer(lambda _: rig.Reply()) as peer,
+                rig.raw_server(lambda _: rig.Reply()) as peer,
                 rig.sender(peer.port) as (made, vm),
             ):
                 await _gather(made, vm, 1)
@@ -121,7 +125,7 @@
                     socket.SHUT_WR
                 )
                 sent = await rig.send(made, vm, "POST", b"letter")
-                return await rig.whole(sent.ok()), peer.connections
+                return await rig.read_body(sent.ok()), peer.connections
 
         assert asyncio.run(story()) == (b"ok", 2)
 
@@ -143,7 +147,7 @@
                 )
 
             async with (
-                rig.peer(replies) as peer,
+                rig.raw_server(replies) as peer,
                 rig.sender(peer.port, first_byte=0.6) as (made, vm),
             ):
                 await _gather(made, vm, 2)
@@ -162,7 +166,9 @@
 
         async def story():
             async with (
-                rig.peer(lambda _: rig.Reply(PART, after=b"rest")) as peer,
+                rig.raw_server(
+                    lambda _: rig.Reply(PART, after=b"rest")
+                ) as peer,
                 rig.sender(peer.port, connect=2.0) as (made, vm),
             ):
                 response = (await rig.send(made, vm)).ok()
@@ -197,13 +203,15 @@
 
         async def story():
             async with (
-                rig.peer(lambda _: rig.Reply(PART, after=b"rest")) as peer,
+                rig.raw_server(
+                    lambda _: rig.Reply(PART, after=b"rest")
+                ) as peer,
                 rig.sender(peer.port) as (made, vm),
             ):
                 sent = await rig.send(made, vm, seconds=0.05)
                 await asyncio.sleep(0.1)
                 peer.release.set()
-                return await rig.whole(sent.ok())
+                return await rig.read_body(sent.ok())
 
         assert asyncio.run(story()) == b"halfrest"
 
@@ -212,12 +220,14 @@
 
         async def story():
             async with (
-                rig.peer(lambda _: rig.Reply(PART, after=b"rest")) as peer,
+                rig.raw_server(
+                    lambda _: rig.Reply(PART, after=b"rest")
+                ) as peer,
                 rig.sender(peer.port, between_bytes=0.05) as (made, vm),
             ):
                 sent = await rig.send(made, vm)
                 with pytest.raises(rig.ports.BrokenAnswerError):
-                    await rig.whole(sent.ok())
+                    await rig.read_body(sent.ok())
                 return made.find("client").pool(vm, 120).in_use
 
         assert asyncio.run(story()) == 0
@@ -227,7 +237,7 @@
 
         async def story():
             async with (
-                rig.peer(lambda _: rig.Reply(b"", after=b"x")) as peer,
+                rig.raw_server(lambda _: rig.Reply(b"", after=b"x")) as peer,
                 rig.sender(peer.port) as (made, vm),
             ):
                 return await rig.send(made, vm, seconds=0.05)
@@ -241,7 +251,7 @@
 
         async def story():
             async with (
-                rig.peer(lambda _: rig.Reply()) as peer,
+                rig.raw_server(lambda _: rig.Reply()) as peer,
                 rig.sender(peer.port) as (made, vm),
             ):
                 sent = await rig.send(made, vm, seconds=0)
@@ -268,7 +278,7 @@
                 return rig.Reply(data)
 
             async with (
-                rig.peer(replies) as peer,
+                rig.raw_server(replies) as peer,
                 rig.sender(peer.port) as (made, vm),
             ):
                 peers = _peers_http.HttpPeers(_auth.Signer("e0", {}, "", 10.0))
--- a/tests/entry/test_exchange.py
+++ b/tests/entry/test_exchange.py
@@ -15,7 +15,7 @@
 
     async def story():
         async with (
-            rig.peer(replies) as peer,
+            rig.raw_server(replies) as peer,
             rig.front(peer.port, limits, **times) as front,
         ):
             received = await rig.exchange(front.port, sent)
@@ -195,14 +195,14 @@
                 return rig.Reply(rig.OK, after=surplus)
 
             async with (
-                rig.peer(replies) as peer,
+                rig.raw_server(replies) as peer,
                 rig.sender(peer.port) as (made, vm),
             ):
                 first = await rig.send(made, vm)
-                body = await rig.whole(first.ok()) if first.is_ok() else b""
+                body = await rig.read_body(first.ok()) if first.is_ok() else b""
                 peer.release.set()
                 await asyncio.sleep(0.01)
-                second = await rig.whole((await rig.send(made, vm)).ok())
+                second = await rig.read_body((await rig.send(made, vm)).ok())
                 return body, second
 
         first, second = asyncio.run(story())
@@ -215,14 +215,14 @@
 
         async def story():
             async with (
-                rig.peer(lambda _: rig.Reply()) as peer,
+                rig.raw_server(lambda _: rig.Reply()) as peer,
                 rig.sender(peer.port) as (made, vm),
             ):
-                await rig.whole((await rig.send(made, vm)).ok())
+                await rig.read_body((await rig.send(made, vm)).ok())
                 # Written and sent in one step, without a round of the loop
                 # in which the client could read it.
                 peer.writers[0].write(rig.OK.replace(b"\r\nok", b"\r\nno"))
-                second = await rig.whole((await rig.send(made, vm)).ok())
+                second = await rig.read_body((await rig.send(made, vm)).ok())
                 return second, peer.connections
 
         assert asyncio.run(story()) == (b"ok", 2)
@@ -238,7 +238,7 @@
                 return rig.Reply(b"", after=late)
 
             async with (
-                rig.peer(replies) as peer,
+                rig.raw_server(replies) as peer,
                 rig.sender(peer.port) as (made, vm),
             ):
                 first = asyncio.create_task(rig.send(made, vm))
@@ -247,7 +247,7 @@
                 first.cancel()
                 await asyncio.gather(first, return_exceptions=True)
                 peer.release.set()
-                second = await rig.whole((await rig.send(made, vm)).ok())
+                second = await rig.read_body((await rig.send(made, vm)).ok())
                 pool = made.find("client").pool(vm, 120)
                 return second, peer.connections, pool.in_use
 
@@ -262,12 +262,12 @@
                 return rig.Reply(rig.OK if number else part)
 
             async with (
-                rig.peer(replies) as peer,
+                rig.raw_server(replies) as peer,
                 rig.sender(peer.port) as (made, vm),
             ):
                 first = (await rig.send(made, vm)).ok()
                 await first.close()
-                second = await rig.whole((await rig.send(made, vm)).ok())
+                second = await rig.read_body((await rig.send(made, vm)).ok())
                 return second, peer.connections
 
         assert asyncio.run(story()) == (b"ok", 2)
@@ -291,7 +291,9 @@
 
         async def story():
             async with (
-                rig.peer(lambda _: rig.Reply(data, after=b"rest")) as peer,
+                rig.raw_server(
+                    lambda _: rig.Reply(data, after=b"rest")
+                ) as peer,
                 rig.front(peer.port) as front,
             ):
                 _, writer = await asyncio.open_connection(rig.HOST, front.port)
@@ -311,7 +313,7 @@
 
         async def story():
             async with (
-                rig.peer(lambda _: rig.Reply()) as peer,
+                rig.raw_server(lambda _: rig.Reply()) as peer,
                 rig.front(peer.port) as front,
             ):
                 _, writer = await asyncio.open_connection(rig.HOST, front.port)
@@ -352,7 +354,7 @@
 
         async def story():
             async with (
-                rig.peer(lambda _: rig.Reply()) as peer,
+                rig.raw_server(lambda _: rig.Reply()) as peer,
                 rig.front(peer.port, self.LIMITS) as front,
             ):
                 reader, writer = await asyncio.open_connection(
@@ -375,7 +377,7 @@
             size = 20 << 20
             data = b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % size
             async with (
-                rig.peer(lambda _: rig.Reply(data + b"x" * size)) as peer,
+                rig.raw_server(lambda _: rig.Reply(data + b"x" * size)) as peer,
                 rig.front(peer.port, self.LIMITS) as front,
             ):
                 _, writer = await asyncio.open_connection(
@@ -479,7 +481,7 @@
                 b"x-mimosastile-error: " + name.encode() + b"\r\n\r\n"
             )
             async with (
-                rig.peer(lambda _: rig.Reply(data)) as peer,
+                rig.raw_server(lambda _: rig.Reply(data)) as peer,
                 rig.sender(peer.port) as (made, vm),
             ):
                 return await rig.send(made, vm)
--- a/tests/entry/test_guard.py
+++ b/tests/entry/test_guard.py
@@ -105,7 +105,7 @@
                     deadline=deadline,
                 )
                 sent = await peers.forward(vm, request)
-                return await rig.whole(sent.ok())
+                return await rig.read_body(sent.ok())
 
         assert runner.run(story()) == REPLY
         assert app.reached[-1] == ("/forward/s/\u010d", whole)
--- a/tests/entry/test_keeper.py
+++ b/tests/entry/test_keeper.py
@@ -8,19 +8,19 @@
 from mimosastile_standins import virtual
 
 KEY = "k0"
-LAPSE = grants.Timing().max_validity
+MAX_GRANT_SECONDS = grants.Timing().max_validity
 
 
-def _run(story, **options):
-    async def whole():
+def _run(scenario, **options):
+    async def run_scenario():
         made = await losses.start(losses.Setting(**options))
         order = losses.Order()
-        for run in made.targets.values():
-            run.observer = order.note
-        await story(made, losses.owner_of(made, KEY))
+        for target in made.targets.values():
+            target.observer = order.note
+        await scenario(made, losses.owner_of(made, KEY))
         assert order.violations == []
 
-    virtual.run(whole())
+    virtual.run(run_scenario())
 
 
 async def _call(made, seconds=0.3):
@@ -31,28 +31,28 @@
     return losses.served_by(body) if status == 200 else status
 
 
-def _others(made, vm):
+def _all_others(made, vm):
     return {*made.daemons, *made.targets, "store", "fleet"} - {vm}
 
 
-def _leave_only(made, keeper, target):
-    """Leaves a keeper and its target to each other alone."""
-    made.network.cut({keeper}, _others(made, keeper) - {target})
-    made.network.cut({target}, _others(made, target) - {keeper})
+def _isolate_with_target(made, keeper, target):
+    """Cuts a keeper and its target off from all but each other."""
+    made.network.cut({keeper}, _all_others(made, keeper) - {target})
+    made.network.cut({target}, _all_others(made, target) - {keeper})
 
 
-class TestLostAnswer:
-    """A write that moves the keys of a frozen target has its answer lost.
+class TestLostWriteResponse:
+    """The response to a write that moves a frozen target's keys is lost.
 
-    The store goes down before the keeper can look. The target thaws, and only
-    then the write takes effect. If the target had its keys again, a letter
-    would be approved there and by the new owner.
+    The store goes down before the keeper can read it. The target resumes, and
+    only then the write takes effect. If the target owned its keys again, both
+    it and the new owner would approve the same letter.
     """
 
-    def test_thawed_target_gets_its_keys_back_only_when_that_is_safe(self):
-        """Nothing of the doubtful slices is granted in between."""
+    def test_resumed_target_gets_no_slices_while_write_is_pending(self):
+        """Slices of a pending write are not granted."""
 
-        async def story(made, former):
+        async def scenario(made, former):
             made.store.late_writes, made.store.late_seconds = 1, 3.0
             made.targets[former].freeze()
             async with virtual.limit(2.0):
@@ -69,12 +69,12 @@
             await virtual.pause(1.5)
             assert await _call(made) == losses.owner_of(made, KEY) != former
 
-        _run(story)
+        _run(scenario)
 
     def test_write_that_never_arrived_is_settled(self):
-        """A barrier ends the doubt; the target goes on with its keys."""
+        """A barrier write resolves it; the target keeps its keys."""
 
-        async def story(made, former):
+        async def scenario(made, former):
             made.store.late_writes, made.store.late_seconds = 1, 60.0
             made.targets[former].freeze()
             async with virtual.limit(2.0):
@@ -90,27 +90,28 @@
             dumped = made.daemons[keeper].find("state").dump()
             assert dumped["pending_writes"] == []
 
-        _run(story)
+        _run(scenario)
 
 
-class TestSilentTargetOfANewKeeper:
+class TestTargetUnreachableForNewKeeper:
     """A keeper is cut off from all but its target and replaced.
 
-    Its successor does not hear the target. The former keeper still renews, so
-    the target still serves; giving its keys away would make two owners.
+    Its successor gets no response from the target. The former keeper still
+    renews grants, so the target still serves its keys; moving them would make
+    two owners.
     """
 
     def _cut(self, made, target, keeper, successor):
-        made.network.cut({keeper}, _others(made, keeper) - {target})
+        made.network.cut({keeper}, _all_others(made, keeper) - {target})
         made.network.cut({successor}, {target})
         for vm in set(made.daemons) - {keeper}:
             roles = made.daemons[vm].find("roles")
-            roles._membership = _Suspects(keeper)
+            roles._membership = _FixedSuspicions(keeper)
 
     def test_keys_stay_while_the_former_keeper_may_renew(self):
-        """They move when the list says that its VM is gone."""
+        """They move after the former keeper's VM is off the VM list."""
 
-        async def story(made, target):
+        async def scenario(made, target):
             keeper = losses.keeper_of(made, target)
             zone = keeper.rpartition("-")[0]
             successor = next(
@@ -119,19 +120,19 @@
                 if vm.startswith(zone) and vm != keeper
             )
             self._cut(made, target, keeper, successor)
-            await virtual.pause(5 * LAPSE)
+            await virtual.pause(5 * MAX_GRANT_SECONDS)
             assert losses.keeper_of(made, target) == successor
             assert losses.owner_of(made, KEY) == target
             assert made.targets[target].served()
             made.kill_daemon(keeper)
             made.fleet.remove(keeper)
-            await virtual.pause(2.0 + 3 * LAPSE)
+            await virtual.pause(2.0 + 3 * MAX_GRANT_SECONDS)
             assert losses.owner_of(made, KEY) != target
 
-        _run(story)
+        _run(scenario)
 
 
-class _Suspects:
+class _FixedSuspicions:
     def __init__(self, *vms):
         self._vms = vms
 
@@ -143,17 +144,17 @@
 
 
 class TestRestartedTarget:
-    """A target restarts and no longer knows which keeper it listens to.
+    """A target restarts and loses the record of its current keeper.
 
-    Its keeper was replaced while it was cut off. If it granted from its old
-    table, keys that have moved on would be served here once more.
+    Its keeper was replaced while cut off. If that keeper sent grants by its old
+    table, the target would serve keys that have moved to other targets.
     """
 
-    def test_replaced_keeper_grants_nothing_to_the_new_run(self):
-        """It can ask neither the store nor a peer, so it keeps silent."""
+    def test_replaced_keeper_grants_nothing_to_the_new_incarnation(self):
+        """It can read neither the store nor a peer, so it sends no grant."""
 
-        async def story(made, target):
-            _leave_only(made, losses.keeper_of(made, target), target)
+        async def scenario(made, target):
+            _isolate_with_target(made, losses.keeper_of(made, target), target)
             made.targets[target].restart()
             await virtual.pause(5.0)
             assert made.targets[target].served() == []
@@ -161,35 +162,35 @@
             await virtual.pause(3.0)
             assert await _call(made) == losses.owner_of(made, KEY)
 
-        _run(story)
+        _run(scenario)
 
-    def test_peers_of_the_zone_answer_while_the_store_is_down(self):
-        """A cut-off zone gets its restarted target back."""
+    def test_peers_of_the_zone_confirm_the_keeper_while_the_store_is_down(self):
+        """A restarted target serves again although the store is down."""
 
-        async def story(made, target):
+        async def scenario(made, target):
             made.store.go_down()
             made.targets[target].restart()
             await virtual.pause(1.0)
             assert await _call(made) == target
 
-        _run(story)
+        _run(scenario)
 
 
 class TestPausedKeeper:
-    """A keeper's VM stops for some seconds and goes on.
+    """A keeper's VM pauses for a few seconds and resumes.
 
-    Its tables are as old as the pause. What it orders before it has read them
-    anew may have been true only before.
+    Its tables are as old as the pause. Grants that it sends before it reads
+    them again may be out of date.
     """
 
     def test_nothing_is_sent_before_it_has_caught_up(self):
-        """With neither store nor peers it stays silent."""
+        """It sends nothing if it can read neither the store nor a peer."""
 
-        async def story(made, target):
+        async def scenario(made, target):
             keeper = losses.keeper_of(made, target)
             process = made.process(keeper)
             process.pause()
-            _leave_only(made, keeper, target)
+            _isolate_with_target(made, keeper, target)
             await virtual.pause(3.0)
             process.resume()
             await virtual.pause(3.0)
@@ -198,12 +199,12 @@
             await virtual.pause(1.5)
             assert made.targets[target].served()
 
-        _run(story)
+        _run(scenario)
 
     def test_targets_keep_their_keys(self):
-        """The pause is over soon; nothing has to move."""
+        """No key moves because of a short pause."""
 
-        async def story(made, target):
+        async def scenario(made, target):
             process = made.process(losses.keeper_of(made, target))
             process.pause()
             await virtual.pause(1.0)
@@ -212,39 +213,39 @@
             assert await _call(made) == target
             assert losses.owner_of(made, KEY) == target
 
-        _run(story)
+        _run(scenario)
 
 
-class TestTargetThatChecksNothing:
-    """A target runs whatever reaches it.
+class TestTargetWithoutFenceChecks:
+    """A target runs every request that it receives, without fence checks.
 
-    Its keeper alone can say that nothing of it is running. A key that moved
-    while a label was being issued would have its serial issued twice.
+    Only its keeper can tell whether requests for a key are still running. If a
+    key moved while a label is issued, its serial would be issued twice.
     """
 
     @pytest.mark.parametrize(
-        ("answered", "moves"), [(True, True), (False, False)]
+        ("responds", "moves"), [(True, True), (False, False)]
     )
-    def test_key_moves_only_after_the_whole_answer(self, answered, moves):
-        """A request whose answer was lost may run at any later time."""
-
-        async def story(made, former):
-            run = made.targets[former]
-            run.service_time = 0.5
-            if not answered:
-                run.freeze()
-            assert (await _call(made, 1.0) == former) is answered
-            run.thaw()
+    def test_key_moves_only_after_the_complete_response(self, responds, moves):
+        """A request whose response was lost may still run at any time."""
+
+        async def scenario(made, former):
+            target = made.targets[former]
+            target.service_time = 0.5
+            if not responds:
+                target.freeze()
+            assert (await _call(made, 1.0) == former) is responds
+            target.thaw()
             made.fleet.leave(former)
             await virtual.pause(1.5)
             assert (losses.owner_of(made, KEY) != former) is moves
 
-        _run(story, checks_orders=False, checks_expiry=False)
+        _run(scenario, checks_orders=False, checks_expiry=False)
 
     def test_gone_target_loses_its_keys(self):
-        """The list lacked its VM for as long as a grant could last."""
+        """Its VM is missing from the VM list for the longest grant duration."""
 
-        async def story(made, former):
+        async def scenario(made, former):
             made.targets[former].crash()
             await virtual.pause(3.0)
             assert losses.owner_of(made, KEY) == former
@@ -252,33 +253,33 @@
             await virtual.pause(2.0)
             assert await _call(made) == losses.owner_of(made, KEY) != former
 
-        _run(story, checks_orders=False, checks_expiry=False)
+        _run(scenario, checks_orders=False, checks_expiry=False)
 
     def test_no_grant_is_sent_to_it(self):
-        """It would not understand one."""
+        """Such a target cannot process grants."""
 
-        async def story(made, target):
+        async def scenario(made, target):
             assert made.targets[target].holder.owned(0.0) == []
             assert await _call(made) == target
 
-        _run(story, checks_orders=False, checks_expiry=False)
+        _run(scenario, checks_orders=False, checks_expiry=False)
 
 
 class TestStandDown:
-    """A new keeper asks the former one to be silent."""
+    """A new keeper requests that the former one stop."""
 
     def test_former_keeper_stops_at_once(self):
-        """It does so even before it has seen the table change."""
+        """It stops before it has received the changed table."""
 
-        async def story(made, target):
+        async def scenario(made, target):
             keeper = made.daemons[losses.keeper_of(made, target)]
             block = made.blocks(losses.KEYED)[0]
             fence = block.keepers[target].fence + 1
             role = messages.Role(block.id, target, fence)
-            question = messages.StandDown("other", (role,))
-            reply = keeper.find("inbox").receive(question)
+            request = messages.StandDown("other", (role,))
+            reply = keeper.find("inbox").receive(request)
             assert reply.roles == (role,)
             await virtual.pause(1.0)
             assert made.targets[target].served() == []
 
-        _run(story)
+        _run(scenario)
--- a/tests/entry/test_listeners.py
+++ b/tests/entry/test_listeners.py
@@ -114,7 +114,9 @@
 
         async def story():
             async with (
-                rig.peer(lambda _: rig.Reply(PART, after=b"rest")) as peer,
+                rig.raw_server(
+                    lambda _: rig.Reply(PART, after=b"rest")
+                ) as peer,
                 _serving(peer.port, notice_seconds=0) as (made, listeners, _),
             ):
                 port = listeners.ports["callers"]
@@ -141,7 +143,7 @@
 
         async def story():
             async with (
-                rig.peer(lambda _: rig.Reply()) as peer,
+                rig.raw_server(lambda _: rig.Reply()) as peer,
                 _serving(peer.port, notice_seconds=30) as (made, listeners, _),
             ):
                 port = listeners.ports["callers"]
@@ -170,7 +172,7 @@
 
         async def story():
             async with (
-                rig.peer(lambda _: rig.Reply()) as peer,
+                rig.raw_server(lambda _: rig.Reply()) as peer,
                 _serving(peer.port, notice_seconds=0) as (made, listeners, _),
             ):
                 port = listeners.ports["callers"]
@@ -198,7 +200,9 @@
         async def story():
             bound = 0.05 if by == "bound" else 600
             async with (
-                rig.peer(lambda _: rig.Reply(PART, after=b"rest")) as peer,
+                rig.raw_server(
+                    lambda _: rig.Reply(PART, after=b"rest")
+                ) as peer,
                 _serving(
                     peer.port, notice_seconds=0, shutdown_seconds=bound
                 ) as (made, listeners, router),
--- a/tests/entry/test_membership.py
+++ b/tests/entry/test_membership.py
@@ -6,15 +6,15 @@
 from mimosastile_standins import world
 
 ZONE = ("kontinent", "zagreb-a")
-OTHER = ("primorje", "split-a")
+OTHER_ZONE = ("primorje", "split-a")
 
 
-async def _world(near=3, far=2):
+async def _start_world(near=3, far=2):
     made = world.World()
     for i in range(near):
         await made.add_daemon(f"a{i}", *ZONE)
     for i in range(far):
-        await made.add_daemon(f"b{i}", *OTHER)
+        await made.add_daemon(f"b{i}", *OTHER_ZONE)
     await virtual.pause(3.0)
     return made
 
@@ -29,19 +29,19 @@
 
 
 class TestCrashedVm:
-    """An entry VM crashes; the platform's list still shows it as live.
+    """An entry VM crashes; the platform's VM list still shows it as live.
 
-    Until its zone notices, its targets get no renewals.
+    Until its zone detects the crash, its targets get no renewals.
     """
 
     def test_its_zone_suspects_it_within_a_quarter_second(self):
-        """And a listener is told."""
+        """The listeners are notified."""
 
-        async def story():
-            made = await _world()
-            told = []
+        async def scenario():
+            made = await _start_world()
+            notified = []
             made.daemons["a1"].find("membership").subscribe(
-                lambda: told.append(virtual.now())
+                lambda: notified.append(virtual.now())
             )
             made.kill_daemon("a0")
             began = virtual.now()
@@ -49,44 +49,44 @@
                 while _suspecting(made, "a0", ["a1", "a2"]) != {"a1", "a2"}:
                     await virtual.pause(0.005)
             assert virtual.now() - began <= 0.25
-            assert told
+            assert notified
             alive = made.daemons["a1"].find("membership").alive(ZONE[1])
             assert set(alive) == {"a1", "a2"}
 
-        virtual.run(story())
+        virtual.run(scenario())
 
-    def test_a_large_zone_learns_it_by_word(self):
-        """Those that do not follow the lost VM know as quickly."""
+    def test_suspicion_spreads_through_a_large_zone(self):
+        """VMs that don't follow the lost VM suspect it as quickly."""
 
-        async def story():
-            made = await _world(near=9, far=0)
+        async def scenario():
+            made = await _start_world(near=9, far=0)
             made.kill_daemon("a0")
             await virtual.pause(0.26)
             others = set(made.daemons)
             assert _suspecting(made, "a0", others) == others
 
-        virtual.run(story())
+        virtual.run(scenario())
 
-    def test_other_zones_learn_it_within_seconds(self):
-        """By the sparse exchange between zones."""
+    def test_other_zones_suspect_it_within_seconds(self):
+        """The less frequent exchange between zones reports it."""
 
-        async def story():
-            made = await _world()
+        async def scenario():
+            made = await _start_world()
             made.kill_daemon("a0")
             await virtual.pause(5.0)
             assert _suspecting(made, "a0", ["b0", "b1"]) == {"b0", "b1"}
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
 class TestHealthyFleet:
-    """Nothing is wrong."""
+    """No VM has failed."""
 
-    def test_nobody_is_suspected_and_it_costs_little(self):
-        """Messages and bytes stand in the dump."""
+    def test_no_vm_is_suspected_and_traffic_is_low(self):
+        """The dump reports the rates of messages and bytes."""
 
-        async def story():
-            made = await _world()
+        async def scenario():
+            made = await _start_world()
             await virtual.pause(20.0)
             pairs = itertools.permutations(made.daemons, 2)
             assert not any(_suspecting(made, b, [a]) for a, b in pairs)
@@ -94,25 +94,25 @@
             assert 0 < dump["sent"]["bytes_per_second"] < 2000
             assert dump["sent"]["messages_per_second"] < 30
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
 class TestCutZone:
     """A zone is cut off from another."""
 
-    def test_cut_is_noticed_and_forgotten_after_it_heals(self):
-        """`reaches` follows the network; the own zone stays unsuspected."""
+    def test_cut_is_detected_and_cleared_after_it_heals(self):
+        """`reaches` reflects the network; the own zone is not suspected."""
 
-        async def story():
-            made = await _world()
+        async def scenario():
+            made = await _start_world()
             membership = made.daemons["a0"].find("membership")
-            assert membership.reaches(OTHER[1])
+            assert membership.reaches(OTHER_ZONE[1])
             made.network.cut({"a0", "a1", "a2"}, {"b0", "b1"})
             await virtual.pause(10.0)
-            assert not membership.reaches(OTHER[1])
+            assert not membership.reaches(OTHER_ZONE[1])
             assert _suspecting(made, "a1", ["a0", "a2"]) == set()
             made.network.heal()
             await virtual.pause(15.0)
-            assert membership.reaches(OTHER[1])
+            assert membership.reaches(OTHER_ZONE[1])
 
-        virtual.run(story())
+        virtual.run(scenario())
--- a/tests/entry/test_planner.py
+++ b/tests/entry/test_planner.py
@@ -10,7 +10,7 @@
 KEYED = "citaonica"
 
 
-async def _world():
+async def _start_world():
     made = world.World()
     await made.deploy(deployments.SMALL)
     return made
@@ -20,31 +20,32 @@
     """A target joins and none leaves."""
 
     def test_it_gets_a_share(self):
-        """Without it the new target would stand idle."""
+        """Without a share the new target would be idle."""
 
-        async def story():
-            made = await _world()
+        async def scenario():
+            made = await _start_world()
             made.add_target("citaonica-9", KEYED, "kontinent", "zagreb-a")
             await virtual.pause(35.0)
             owners = made.owners(KEYED)
             assert owners["citaonica-9"] >= 2
             assert made.is_settled(KEYED)
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
 class TestLostTargets:
-    """Targets of two zones are lost while the regions lose each other.
+    """Targets of two zones crash at once, as when regions are cut off.
 
-    Their keepers choose new owners without knowing of the other loss. If each
-    named the other's lost target, the keys would pass to and fro for ever.
+    Each keeper chooses new owners before it receives the other's report. If
+    each chose the other's lost target, the keys would move back and forth
+    endlessly.
     """
 
-    def test_slices_come_to_rest_on_living_targets(self):
-        """A few versions of the block, not hundreds."""
+    def test_slices_settle_on_live_targets(self):
+        """The block changes a few times, not hundreds of times."""
 
-        async def story():
-            made = await _world()
+        async def scenario():
+            made = await _start_world()
             (before,) = made.blocks(KEYED)
             for lost in ("citaonica-0", "citaonica-1"):
                 made.targets[lost].crash()
@@ -54,20 +55,20 @@
             (after,) = made.blocks(KEYED)
             assert after.version - before.version < 12
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
 class TestHotKey:
-    """A key becomes much hotter than all others."""
+    """A key gets many more requests than all others."""
 
-    def test_its_slice_is_split_and_callers_notice_nothing(self):
-        """Every request is answered."""
+    def test_its_slice_is_split_and_no_call_fails(self):
+        """Every request succeeds."""
 
-        async def story():
-            made = await _world()
+        async def scenario():
+            made = await _start_world()
             statuses = []
-            for run in made.targets.values():
-                run.service_time = 0.03
+            for target in made.targets.values():
+                target.service_time = 0.03
 
             async def call(path):
                 status, _ = await made.call("entry-zagreb-a-0", "GET", path)
@@ -88,4 +89,4 @@
             ]
             assert own[0].last - own[0].first < keys.LAST_HASH // 24
 
-        virtual.run(story())
+        virtual.run(scenario())
--- a/tests/entry/test_propagation.py
+++ b/tests/entry/test_propagation.py
@@ -1,4 +1,4 @@
-"""Tests of how changes reach every entry VM, under virtual time."""
+"""Tests of dissemination of changes to all entry VMs, in virtual time."""
 
 import asyncio
 
@@ -9,38 +9,40 @@
 IN_FORCE_SECONDS = 2.0
 
 
-async def _world(deployment=deployments.SMALL):
+async def _start_world(deployment=deployments.SMALL):
     made = world.World()
     await made.deploy(deployment)
     await virtual.pause(3.0)
     return made
 
 
-def _number(made, vm):
+def _config_number(made, vm):
     return made.daemons[vm].find("state").replica.config.number
 
 
-async def _in_force(made, number, vms=None):
-    began = virtual.now()
+async def _seconds_until_in_force(made, number, vms=None):
+    started_at = virtual.now()
     async with virtual.limit(30.0):
-        while min(_number(made, vm) for vm in vms or made.daemons) < number:
+        while (
+            min(_config_number(made, vm) for vm in vms or made.daemons) < number
+        ):
             await virtual.pause(0.01)
-    return virtual.now() - began
+    return virtual.now() - started_at
 
 
 class TestQuietFleet:
-    """Nothing changes; the store is still asked as little as possible."""
+    """Nothing changes; the store should get few calls."""
 
     def test_store_calls_at_rest(self):
-        """At most five a second for eleven entry VMs."""
+        """At most five calls a second for eleven entry VMs."""
 
-        async def story():
-            made = await _world(deployments.UREDNISTVO)
+        async def scenario():
+            made = await _start_world(deployments.UREDNISTVO)
             before = made.store.calls.total()
             await virtual.pause(6.0)
             assert (made.store.calls.total() - before) / 6.0 <= 5.0
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
 class TestChange:
@@ -49,35 +51,37 @@
     def test_is_in_force_everywhere_in_time(self):
         """Within two seconds on every VM."""
 
-        async def story():
-            made = await _world()
+        async def scenario():
+            made = await _start_world()
             await made.configure(deployments.SMALL.document(), 2)
-            assert await _in_force(made, 2) <= IN_FORCE_SECONDS
+            assert await _seconds_until_in_force(made, 2) <= IN_FORCE_SECONDS
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
 class TestZoneWithoutStore:
-    """A zone loses the store but still reaches another zone."""
+    """A zone is cut off from the store, but not from another zone."""
 
-    def test_hears_of_changes_from_its_peers(self):
-        """Operators see the configuration in force there too."""
+    def test_gets_changes_from_peers(self):
+        """The new configuration takes effect in that zone too."""
 
-        async def story():
-            made = await _world()
+        async def scenario():
+            made = await _start_world()
             zone = {vm for vm in made.daemons if "split" in vm}
             made.network.cut(zone, {"store", "fleet"})
             await virtual.pause(5.0)
             await made.configure(deployments.SMALL.document(), 2)
-            assert await _in_force(made, 2, zone) <= IN_FORCE_SECONDS
+            assert (
+                await _seconds_until_in_force(made, 2, zone) <= IN_FORCE_SECONDS
+            )
 
-        virtual.run(story())
+        virtual.run(scenario())
 
-    def test_hears_of_leaving_targets_from_its_peers(self):
-        """A stop planned on the platform reaches its keepers."""
+    def test_gets_leaving_targets_from_peers(self):
+        """A planned stop on the platform reaches the target's keepers."""
 
-        async def story():
-            made = await _world()
+        async def scenario():
+            made = await _start_world()
             zone = {vm for vm in made.daemons if "split" in vm}
             made.network.cut(zone, {"store", "fleet"})
             await virtual.pause(8.0)
@@ -87,55 +91,55 @@
                 listed = made.daemons[vm].find("fleet").fleet
                 assert "citaonica-0" not in listed.live_targets("citaonica")
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
-class TestSilentWatch:
-    """The watches' connections die without a word.
+class TestStalledWatch:
+    """The connections of the watches are lost without an error.
 
-    Nothing fails and nothing arrives; a change would be in force nowhere.
+    No watch fails and none delivers, so no VM would apply a change.
     """
 
-    def test_is_found_by_asking_for_the_revision(self):
-        """Within eight seconds, and no watch needs to end first."""
+    def test_is_detected_by_polling_the_revision(self):
+        """Detection takes at most eight seconds, before any watch ends."""
 
-        async def story():
-            made = await _world()
-            # Waiting watches keep an event that nobody sets any more.
+        async def scenario():
+            made = await _start_world()
+            # Pending watches wait for the old event, which is never set.
             made.store._changed = asyncio.Event()
             await made.configure(deployments.SMALL.document(), 2)
-            assert await _in_force(made, 2) <= 8.0
+            assert await _seconds_until_in_force(made, 2) <= 8.0
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
 class TestStartingVm:
-    """A VM starts while its reading of the store lags or fails."""
+    """A VM starts while the store returns outdated data or fails."""
 
-    def test_serves_no_older_number_than_its_peers_know(self):
-        """It asks them before it serves."""
+    def test_serves_no_older_configuration_than_its_peers(self):
+        """It queries its peers before it serves."""
 
-        async def story():
-            made = await _world()
+        async def scenario():
+            made = await _start_world()
             await made.configure(deployments.SMALL.document(), 2)
-            await _in_force(made, 2)
+            await _seconds_until_in_force(made, 2)
             lagging = dict(made.store._entries)
             lagging.pop("config/current")
             made.store._entries = lagging
             await made.add_daemon("fresh", "kontinent", "zagreb-a")
-            assert _number(made, "fresh") == 2
+            assert _config_number(made, "fresh") == 2
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
 class TestLostWatcher:
-    """Both watchers of a zone are lost at once."""
+    """Both watchers of a zone crash at once."""
 
-    def test_others_take_their_place(self):
-        """The next change is in force in time."""
+    def test_other_vms_become_watchers(self):
+        """The next change takes effect in time."""
 
-        async def story():
-            made = await _world(deployments.UREDNISTVO)
+        async def scenario():
+            made = await _start_world(deployments.UREDNISTVO)
             zone = [vm for vm in made.daemons if "zagreb" in vm]
             watching = [
                 vm
@@ -147,6 +151,6 @@
                 made.kill_daemon(vm)
             await virtual.pause(1.0)
             await made.configure(deployments.UREDNISTVO.document(), 2)
-            assert await _in_force(made, 2) <= IN_FORCE_SECONDS
+            assert await _seconds_until_in_force(made, 2) <= IN_FORCE_SECONDS
 
-        virtual.run(story())
+        virtual.run(scenario())
--- a/tests/entry/test_roles.py
+++ b/tests/entry/test_roles.py
@@ -1,4 +1,4 @@
-"""Tests of the change of keepers, in virtual time."""
+"""Tests of keeper handover and takeover, in virtual time."""
 
 import asyncio
 import itertools
@@ -11,30 +11,30 @@
 from mimosastile_standins import virtual
 
 KEY = "k0"
-NOTICED_SECONDS = 0.3
+DETECTION_SECONDS = 0.3
 
 
-class _Watching:
-    """Suspects the VMs whose daemons have died, a little later."""
+class _CrashSuspicions:
+    """Suspects VMs whose daemons have crashed, after a detection delay."""
 
     def __init__(self, made):
         self._made = made
-        self._lost = {}
+        self._lost_since = {}
 
     def suspects(self, vm):
         if vm in self._made.daemons:
-            self._lost.pop(vm, None)
+            self._lost_since.pop(vm, None)
             return False
-        since = self._lost.setdefault(vm, virtual.now())
-        return virtual.now() - since >= NOTICED_SECONDS
+        since = self._lost_since.setdefault(vm, virtual.now())
+        return virtual.now() - since >= DETECTION_SECONDS
 
     def subscribe(self, listener):
         del listener
 
 
-def _watch(made):
+def _install_detector(made):
     for daemon in made.daemons.values():
-        daemon.find("roles")._membership = _Watching(made)
+        daemon.find("roles")._membership = _CrashSuspicions(made)
 
 
 def _run(fault, **options):
@@ -58,42 +58,42 @@
 
 
 class TestLostKeeper:
-    """The VM that keeps a target is lost, its target is well.
+    """The VM that is a target's keeper is lost; the target is healthy.
 
-    All requests for the target go through that VM, so its keys are not served
-    until another VM of the zone keeps the target.
+    All requests for the target pass through its keeper, so its keys are not
+    served until another VM of the zone becomes the keeper.
     """
 
     def test_keys_are_served_again_within_a_second(self):
-        """A suspicion is enough; the list still names the VM."""
+        """A suspicion suffices; the VM list still names the lost VM."""
 
         async def fault(made, target):
-            _watch(made)
+            _install_detector(made)
             made.kill_daemon(losses.keeper_of(made, target))
 
         outcome = _run(fault)
         assert outcome.violations == ()
         assert outcome.longest < 1.0
 
-    def test_wrongly_suspected_keeper_costs_no_more(self):
-        """It runs on and is refused by the target."""
+    def test_wrongly_suspected_keeper_causes_no_longer_outage(self):
+        """It continues to run, and the target refuses it."""
 
         async def fault(made, target):
             keeper = losses.keeper_of(made, target)
-            _watch(made)
+            _install_detector(made)
             for vm, daemon in made.daemons.items():
                 if vm != keeper:
-                    daemon.find("roles")._membership = _Always(keeper)
+                    daemon.find("roles")._membership = _FixedSuspicion(keeper)
 
         outcome = _run(fault)
         assert outcome.violations == ()
         assert outcome.longest < 0.5
 
-    def test_target_lost_with_its_keeper_waits_for_the_list(self):
-        """Until then the lost keeper might still renew."""
+    def test_keys_of_target_lost_with_its_keeper_wait_for_the_vm_list(self):
+        """Until the VM list lacks the lost keeper, it might still renew."""
 
         async def fault(made, target):
-            _watch(made)
+            _install_detector(made)
             keeper = losses.keeper_of(made, target)
             made.kill_daemon(keeper)
             made.targets[target].crash()
@@ -106,7 +106,7 @@
         assert _run(fault).violations == ()
 
 
-class _Always:
+class _FixedSuspicion:
     def __init__(self, vm):
         self._vm = vm
 
@@ -118,15 +118,15 @@
 
 
 class TestGracefulStop:
-    """An entry VM is stopped as planned while callers send.
+    """An entry VM is stopped gracefully under load.
 
-    It hands its targets to a peer first; a caller who noticed would see a
-    refusal or wait for a second.
+    It hands its keeper roles to a peer first. Without the handover, callers
+    would get errors or wait for a second.
     """
 
     @pytest.mark.parametrize("checks", [True, False])
-    def test_callers_notice_nothing(self, checks):
-        """No request is refused, whatever the targets check."""
+    def test_no_call_fails(self, checks):
+        """No request is refused, with or without fence checks at targets."""
 
         async def fault(made, target):
             await made.stop_daemon(losses.keeper_of(made, target))
@@ -138,9 +138,9 @@
         assert outcome.refused == 0
 
     def test_last_vm_of_a_zone_stops_without_waiting(self):
-        """There is nobody to take its roles."""
+        """No peer can take over its roles."""
 
-        async def story():
+        async def scenario():
             made = await losses.start(losses.Setting())
             zone = [vm for vm in made.daemons if "zagreb" in vm]
             for vm in zone:
@@ -150,14 +150,14 @@
                 await virtual.pause(1.0)
             assert virtual.now() - began < 2.0
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
 class TestReplacedEntryVms:
-    """All entry VMs of a zone are replaced, as on an update of their image."""
+    """All entry VMs of a zone are replaced, as in an image update."""
 
-    def test_one_after_another_costs_callers_nothing(self):
-        """Each hands over to those that run."""
+    def test_rolling_replacement_fails_no_call(self):
+        """Each VM hands its roles to the running ones."""
 
         async def fault(made, target):
             del target
@@ -168,8 +168,8 @@
         assert outcome.violations == ()
         assert outcome.refused == 0
 
-    def test_all_at_once_without_a_word(self):
-        """Their successors serve as soon as they are listed."""
+    def test_all_at_once_without_handover(self):
+        """Their successors serve as soon as they are on the VM list."""
 
         async def fault(made, target):
             keeper = losses.keeper_of(made, target)
@@ -195,15 +195,15 @@
 
 
 class TestRoleThatComesBack:
-    """A target that checks nothing goes to another keeper and comes back.
+    """A target without fence checks changes keeper and changes back.
 
-    Its first keeper had no chance to say that nothing of it is running. If it
-    asked itself as it asks a peer, it would stand down from its own new role,
-    and the target's keys would have no way to it.
+    The first keeper could not report that none of its requests is running. If
+    it sent itself a `StandDown` as to a peer, it would end its own new role,
+    and no request could reach the target.
     """
 
-    def test_keeper_goes_on_with_it(self):
-        """It looks at its own former role and keeps the new one."""
+    def test_keeper_retains_its_new_role(self):
+        """It checks its own former role and retains the new one."""
 
         async def fault(made, target):
             keeper = losses.keeper_of(made, target)
@@ -215,15 +215,15 @@
             made.network.cut({keeper}, {peer})
             for vm, lost in ((peer, keeper), (keeper, peer)):
                 for name, daemon in made.daemons.items():
-                    suspects = _Always(lost if name == vm else "")
+                    suspects = _FixedSuspicion(lost if name == vm else "")
                     daemon.find("roles")._membership = suspects
                 async with virtual.limit(2.0):
                     while losses.keeper_of(made, target) != vm:
                         await virtual.pause(0.05)
             for daemon in made.daemons.values():
-                daemon.find("roles")._membership = _Always("")
+                daemon.find("roles")._membership = _FixedSuspicion("")
             await virtual.pause(1.0)
-            # As after any change of a table.
+            # Normally called after each change of a table.
             made.daemons[keeper].find("keeper").reconcile()
             path = f"/{losses.KEYED}/{KEY}"
             assert (await made.call(keeper, "GET", path))[0] == 200
@@ -234,13 +234,14 @@
 
 
 class TestTwoTargetsLost:
-    """Two targets of different zones die together, kept by different VMs.
+    """Two targets in different zones with different keepers crash together.
 
-    Their keepers would hand the dead targets' keys to each other for ever.
+    Unless the block records lost targets, the keepers would endlessly assign
+    the keys of one crashed target to the other.
     """
 
     def test_keys_are_served_again_within_a_second(self):
-        """The block says which targets are lost."""
+        """The block records which targets are lost."""
 
         async def fault(made, target):
             zone = made.daemons[losses.keeper_of(made, target)].find("keeper")
@@ -258,17 +259,18 @@
         assert outcome.store_calls < 30
 
 
-class TestStuckMove:
-    """A target that checks nothing is to leave and then is not.
+class TestUnprovableMove:
+    """A target without fence checks is marked as leaving, then stays.
 
-    Its keeper was lost meanwhile, so its move can never be proved.
+    Its keeper was lost meanwhile, so the release of its slices can never be
+    proved.
     """
 
     def test_keys_are_served_by_it_again(self):
-        """The move is taken back when the list says that it stays."""
+        """The move is withdrawn when the VM list shows the target as live."""
 
         async def fault(made, target):
-            _watch(made)
+            _install_detector(made)
             listed = next(
                 v for v in made.fleet.read(virtual.now()) if v.id == target
             )
@@ -287,28 +289,28 @@
         assert outcome.violations == ()
 
 
-class TestSilentWatch:
-    """The watch of an entry VM stops without a word.
+class TestStalledWatch:
+    """The watch of an entry VM stalls without an error.
 
-    The VM hears of no change any more and would leave its targets without the
-    keys that they were given.
+    The VM receives no more changes, so its targets would not get the keys that
+    were assigned to them.
     """
 
-    def _silence(self, monkeypatch):
-        def nothing(kept, prefix, revision):
+    def _stall_watches(self, monkeypatch):
+        def empty_batch(kept, prefix, revision):
             del kept, prefix
             return ports.WatchBatch((), revision)
 
-        monkeypatch.setattr(store.MemoryStore, "_since", nothing)
+        monkeypatch.setattr(store.MemoryStore, "_since", empty_batch)
 
-    def test_keepers_are_told_by_the_one_that_made_the_change(
+    def test_keepers_are_notified_by_the_one_that_made_the_change(
         self, monkeypatch
     ):
-        """They need no request that would show them their old tables."""
+        """They need no failed request to detect their outdated tables."""
 
-        async def story():
+        async def scenario():
             made = await losses.start(losses.Setting())
-            self._silence(monkeypatch)
+            self._stall_watches(monkeypatch)
             target = losses.owner_of(made, KEY)
             made.targets[target].crash()
             await virtual.pause(1.0)
@@ -318,13 +320,13 @@
                 replica = made.daemons[keeper.vm].find("state").replica
                 assert replica.blocks[block.id].version == block.version
 
-        virtual.run(story())
+        virtual.run(scenario())
 
     def test_keys_are_served_again_within_a_second(self, monkeypatch):
-        """VMs that keep nothing learn from the peers that refuse them."""
+        """VMs without targets are updated by the peers that refuse them."""
 
         async def fault(made, target):
-            self._silence(monkeypatch)
+            self._stall_watches(monkeypatch)
             made.targets[target].crash()
             await virtual.pause(1.5)
             answers = [
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""Raw servers that answer as a test says, and the callers' side before them."""
+"""Raw HTTP servers with scripted replies, and a callers' listener to them."""
 
 import asyncio
 import contextlib
@@ -28,12 +28,12 @@
 
 @dataclasses.dataclass
 class Reply:
-    """What a raw server does after it has read a request.
+    """The reply of a raw server to one request.
 
     Attributes:
         data: Bytes to send.
-        close: Whether it closes the connection then.
-        after: More bytes, sent when `release` of the server is set.
+        close: Whether the server closes the connection after the reply.
+        after: Second part of the reply, sent once `release` is set.
     """
 
     data: bytes = OK
@@ -41,15 +41,15 @@
     after: bytes = b""
 
 
-class Peer:
+class RawServer:
     """A raw HTTP server.
 
     Attributes:
-        requests: Heads and bodies as they came.
-        connections: How many were accepted.
-        writers: One for each connection, to write without being asked.
+        requests: Head and body of each request, as received.
+        connections: Number of accepted connections.
+        writers: Writer of each connection, for bytes sent without a request.
         lost: Set when a client closes its connection.
-        release: Lets replies go on with their second part.
+        release: Set by a test to send the second part of replies.
     """
 
     def __init__(self, replies):
@@ -74,7 +74,7 @@
                 self.requests.append(head + body)
                 reply = self._replies(len(self.requests) - 1)
                 writer.write(reply.data)
-                if reply.after and not await self._released(reader):
+                if reply.after and not await self._wait_for_release(reader):
                     break
                 writer.write(reply.after)
                 await writer.drain()
@@ -83,21 +83,21 @@
         self.lost.set()
         writer.close()
 
-    async def _released(self, reader):
+    async def _wait_for_release(self, reader):
         """Waits for `release`; False if the client closes before that."""
-        ways = [
+        waits = [
             asyncio.ensure_future(self.release.wait()),
             asyncio.ensure_future(reader.read(1)),
         ]
         try:
-            await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            for way in ways:
-                way.cancel()
+            for task in waits:
+                task.cancel()
         return self.release.is_set()
 
     def stop(self):
-        """Drops all connections."""
+        """Closes all connections."""
         for task in self._tasks:
             task.cancel()
 
@@ -113,9 +113,9 @@
 
 
 @contextlib.asynccontextmanager
-async def peer(replies):
-    """Serves; `replies` maps the number of a request to a `Reply`."""
-    made = Peer(replies)
+async def raw_server(replies):
+    """Runs a raw server; `replies` maps the index of a request to a `Reply`."""
+    made = RawServer(replies)
     server = await asyncio.start_server(made.serve, HOST, 0, limit=1 << 22)
     made.port = server.sockets[0].getsockname()[1]
     try:
@@ -126,7 +126,7 @@
 
 
 class State(kernel.Passive):
-    """A state service that holds a configuration only."""
+    """A stub of the state service that only holds a configuration."""
 
     def __init__(self, connections=120):
         super().__init__("state")
@@ -144,7 +144,7 @@
 
 
 class Router:
-    """Sends each request to one target and counts what is under way."""
+    """Sends each request to one target and counts requests in progress."""
 
     def __init__(self, targets, clock, vm):
         self.in_flight = 0
@@ -165,19 +165,19 @@
             sent = await self._targets.send(self._vm, request, None)
         finally:
             if sent is None or sent.is_err():
-                await self._leave()
+                await self._end_request()
         if sent.is_err():
             return _calls.refuse(sent.err(), request.request_id)
-        sent.ok().on_close(self._leave)
+        sent.ok().on_close(self._end_request)
         return sent.ok()
 
-    async def _leave(self):
+    async def _end_request(self):
         self.in_flight -= 1
         self.ended.set()
 
 
 class Front:
-    """The callers' side, before one target."""
+    """The callers' listener with a router to one target."""
 
     def __init__(self, app, router, client, listener):
         self.app = app
@@ -187,15 +187,15 @@
 
     @property
     def port(self):
-        """The callers' port."""
+        """Port on which callers are served."""
         return self.listener.port
 
 
 @contextlib.asynccontextmanager
-async def sender(port, connections=120, **times):
-    """Yields the adapter to targets, its client and the VM of a raw server."""
+async def sender(port, connections=120, **timeouts):
+    """Yields a kernel with a target adapter, and the VM of a raw server."""
     made = kernel.Kernel()
-    client = _client.HttpClient(settings.ConnectionSettings(**times))
+    client = _client.HttpClient(settings.ConnectionSettings(**timeouts))
     targets = _targets_http.HttpTargets()
     for service in (
         _clock.LoopClock(),
@@ -214,10 +214,10 @@
 
 
 @contextlib.asynccontextmanager
-async def front(port, limits=None, **times):
-    """Serves callers and sends all their requests to a raw server."""
+async def front(port, limits=None, **timeouts):
+    """Runs a callers' listener that sends all requests to a raw server."""
     limits = limits or settings.LimitSettings()
-    async with sender(port, **times) as (made, vm):
+    async with sender(port, **timeouts) as (made, vm):
         clock = made.find("clock")
         router = Router(made.find("targets"), clock, vm)
         app = _asgi.CallersApp(
@@ -240,7 +240,7 @@
 
 
 async def exchange(port, sent, close=True):
-    """Sends raw bytes and returns everything until the other side closes."""
+    """Sends raw bytes and returns all bytes until the server closes."""
     reader, writer = await asyncio.open_connection(HOST, port)
     writer.write(sent)
     async with asyncio.timeout(10):
@@ -251,7 +251,7 @@
 
 
 def get(path="/s/1", method="GET", extra="connection: close\r\n", body=b""):
-    """Returns a request in raw bytes."""
+    """Returns a request as raw bytes."""
     head = f"{method} {path} HTTP/1.1\r\nhost: h\r\n{AUTH}{extra}\r\n"
     return head.encode() + body
 
@@ -265,7 +265,7 @@
 
 
 async def send(made, vm, method="GET", body=b"", seconds=5.0, stream=None):
-    """Sends a request by the adapter and returns its result."""
+    """Sends a request through the adapter and returns its result."""
     request = ports.Request(
         method, "/s/1", body=body, stream=stream, member="desk"
     )
@@ -273,8 +273,8 @@
     return await made.find("targets").send(vm, request, None)
 
 
-async def whole(response):
-    """Reads an answer to its end and closes it."""
+async def read_body(response):
+    """Reads and closes a response and returns its body."""
     try:
         return b"".join([chunk async for chunk in response.body])
     finally:
