--- a/packages/mimosastile-entry/src/mimosastile_entry/_keeper.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_keeper.py
@@ -178,7 +178,10 @@
     def unreleased_former_keepers(
         self,
     ) -> Iterator[tuple[messages.Role, tables.FormerKeeper]]:
-        """Yields the former keepers not known to have stopped, each by role."""
+        """Yields former keepers that are not known to have stopped.
+
+        Each comes with the role of this VM that it held before.
+        """
         for kept_id, kept in self._kept.items():
             if kept.state.awaits_silence:
                 role = messages.Role(*kept_id, kept.state.keeper_fence)
@@ -239,8 +242,8 @@
     ) -> result.Result[ports.Response, errors.Failure]:
         """Sends a request to a kept target, as `TargetPort.send` does.
 
-        If the target doesn't check fences, requests for its keys pass through
-        the gate of the target first.
+        If the target doesn't check fences, a `gates.GatedTarget` first admits
+        or refuses each request for a key.
         """
         kept = self._kept.get((fence.block, vm.id)) if fence else None
         if fence is not None and not self._may_send(kept):
--- a/packages/mimosastile-entry/src/mimosastile_entry/_kept.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_kept.py
@@ -19,7 +19,7 @@
     """A kept target and the tasks that serve it.
 
     Attributes:
-        state: Grant or gate state of the target.
+        state: Renewal state, or gate state if the target takes no grants.
         former: Former keepers that are not known to have stopped.
         proof: Proof of release that is being written to the store. Until the
             write ends, its slices are not granted, however the target responds.
--- a/packages/mimosastile-entry/src/mimosastile_entry/_roles.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_roles.py
@@ -43,7 +43,7 @@
 
 
 class _NoSuspicions:
-    """Suspects no VM; stands in for an absent membership service."""
+    """Suspects no VM; used when there is no membership service."""
 
     def suspects(self, vm: str) -> bool:
         """Returns False."""
--- a/packages/mimosastile-entry/src/mimosastile_entry/_targeting.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_targeting.py
@@ -106,19 +106,19 @@
             pool.balancer.end(hop.target.id)
 
     def answered(
-        self, call: _calls.Call, hop: _calls.Hop, began: float
+        self, call: _calls.Call, hop: _calls.Hop, sent_at: float
     ) -> None:
         """Records the response to a call.
 
         Args:
             call: The call.
             hop: The path that the call took.
-            began: Time at which the call was sent.
+            sent_at: Time at which the call was sent.
         """
         pool = self._pools.get(call.plan.name)
         if pool is not None:
             now = self._clock.now()
-            pool.balancer.record_response(hop.target.id, now - began, now)
+            pool.balancer.record_response(hop.target.id, now - sent_at, now)
 
     def failed(self, call: _calls.Call, hop: _calls.Hop) -> None:
         """Records that a target was unreachable or sent no response."""
--- a/tests/entry/test_asgi.py
+++ b/tests/entry/test_asgi.py
@@ -115,7 +115,7 @@
     def test_answer(self, rigged, sent, status):
         """The target gets nothing, and the refusal says so."""
         received, ran = _ask(rigged, sent)
-        got, headers, body = rig.split(received)
+        got, headers, body = rig.parse(received)
         assert (got, ran) == (status, 0)
         assert json.loads(body)["ran"] == "no"
         assert int(headers[b"content-length"]) == len(body)
@@ -143,7 +143,7 @@
         sent = rig.get(method="POST", extra=framing, body=b"0\r\n\r\nabc")
         received, ran = _ask(rigged, sent)
         assert ran == 0
-        assert received == b"" or rig.split(received)[0] == 400
+        assert received == b"" or rig.parse(received)[0] == 400
         assert received.count(b"HTTP/1.1") <= 1
 
     @pytest.mark.parametrize(
@@ -153,13 +153,13 @@
         """The service's own limit applies."""
         extra = f"{CLOSE}x-request-timeout-ms: {wait}\r\n"
         received, ran = _ask(rigged, rig.get(extra=extra))
-        assert (rig.split(received)[0], ran) == (200, 1)
+        assert (rig.parse(received)[0], ran) == (200, 1)
 
     def test_upgrade_is_ignored(self, rigged):
         """The answer comes, and the connection closes after it."""
         extra = "connection: upgrade\r\nupgrade: h2c\r\n"
         received, ran = _ask(rigged, rig.get(extra=extra) * 2)
-        status, headers, _ = rig.split(received)
+        status, headers, _ = rig.parse(received)
         assert (status, ran) == (200, 1)
         assert headers[b"connection"] == b"close"
 
@@ -169,7 +169,7 @@
         extra = CLOSE + "transfer-encoding: chunked\r\n"
         sent = rig.get(method="POST", extra=extra, body=chunk * 11)
         received, ran = _ask(rigged, sent + b"0\r\n\r\n")
-        assert rig.split(received)[0] in (413, 502)
+        assert rig.parse(received)[0] in (413, 502)
         assert ran == 0
 
 
@@ -197,7 +197,7 @@
         if status is None:
             assert received == b""
         else:
-            assert rig.split(received)[0] == status
+            assert rig.parse(received)[0] == status
 
 
 class TestFuzz:
@@ -266,7 +266,7 @@
         received = runner.run(_send_and_leave(front, sent))
         assert received == b"" or received.startswith(b"HTTP/1.1 ")
         assert front.router.in_flight == 0
-        assert rig.split(_ask(rigged, rig.get())[0])[0] == 200
+        assert rig.parse(_ask(rigged, rig.get())[0])[0] == 200
 
 
 async def _send_and_leave(front, sent):
--- a/tests/entry/test_exchange.py
+++ b/tests/entry/test_exchange.py
@@ -45,7 +45,7 @@
         received, _, front = _through(
             lambda _: rig.Reply(data, close=True), rig.get()
         )
-        status, headers, body = rig.split(received)
+        status, headers, body = rig.parse(received)
         assert status == 200
         if b"content-length" in headers:
             assert len(body) < int(headers[b"content-length"])
@@ -82,7 +82,7 @@
         received, _, front = _through(
             lambda _: rig.Reply(data, close=True), rig.get()
         )
-        status, headers, body = rig.split(received)
+        status, headers, body = rig.parse(received)
         assert status == 502
         assert b'"ran":"perhaps"' in body
         assert len(body) == int(headers[b"content-length"])
@@ -126,7 +126,7 @@
         received, _, _ = _through(
             lambda _: rig.Reply(data), rig.get(method=method)
         )
-        got, headers, rest = rig.split(received)
+        got, headers, rest = rig.parse(received)
         assert got == status
         assert headers.get(b"content-length") == length
         if body is None:
@@ -410,7 +410,7 @@
             extra = f"connection: close\r\ncontent-length: {size}\r\n"
             sent = rig.get("/s/1", "POST", extra, body)
         received, peer, _ = _through(lambda _: rig.Reply(), sent)
-        assert rig.split(received)[0] == 200
+        assert rig.parse(received)[0] == 200
         head, _, got = peer.requests[0].partition(b"\r\n\r\n")
         if b"chunked" in head.lower():
             got = _joined(got)
@@ -446,7 +446,7 @@
                 return received, front.router.in_flight
 
         received, in_flight = asyncio.run(story())
-        status, _, body = rig.split(received)
+        status, _, body = rig.parse(received)
         assert (status, body) == (413, b"big")
         assert in_flight == 0
 
--- a/tests/entry/test_guard.py
+++ b/tests/entry/test_guard.py
@@ -149,7 +149,7 @@
         before = len(app.reached)
         sent = rig.get(path, "POST", extra + "connection: close\r\n")
         received = runner.run(rig.exchange(port, sent))
-        assert rig.split(received)[0] == 401
+        assert rig.parse(received)[0] == 401
         assert len(app.reached) == before
 
     @pytest.mark.parametrize(
@@ -175,7 +175,7 @@
         extra += f"connection: close\r\ncontent-length: {len(sent)}\r\n"
         raw = rig.get(path, "POST", extra, sent)
         received = runner.run(rig.exchange(port, raw))
-        assert rig.split(received)[0] == status
+        assert rig.parse(received)[0] == status
         assert len(app.reached) - before == (status == 200)
 
 
--- a/tests/entry/test_listeners.py
+++ b/tests/entry/test_listeners.py
@@ -61,7 +61,7 @@
     reader, writer = await asyncio.open_connection(rig.HOST, port)
     writer.write(sent)
     head = await reader.readuntil(b"\r\n\r\n")
-    length = int(rig.split(head)[1].get(b"content-length", b"0"))
+    length = int(rig.parse(head)[1].get(b"content-length", b"0"))
     body = await reader.readexactly(length)
     writer.close()
     return head + body
@@ -133,7 +133,7 @@
                 peer.release.set()
                 received = await asked
                 await stopping
-                return rig.split(received)
+                return rig.parse(received)
 
         status, _, body = asyncio.run(story())
         assert (status, body) == (200, b"halfrest")
@@ -160,12 +160,12 @@
                 return before, during, served, roles.health
 
         before, during, served, handed_over = asyncio.run(story())
-        assert rig.split(before)[0] == 200
-        assert rig.split(during)[0] == 503
-        status, headers, body = rig.split(served)
+        assert rig.parse(before)[0] == 200
+        assert rig.parse(during)[0] == 503
+        status, headers, body = rig.parse(served)
         assert (status, body) == (200, b"ok")
         assert headers[b"connection"] == b"close"
-        assert rig.split(handed_over)[0] == 503
+        assert rig.parse(handed_over)[0] == 503
 
     def test_idle_connection_is_closed_and_a_begun_request_served(self):
         """A head that is arriving when the stop begins gets its answer."""
@@ -187,7 +187,7 @@
                 received = await reader.read()
                 writer.close()
                 await stopping
-                return ended, rig.split(received)
+                return ended, rig.parse(received)
 
         ended, (status, _, body) = asyncio.run(story())
         assert ended == b""
@@ -220,7 +220,7 @@
                 with contextlib.suppress(ConnectionResetError):
                     rest = await reader.read()
                 writer.close()
-                return rig.split(head)[1], rest, router.in_flight
+                return rig.parse(head)[1], rest, router.in_flight
 
         headers, rest, in_flight = asyncio.run(story())
         assert headers[b"content-length"] == b"8"
--- a/tests/entry/test_membership.py
+++ b/tests/entry/test_membership.py
@@ -62,8 +62,8 @@
             made = await _start_world(near=9, far=0)
             made.kill_daemon("a0")
             await virtual.pause(0.26)
-            others = set(made.daemons)
-            assert _suspecting(made, "a0", others) == others
+            survivors = set(made.daemons)
+            assert _suspecting(made, "a0", survivors) == survivors
 
         virtual.run(scenario())
 
--- a/tests/entry/test_roles.py
+++ b/tests/entry/test_roles.py
@@ -245,13 +245,13 @@
 
         async def fault(made, target):
             zone = made.daemons[losses.keeper_of(made, target)].find("keeper")
-            others = [
+            other_zone_targets = [
                 vm.id
                 for vm in made.fleet.read(virtual.now())
                 if vm.service and vm.zone != zone._zone
             ]
             made.targets[target].crash()
-            made.targets[others[0]].crash()
+            made.targets[other_zone_targets[0]].crash()
 
         outcome = _run(fault)
         assert outcome.violations == ()
@@ -329,11 +329,11 @@
             self._stall_watches(monkeypatch)
             made.targets[target].crash()
             await virtual.pause(1.5)
-            answers = [
+            responses = [
                 await made.call(vm, "GET", f"/{losses.KEYED}/{KEY}")
                 for vm in made.daemons
             ]
-            assert {status for status, _ in answers} == {200}
+            assert {status for status, _ in responses} == {200}
 
         outcome = _run(fault)
         assert outcome.violations == ()
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -115,13 +115,13 @@
 @contextlib.asynccontextmanager
 async def raw_server(replies):
     """Runs a raw server; `replies` maps the index of a request to a `Reply`."""
-    made = RawServer(replies)
-    server = await asyncio.start_server(made.serve, HOST, 0, limit=1 << 22)
-    made.port = server.sockets[0].getsockname()[1]
+    raw = RawServer(replies)
+    server = await asyncio.start_server(raw.serve, HOST, 0, limit=1 << 22)
+    raw.port = server.sockets[0].getsockname()[1]
     try:
-        yield made
+        yield raw
     finally:
-        made.stop()
+        raw.stop()
         server.close()
 
 
@@ -194,7 +194,7 @@
 @contextlib.asynccontextmanager
 async def sender(port, connections=120, **timeouts):
     """Yields a kernel with a target adapter, and the VM of a raw server."""
-    made = kernel.Kernel()
+    services = kernel.Kernel()
     client = _client.HttpClient(settings.ConnectionSettings(**timeouts))
     targets = _targets_http.HttpTargets()
     for service in (
@@ -204,24 +204,27 @@
         State(connections),
         targets,
     ):
-        made.register(service)
-    await made.start()
+        services.register(service)
+    await services.start()
     vm = fleet.Vm("t", fleet.Role.TARGET, "r", "z", HOST, port, "s")
     try:
-        yield made, vm
+        yield services, vm
     finally:
-        await made.stop()
+        await services.stop()
 
 
 @contextlib.asynccontextmanager
 async def front(port, limits=None, **timeouts):
     """Runs a callers' listener that sends all requests to a raw server."""
     limits = limits or settings.LimitSettings()
-    async with sender(port, **timeouts) as (made, vm):
-        clock = made.find("clock")
-        router = Router(made.find("targets"), clock, vm)
+    async with sender(port, **timeouts) as (services, vm):
+        clock = services.find("clock")
+        router = Router(services.find("targets"), clock, vm)
         app = _asgi.CallersApp(
-            router, clock, limits, _credentials.Credentials(made.find("state"))
+            router,
+            clock,
+            limits,
+            _credentials.Credentials(services.find("state")),
         )
         listener = await serving.listen(
             app,
@@ -234,7 +237,7 @@
             limits.stall_seconds,
         )
         try:
-            yield Front(app, router, made.find("client"), listener)
+            yield Front(app, router, services.find("client"), listener)
         finally:
             await listener.stop()
 
@@ -256,21 +259,21 @@
     return head.encode() + body
 
 
-def split(answer):
+def parse(response):
     """Returns status, headers by lower-case name, and the raw body."""
-    head, _, body = answer.partition(b"\r\n\r\n")
+    head, _, body = response.partition(b"\r\n\r\n")
     first, *lines = head.split(b"\r\n")
     pairs = (line.split(b": ", 1) for line in lines)
     return int(first.split()[1]), {n.lower(): v for n, v in pairs}, body
 
 
-async def send(made, vm, method="GET", body=b"", seconds=5.0, stream=None):
+async def send(services, vm, method="GET", body=b"", seconds=5.0, stream=None):
     """Sends a request through the adapter and returns its result."""
     request = ports.Request(
         method, "/s/1", body=body, stream=stream, member="desk"
     )
-    request.deadline = made.find("clock").now() + seconds
-    return await made.find("targets").send(vm, request, None)
+    request.deadline = services.find("clock").now() + seconds
+    return await services.find("targets").send(vm, request, None)
 
 
 async def read_body(response):
