--- a/tests/entry/test_listeners.py
+++ b/tests/entry/test_listeners.py
@@ -61,7 +61,7 @@
     reader, writer = await asyncio.open_connection(rig.HOST, port)
     writer.write(sent)
     head = await reader.readuntil(b"\r\n\r\n")
-    length = int(rig.split(head)[1].get(b"content-length", b"0"))
+    length = int(rig.parse(head)[1].get(b"content-length", b"0"))
     body = await reader.readexactly(length)
     writer.close()
     return head + body
@@ -114,7 +114,9 @@
 
         async def story():
             async with (
-                rig.peer(lambda _: rig.Reply(PART, after=b"rest")) as peer,
+                rig.raw_server(
+                    lambda _: rig.Reply(PART, after=b"rest")
+                ) as peer,
                 _serving(peer.port, notice_seconds=0) as (made, listeners, _),
             ):
                 port = listeners.ports["callers"]
@@ -131,7 +133,7 @@
                 peer.release.set()
                 received = await asked
                 await stopping
-                return rig.split(received)
+                return rig.parse(received)
 
         status, _, body = asyncio.run(story())
         assert (status, body) == (200, b"halfrest")
@@ -141,7 +143,7 @@
 
         async def story():
             async with (
-                rig.peer(lambda _: rig.Reply()) as peer,
+                rig.raw_server(lambda _: rig.Reply()) as peer,
                 _serving(peer.port, notice_seconds=30) as (made, listeners, _),
             ):
                 port = listeners.ports["callers"]
@@ -158,19 +160,19 @@
                 return before, during, served, roles.health
 
         before, during, served, handed_over = asyncio.run(story())
-        assert rig.split(before)[0] == 200
-        assert rig.split(during)[0] == 503
-        status, headers, body = rig.split(served)
+        assert rig.parse(before)[0] == 200
+        assert rig.parse(during)[0] == 503
+        status, headers, body = rig.parse(served)
         assert (status, body) == (200, b"ok")
         assert headers[b"connection"] == b"close"
-        assert rig.split(handed_over)[0] == 503
+        assert rig.parse(handed_over)[0] == 503
 
     def test_idle_connection_is_closed_and_a_begun_request_served(self):
         """A head that is arriving when the stop begins gets its answer."""
 
         async def story():
             async with (
-                rig.peer(lambda _: rig.Reply()) as peer,
+                rig.raw_server(lambda _: rig.Reply()) as peer,
                 _serving(peer.port, notice_seconds=0) as (made, listeners, _),
             ):
                 port = listeners.ports["callers"]
@@ -185,7 +187,7 @@
                 received = await reader.read()
                 writer.close()
                 await stopping
-                return ended, rig.split(received)
+                return ended, rig.parse(received)
 
         ended, (status, _, body) = asyncio.run(story())
         assert ended == b""
@@ -198,7 +200,9 @@
         async def story():
             bound = 0.05 if by == "bound" else 600
             async with (
-                rig.peer(lambda _: rig.Reply(PART, after=b"rest")) as peer,
+                rig.raw_server(
+                    lambda _: rig.Reply(PART, after=b"rest")
+                ) as peer,
                 _serving(
                     peer.port, notice_seconds=0, shutdown_seconds=bound
                 ) as (made, listeners, router),
@@ -216,7 +220,7 @@
                 with contextlib.suppress(ConnectionResetError):
                     rest = await reader.read()
                 writer.close()
-                return rig.split(head)[1], rest, router.in_flight
+                return rig.parse(head)[1], rest, router.in_flight
 
         headers, rest, in_flight = asyncio.run(story())
         assert headers[b"content-length"] == b"8"
