--- a/packages/mimosastile-core/src/mimosastile_core/config.py
+++ b/packages/mimosastile-core/src/mimosastile_core/config.py
@@ -1,7 +1,7 @@
-"""The configuration document that operators keep in the store.
+"""Schema and validation of the operators' configuration document.
 
-One schema for everything operators decide. Decoding checks types and bounds;
-`problems` checks what spans several fields.
+Decoding checks the types and bounds of single fields; `find_problems` checks
+constraints across fields.
 """
 
 from collections.abc import Iterable
@@ -21,7 +21,7 @@
 VmId = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 
 ALL = "*"
-"""In a scope: every service or every member."""
+"""Wildcard in a scope: every service or every member."""
 
 
 class Priority(enum.Enum):
@@ -41,16 +41,17 @@
 
 
 class _Strict(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Base of all configuration structures: unknown fields are mistakes."""
+    """Base of all configuration structures; rejects unknown fields."""
 
 
 class KeySource(_Strict, frozen=True):
-    """Where a service finds the key in a request.
+    """Location of the key in the requests of a service.
 
     Attributes:
         place: Part of the request.
         name: Name of the header or query parameter.
-        segment: For paths, the segment after the service's name, from 0.
+        segment: For paths, the index of the segment after the service's name,
+            from 0.
     """
 
     place: KeyPlace
@@ -64,9 +65,9 @@
     Attributes:
         prefix: Path prefix after the service's name, beginning with a slash.
         methods: HTTP methods; empty for all.
-        priority: Class of these requests.
-        idempotent: Whether running one twice does no harm; None takes it from
-            the method (GET, HEAD and OPTIONS are).
+        priority: Priority class of these requests.
+        idempotent: Whether these requests are idempotent; None decides by the
+            method (GET, HEAD and OPTIONS are idempotent).
     """
 
     prefix: Annotated[str, msgspec.Meta(pattern=r"^/")] = "/"
@@ -76,22 +77,23 @@
 
 
 class Placement(_Strict, frozen=True):
-    """How a service weighs uneven load, moved keys and waiting.
+    """Weights and bounds of the placement of a service's slices.
 
     Attributes:
         imbalance: Weight of uneven load.
-        churn: Weight of keys that change their owner.
-        unavailable: Weight of the time that keys wait while they move.
-        begin_above: Excess of the fullest target over its fair load at which
-            moves begin.
-        end_below: Excess at which they end.
-        split_above: Load of a slice, in fair loads of a target, above which
-            it is split.
-        slices_at_most: Bound on the service's slices.
-        moves_in_flight: Bound on slices that move at a time.
-        ramp: Seconds until a new target carries a full share.
-        idle_below: Share of a target's slots in use below which load is left
-            as it is; too little runs to tell it from chance.
+        churn: Weight of keys that change owner.
+        unavailable: Weight of the time that requests wait while keys move.
+        begin_above: Relative excess of the most loaded target over its fair
+            load above which moves begin.
+        end_below: Relative excess below which moves end.
+        split_above: Load of a slice, as a fraction of a target's fair load,
+            above which the slice is split.
+        slices_at_most: Maximum number of slices of the service.
+        moves_in_flight: Maximum number of slices that move at a time.
+        ramp: Seconds until a new target carries a full share (slow start).
+        idle_below: Fraction of a target's slots in use below which load is
+            not rebalanced, because imbalance cannot be distinguished from
+            random variation.
     """
 
     imbalance: Annotated[float, msgspec.Meta(ge=0)] = 1.0
@@ -107,15 +109,16 @@
 
 
 class Retry(_Strict, frozen=True):
-    """When the router sends a request of a service again.
+    """Retry policy of the router for the requests of a service.
 
     Attributes:
-        budget: Retries allowed per request, over many requests.
-        burst: Retries allowed at once after a quiet time.
-        attempts: Most times that one idempotent request is sent.
-        backoff: Seconds before the first retry; doubles, with jitter.
-        owner_wait: Longest wait, in seconds, for a target that may run the
-            request; after that it is refused as not run.
+        budget: Retries per request, averaged over many requests.
+        burst: Retries allowed at once after a period without retries.
+        attempts: Maximum number of times that an idempotent request is sent.
+        backoff: Seconds before the first retry; doubles each time, with
+            jitter.
+        owner_wait: Maximum wait in seconds for a target that may run the
+            request; after that the request is refused as not run.
     """
 
     budget: Annotated[float, msgspec.Meta(ge=0, le=1)] = 0.1
@@ -126,14 +129,14 @@
 
 
 class Queue(_Strict, frozen=True):
-    """The queue for the slots of each target of a service.
+    """Queue for the slots of each target of a service.
 
     Attributes:
-        wait: Longest wait in seconds; whoever would wait longer is refused
-            at once.
-        length: Most requests that wait for one target.
-        bulk_slots: Slots of one target that bulk requests may hold; 0 for
-            half of them.
+        wait: Maximum wait in seconds; a request with a longer expected wait
+            is refused at once.
+        length: Maximum number of requests that wait for one target.
+        bulk_slots: Maximum number of a target's slots in use by bulk requests;
+            0 for half of its slots.
     """
 
     wait: Annotated[float, msgspec.Meta(gt=0)] = 5.0
@@ -142,27 +145,29 @@
 
 
 class Service(_Strict, frozen=True):
-    """One service behind the router.
+    """A service behind the router.
 
     Attributes:
-        key: Where the key is; None for a service not divided by key.
-        slots: Requests that one target runs at a time.
-        connections: Connections that one target accepts.
-        slices: Slices per block at the start.
-        blocks: Blocks of the table; each stays well under a megabyte.
-        checks_orders: Targets refuse lower fences and foreign requests.
-        checks_expiry: Targets refuse requests once their grant has run out.
-        grant: Times of the grant protocol in seconds.
-        routes: Treatment by path; the longest matching prefix wins.
-        timeout: Seconds that a request may take when it names no deadline.
+        key: Location of the key; None for a service not divided by key.
+        slots: Maximum number of concurrent requests per target.
+        connections: Maximum number of connections per target.
+        slices: Initial number of slices per block.
+        blocks: Number of blocks of the table; each block stays well under a
+            megabyte.
+        checks_orders: Whether targets refuse lower fences and requests for
+            slices that they do not own.
+        checks_expiry: Whether targets refuse requests after their grant has
+            expired.
+        grant: Durations of the grant protocol in seconds.
+        routes: Treatment by path; the longest matching prefix applies.
+        timeout: Timeout in seconds of a request without a deadline.
         placement: Weights and bounds of placement.
-        drains: Targets that operators take out of use: they get no new work
-            and their slices move away, as if the platform listed them as
-            leaving.
-        moves: Key to the target that operators want as its owner; the slice
-            of the key, or a new one of its own, moves there while that target
-            is live and not drained.
-        retry: When requests are sent again.
+        drains: Targets drained by operators: they get no new work and their
+            slices move away, as if the platform listed them as leaving.
+        moves: Target by key, as pinned by operators; the slice of the key, or
+            a new slice for it, moves to the target while that is live and not
+            drained.
+        retry: Retry policy of the router.
         queue: The queue for the slots of each target.
     """
 
@@ -189,8 +194,9 @@
     Attributes:
         credentials: SHA-256 digests, in hex, of its bearer tokens.
         share: Weight in fair queueing.
-        concurrency: Requests under way over all entry VMs; 0 for no limit.
-        rate: Requests a second over all entry VMs; 0 for no limit.
+        concurrency: Limit on concurrent requests over all entry VMs; 0 for
+            none.
+        rate: Limit on requests per second over all entry VMs; 0 for none.
     """
 
     credentials: tuple[Digest, ...] = ()
@@ -200,7 +206,7 @@
 
 
 class Role(enum.Enum):
-    """What an operator's token allows."""
+    """Permission of an operator's token."""
 
     READ = "read"
     PROPOSE = "propose"
@@ -212,12 +218,12 @@
     """A person, team or program that administers some services and members.
 
     Attributes:
-        tokens: SHA-256 digests, in hex, of its bearer tokens; two while one
-            takes the other's place.
-        roles: What it may do: read; propose (check a patch without applying
+        tokens: SHA-256 digests, in hex, of its bearer tokens; two during a
+            token rotation.
+        roles: Permissions: read; propose (check a patch without applying
             it); operate (apply patches that only drain targets, move keys or
-            clear quarantine); approve (apply any patch). Each includes those
-            before it.
+            clear quarantine); approve (apply any patch). Each role includes
+            those before it.
         services: Services that its patches may touch; "*" for all.
         members: Members that its patches may touch; "*" for all.
     """
@@ -229,13 +235,13 @@
 
 
 class Quarantine(_Strict, frozen=True):
-    """When a request is refused because targets died while running it.
+    """When a request is refused because targets crashed while running it.
 
     Attributes:
-        deaths: Deaths after which it is refused.
-        seconds: How long a death is remembered.
-        cleared: Fingerprint to configuration number: deaths of this request
-            under configurations up to that number do not count any more.
+        deaths: Number of crashes after which the request is refused.
+        seconds: Time in seconds for which a crash counts.
+        cleared: Configuration number by request fingerprint: crashes of the
+            request under configurations up to that number no longer count.
     """
 
     deaths: Positive = 2
@@ -244,13 +250,14 @@
 
 
 class Link(_Strict, frozen=True):
-    """The link between any two regions, the same in each direction.
+    """Capacity of the link between two regions, equal in each direction.
 
     Attributes:
-        bytes_per_second: What it carries.
-        usable: Share of it that the router plans with; the rest absorbs
-            framing and bursts.
-        control_bytes_per_second: Kept free for messages between entry VMs.
+        bytes_per_second: Bandwidth of the link.
+        usable: Fraction of the bandwidth that the router allocates; the rest
+            absorbs framing and bursts.
+        control_bytes_per_second: Bandwidth reserved for messages between entry
+            VMs.
     """
 
     bytes_per_second: Positive = 3_750_000
@@ -264,10 +271,10 @@
     Attributes:
         services: By name; the name is the first segment of a request's path.
         members: By name.
-        operators: Who administers what, by name; only an operator with all
-            services and all members may change it.
-        quarantine: What happens to requests that stop targets.
-        link: The link between regions.
+        operators: By name; only an operator with all services and all members
+            in scope may change them.
+        quarantine: Treatment of requests that crash targets.
+        link: Capacity of the links between regions.
     """
 
     services: dict[Name, Service] = {}
@@ -278,17 +285,17 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """How one number came about.
+    """The change that made a numbered configuration.
 
     Attributes:
-        number: The number; the base of the patch is the one before it.
+        number: The number; the base of the patch is the previous one.
         id: Identifier of the patch.
-        author: Operator whose token it came with.
-        reason: Why.
-        ticket: Reference into the operators' own tracker, may be empty.
+        author: Operator whose token submitted the patch.
+        reason: The operator's reason.
+        ticket: Reference into the operators' issue tracker, may be empty.
         time: Seconds since 1970 UTC on the clock of the accepting VM.
         operations: The operations of the patch, as submitted.
-        paths: JSON pointers to what it changed.
+        paths: JSON pointers to the changed values.
     """
 
     number: int
@@ -302,13 +309,13 @@
 
 
 class Version(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A numbered configuration; numbers only rise.
+    """A numbered configuration; numbers only increase.
 
     Attributes:
         number: The number.
         document: The configuration.
-        change: What made this number out of the one before; None if it was
-            put into the store without a patch.
+        change: The change from the previous number; None if the configuration
+            was written to the store without a patch.
     """
 
     number: int
@@ -319,14 +326,14 @@
 _VERSION = msgspec.json.Decoder(Version)
 
 
-def problems(document: Document) -> Iterator[str]:
-    """Yields each fault that spans several fields, with path and mend."""
+def find_problems(document: Document) -> Iterator[str]:
+    """Yields violations of constraints across fields, with path and fix."""
     for name, service in document.services.items():
         at = f"services.{name}"
         timing = service.grant
         if timing.renew * 2 > timing.ttl:
             yield (
-                f"{at}.grant.renew: {timing.renew} s leaves no second try"
+                f"{at}.grant.renew: {timing.renew} s leaves no time for a retry"
                 f" within ttl {timing.ttl} s; set at most half of ttl"
             )
         if service.checks_expiry and not service.checks_orders:
@@ -334,24 +341,24 @@
                 f"{at}.checks_expiry: needs checks_orders; a target that"
                 " checks the expiry of grants checks grants"
             )
-        placed = service.placement
-        if placed.end_below > placed.begin_above:
+        placement = service.placement
+        if placement.end_below > placement.begin_above:
             yield (
-                f"{at}.placement.end_below: {placed.end_below} is above"
-                f" begin_above {placed.begin_above}; set at most that"
+                f"{at}.placement.end_below: {placement.end_below} is above"
+                f" begin_above {placement.begin_above}; set at most that"
             )
         key = service.key
         if key and key.place is not KeyPlace.PATH and not key.name:
             yield f"{at}.key.name: missing; name the {key.place.value}"
-        yield from _operation_problems(at, service)
-    yield from _shared_digests(
+        yield from _move_problems(at, service)
+    yield from _duplicate_digests(
         (f"members.{name}.credentials", m.credentials)
         for name, m in document.members.items()
     )
     yield from _operator_problems(document)
 
 
-def _operation_problems(at: str, service: Service) -> Iterator[str]:
+def _move_problems(at: str, service: Service) -> Iterator[str]:
     if service.moves and service.key is None:
         yield (
             f"{at}.moves: the service is not divided by key; remove the moves"
@@ -366,34 +373,36 @@
 
 
 def _operator_problems(document: Document) -> Iterator[str]:
-    yield from _shared_digests(
+    yield from _duplicate_digests(
         (f"operators.{name}.tokens", o.tokens)
         for name, o in document.operators.items()
     )
     for name, operator in document.operators.items():
-        for part, known in (
+        for part, defined in (
             ("services", document.services),
             ("members", document.members),
         ):
             scope: tuple[str, ...] = getattr(operator, part)
-            for unknown in (s for s in scope if s != ALL and s not in known):
-                # Left in place, the scope would apply to whoever gets the
-                # name next.
+            for undefined in (
+                s for s in scope if s != ALL and s not in defined
+            ):
+                # An unknown name left in a scope would grant access to the
+                # next service or member of that name.
                 yield (
-                    f"operators.{name}.{part}: no {part[:-1]} {unknown!r};"
-                    f" add it first or take it out of the scope"
+                    f"operators.{name}.{part}: no {part[:-1]} {undefined!r};"
+                    f" add it first or remove it from the scope"
                 )
     if document.operators and not any(
         is_administrator(o) for o in document.operators.values()
     ):
         yield (
-            "operators: nobody could change them any more; keep one with"
+            "operators: no operator could change them; keep one with"
             ' a token, role approve, services ["*"] and members ["*"]'
         )
 
 
 def is_administrator(operator: Operator) -> bool:
-    """Whether an operator may change everything, operators included."""
+    """Whether an operator may change the whole document."""
     return (
         bool(operator.tokens)
         and Role.APPROVE in operator.roles
@@ -402,18 +411,18 @@
     )
 
 
-def _shared_digests(
-    holders: Iterable[tuple[str, tuple[Digest, ...]]],
+def _duplicate_digests(
+    digest_lists: Iterable[tuple[str, tuple[Digest, ...]]],
 ) -> Iterator[str]:
-    owners: dict[str, str] = {}
-    for at, digests in holders:
+    first_uses: dict[str, str] = {}
+    for at, digests in digest_lists:
         for digest in digests:
-            if digest in owners:
+            if digest in first_uses:
                 yield (
-                    f"{at}: {digest[:8]}… belongs to {owners[digest]}"
-                    " already; give each its own"
+                    f"{at}: {digest[:8]}… belongs to {first_uses[digest]}"
+                    " already; use each token once"
                 )
-            owners[digest] = at
+            first_uses[digest] = at
 
 
 _SECTIONS: tuple[tuple[str, Any], ...] = (
@@ -424,19 +433,20 @@
 
 
 def convert_document(raw: Any) -> result.Result[Document, str]:
-    """Checks a plain JSON document; Err names path and mend."""
+    """Converts and validates plain JSON; an error names path and fix."""
     try:
         document = msgspec.convert(raw, Document)
     except msgspec.ValidationError as error:
-        return result.Err("; ".join(_misfits(raw)) or str(error))
-    faults = list(problems(document))
-    return result.Err("; ".join(faults)) if faults else result.Ok(document)
+        return result.Err("; ".join(_type_errors(raw)) or str(error))
+    problems = list(find_problems(document))
+    return result.Err("; ".join(problems)) if problems else result.Ok(document)
 
 
-def _misfits(raw: Any) -> Iterator[str]:
-    """Yields mistakes of type or bound by section and name.
+def _type_errors(raw: Any) -> Iterator[str]:
+    """Yields errors of type or bounds with section and name.
 
-    The library's own message says `$.services[...]` for every service.
+    The library's message has `$.services[...]` for every service and so does
+    not identify the entry.
     """
     for section, kind in _SECTIONS:
         part = raw.get(section) if isinstance(raw, dict) else None
@@ -453,7 +463,7 @@
 
 
 def decode_document(value: bytes) -> result.Result[Document, str]:
-    """Decodes and checks a document; Err names path and mend."""
+    """Decodes and validates a document; an error names path and fix."""
     try:
         return convert_document(msgspec.json.decode(value))
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -461,7 +471,7 @@
 
 
 def decode_version(value: bytes) -> result.Result[Version, str]:
-    """Decodes the store's value of a numbered configuration."""
+    """Decodes a numbered configuration from its store value."""
     try:
         return result.Ok(_VERSION.decode(value))
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -469,20 +479,20 @@
 
 
 def route_for(service: Service, path: str, method: str) -> Route:
-    """Returns the route with the longest prefix that fits, or a default."""
-    fitting = (
+    """Returns the matching route with the longest prefix, or a default."""
+    matching = (
         r
         for r in service.routes
         if path.startswith(r.prefix) and (not r.methods or method in r.methods)
     )
-    return max(fitting, key=lambda r: len(r.prefix), default=Route())
+    return max(matching, key=lambda r: len(r.prefix), default=Route())
 
 
 _SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
 
 
 def is_idempotent(route: Route, method: str) -> bool:
-    """Whether running a request of this route twice does no harm."""
+    """Whether a request of this route is idempotent."""
     if route.idempotent is None:
         return method in _SAFE_METHODS
     return route.idempotent
--- a/packages/mimosastile-core/src/mimosastile_core/differences.py
+++ b/packages/mimosastile-core/src/mimosastile_core/differences.py
@@ -1,4 +1,4 @@
-"""Differences between two versions of a block, for telling peers."""
+"""Deltas between versions of a block, for updates to peers."""
 
 import msgspec
 
@@ -6,14 +6,16 @@
 
 
 class BlockChange(msgspec.Struct, frozen=True, array_like=True):
-    """What turns one version of a block into a later one.
+    """Delta from one version of a block to a later one.
 
     Attributes:
-        id: The block.
-        base: Version that the change applies to, and to no other.
-        version: Version that it makes.
-        slices: Slices of the later version that the earlier one has not.
-        keepers: Keepers of the later version that the earlier one has not.
+        id: Identifier of the block.
+        base: The only version that the delta applies to.
+        version: The resulting version.
+        slices: Slices that are new or changed in the later version.
+        keepers: Keepers by target that are new or changed in the later
+            version. A keeper is the entry VM through which alone a target gets
+            requests and grants.
         dropped: Targets that have a keeper in the earlier version only.
     """
 
@@ -25,14 +27,14 @@
     dropped: tuple[str, ...] = ()
 
 
-def between(old: tables.Block, new: tables.Block) -> BlockChange:
-    """Returns what turns a version of a block into a later one."""
-    known = set(old.slices)
+def diff(old: tables.Block, new: tables.Block) -> BlockChange:
+    """Returns the delta from one version of a block to a later one."""
+    old_slices = set(old.slices)
     return BlockChange(
         id=new.id,
         base=old.version,
         version=new.version,
-        slices=tuple(s for s in new.slices if s not in known),
+        slices=tuple(s for s in new.slices if s not in old_slices),
         keepers={
             target: keeper
             for target, keeper in new.keepers.items()
@@ -42,17 +44,17 @@
     )
 
 
-def applied(block: tables.Block, change: BlockChange) -> tables.Block | None:
+def apply(block: tables.Block, change: BlockChange) -> tables.Block | None:
     """Returns the later version of a block.
 
     Args:
-        block: The version that the change was made from.
-        change: The change.
+        block: The base version of the delta.
+        change: The delta.
 
     Returns:
-        The later version, or None if the change was made from another one: a
-        mark that was set and taken back in between is in no difference, and
-        would stay in a version to which it is applied all the same.
+        The later version, or None if the delta has another base. A mark on a
+        slice that was set and cleared between two versions is in no delta. If
+        the delta were applied to a version in between, the mark would remain.
     """
     if block.id != change.id or block.version != change.base:
         return None
--- a/packages/mimosastile-core/src/mimosastile_core/errors.py
+++ b/packages/mimosastile-core/src/mimosastile_core/errors.py
@@ -152,7 +152,7 @@
         503, 2, "The store is unavailable."
     ),
     ErrorKind.STORE_UNKNOWN: _uncertain(
-        503, "The store did not confirm the write."
+        503, "The store did not confirm the operation."
     ),
     ErrorKind.INTERNAL: _uncertain(500, "Internal error."),
 }
--- a/packages/mimosastile-core/src/mimosastile_core/keys.py
+++ b/packages/mimosastile-core/src/mimosastile_core/keys.py
@@ -1,19 +1,19 @@
-"""Hashing of request keys into the 64-bit space that slices divide."""
+"""Hashing of request keys into the 64-bit hash space of the slices."""
 
 import xxhash
 
 LAST_HASH = (1 << 64) - 1
-"""Highest value of the hash space; ranges are inclusive on both ends."""
+"""Highest hash; ranges of hashes include both ends."""
 
 
 def key_hash(key: str) -> int:
-    """Returns the position of a key in the hash space.
+    """Returns the hash of a key.
 
     Args:
-        key: The key as the request carries it, percent-decoding done.
+        key: The key of the request after percent-decoding.
 
     Returns:
-        A number from 0 to `LAST_HASH`, the same on every VM.
+        An integer from 0 to `LAST_HASH`, the same on every VM.
     """
     return xxhash.xxh3_64_intdigest(key.encode())
 
@@ -21,15 +21,15 @@
 def even_ranges(
     count: int, first: int = 0, last: int = LAST_HASH
 ) -> list[tuple[int, int]]:
-    """Divides a range of the hash space into ranges of equal width.
+    """Divides a range of hashes into ranges of equal width.
 
     Args:
-        count: How many ranges, at least 1.
-        first: Lowest hash of the whole range.
-        last: Highest hash of the whole range, inclusive.
+        count: Number of ranges, at least 1.
+        first: Lowest hash of the range.
+        last: Highest hash of the range, inclusive.
 
     Returns:
-        The ranges in order, inclusive on both ends and without gaps.
+        The ranges in ascending order without gaps; both ends inclusive.
     """
     width = last - first + 1
     edges = [first + width * i // count for i in range(count + 1)]
--- a/packages/mimosastile-core/src/mimosastile_core/replica.py
+++ b/packages/mimosastile-core/src/mimosastile_core/replica.py
@@ -142,7 +142,7 @@
             delta,
             blocks=tuple(b for b in delta.blocks if b.id not in former),
             changes=tuple(
-                differences.between(former[b.id], b)
+                differences.diff(former[b.id], b)
                 for b in delta.blocks
                 if b.id in former
             ),
@@ -152,7 +152,7 @@
         self, change: differences.BlockChange
     ) -> tables.Block | None:
         held = self._blocks.get(change.id)
-        return differences.applied(held, change) if held else None
+        return differences.apply(held, change) if held else None
 
     def _held_version(self, block: tables.BlockId) -> int:
         held = self._blocks.get(block)
--- a/packages/mimosastile-entry/src/mimosastile_entry/_state.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_state.py
@@ -286,7 +286,7 @@
         watch would grant what its target was given when the watch has run
         out, and the keys would have no server for that long.
         """
-        change = differences.between(former, block)
+        change = differences.diff(former, block)
         delta = messages.Delta(self._vm, changes=(change,))
         named = {keeper.vm for keeper in block.keepers.values()}
         for vm in self._fleet.peers().values():
--- a/packages/mimosastile-standins/src/mimosastile_standins/slopes.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/slopes.py
@@ -258,7 +258,7 @@
     """Returns the size of the push that tells of one moved slice."""
     first = block.slices[0].first
     after = moves.start_moves(block, {first: "another-target"}).unwrap()
-    change = differences.between(block, after)
+    change = differences.diff(block, after)
     delta = messages.Delta("entry", changes=(change,))
     return len(messages.encode(messages.Push("entry", delta)))
 
--- a/tests/core/test_config.py
+++ b/tests/core/test_config.py
@@ -10,7 +10,7 @@
 
 
 class TestDecode:
-    """Reading what operators wrote."""
+    """Decoding and validation of documents."""
 
     @pytest.mark.parametrize(
         ("text", "named"),
@@ -34,17 +34,17 @@
             (b"\xff", ""),
         ],
     )
-    def test_mistake_names_its_place(self, text, named):
-        """The message says where the mistake is."""
+    def test_error_names_the_path(self, text, named):
+        """The error message contains the path of the invalid field."""
         assert named in config.decode_document(text).unwrap_err()
 
-    def test_empty_document_is_good(self):
-        """A new deployment starts with nothing."""
+    def test_empty_document_is_valid(self):
+        """A new deployment starts with an empty configuration."""
         assert config.decode_document(b"{}").unwrap() == config.Document()
 
 
 class TestRoutes:
-    """Class and idempotency by path."""
+    """Priority and idempotency by path and method."""
 
     SERVICE = config.Service(
         routes=(
@@ -61,8 +61,8 @@
             ("GET", "/letters", config.Priority.INTERACTIVE),
         ],
     )
-    def test_longest_fitting_prefix_wins(self, method, path, priority):
-        """A route with other methods does not fit."""
+    def test_longest_matching_prefix_wins(self, method, path, priority):
+        """A route for other methods does not match."""
         found = config.route_for(self.SERVICE, path, method)
         assert found.priority is priority
 
@@ -76,6 +76,6 @@
         ],
     )
     def test_idempotency(self, declared, method, expected):
-        """What the operator declares goes before the method."""
+        """The declared value takes precedence over the method's default."""
         route = config.Route(idempotent=declared)
         assert config.is_idempotent(route, method) is expected
--- a/tests/core/test_differences.py
+++ b/tests/core/test_differences.py
@@ -1,4 +1,4 @@
-"""Tests of differences between versions of a block."""
+"""Tests of deltas between versions of a block."""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -33,20 +33,20 @@
 
 
 class TestChange:
-    """What peers are told in place of a whole block."""
+    """Deltas that peers receive in place of a whole block."""
 
     @hypothesis.settings(derandomize=True, deadline=None, database=None)
     @hypothesis.given(st.lists(st.tuples(PLANS, KEEPERS), max_size=4))
-    def test_makes_the_very_block(self, steps):
-        """Applied to the version it was made from."""
+    def test_delta_reproduces_the_block(self, steps):
+        """A delta applied to its base gives exactly the later version."""
         old = new = BLOCK
         for plan, keepers in steps:
             old, new = new, _after(new, plan, keepers)
-        change = differences.between(old, new)
-        assert differences.applied(old, change) == new
+        change = differences.diff(old, new)
+        assert differences.apply(old, change) == new
 
     def test_split_slice_is_replaced(self):
-        """The whole gives way to its parts."""
+        """The two parts replace the split slice."""
         whole = BLOCK.slices[0]
         middle = whole.last // 2
         parts = (
@@ -56,37 +56,38 @@
         new = msgspec.structs.replace(
             BLOCK, version=2, slices=(*parts, *BLOCK.slices[1:])
         )
-        change = differences.between(BLOCK, new)
+        change = differences.diff(BLOCK, new)
         assert change.slices == parts
-        assert differences.applied(BLOCK, change) == new
+        assert differences.apply(BLOCK, change) == new
 
 
 class TestMissedVersion:
-    """A VM missed the version that a change was made from.
+    """A VM missed the base version of a delta.
 
-    A mark that was set and taken back in between is in no difference. Applied
-    all the same, it would stay, and requests for the key would wait for ever.
+    A mark on a slice that was set and cleared in between is in no delta. If
+    the delta were applied, the mark would remain, and requests for the key
+    would wait for ever.
     """
 
-    def test_change_is_not_applied_but_asked_for(self):
-        """The replica says that it lacks the block."""
+    def test_missing_base_is_requested(self):
+        """The replica does not apply the delta and reports a missing block."""
         first = moves.start_moves(BLOCK, {FIRSTS[0]: "a"}).unwrap()
         second = moves.start_moves(first, {FIRSTS[1]: "a"}).unwrap()
         copy = replica.Replica()
         copy.offer_blocks((BLOCK,))
-        change = differences.between(first, second)
+        change = differences.diff(first, second)
         delta = messages.Delta("x", changes=(change,))
         assert not copy.merge(delta)
         assert copy.misses_blocks(delta)
         copy.merge(messages.Delta("x", blocks=(second,)))
         assert not copy.misses_blocks(delta)
 
-    def test_late_change_changes_nothing(self):
-        """It overtook nobody."""
+    def test_delta_to_the_current_version_is_ignored(self):
+        """A delta that arrives after its result has no effect."""
         first = moves.start_moves(BLOCK, {FIRSTS[0]: "a"}).unwrap()
         copy = replica.Replica()
         copy.offer_blocks((first,))
-        change = differences.between(BLOCK, first)
+        change = differences.diff(BLOCK, first)
         delta = messages.Delta("x", changes=(change,))
         assert not copy.merge(delta)
         assert not copy.misses_blocks(delta)
