--- a/packages/mimosastile-core/src/mimosastile_core/fleet.py
+++ b/packages/mimosastile-core/src/mimosastile_core/fleet.py
@@ -1,23 +1,23 @@
-"""The platform's list of VMs, which lags behind what is true."""
+"""The platform's list of VMs, which lags behind their actual state."""
 
 import enum
 
 import msgspec
 
-_HANDOVER_SECONDS = 1.0
-"""Time that a leaving target has for handing its keys over. The list is read
-every half second and told to all, so this ends within 3 s of the mark."""
+_HANDOVER_TIMEOUT_SECONDS = 1.0
+"""Time for a leaving target to hand over its keys. The list is read every half
+second and sent to all VMs, so the time ends within 3 s of the mark."""
 
 
 class Role(enum.Enum):
-    """What a VM runs."""
+    """Role of a VM."""
 
     ENTRY = "entry"
     TARGET = "target"
 
 
 class VmState(enum.Enum):
-    """What the platform intends with a VM."""
+    """State of a VM as set by the platform."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -27,12 +27,12 @@
     """One VM as the platform lists it.
 
     Attributes:
-        id: Identifier, never used for another VM.
-        role: What it runs.
+        id: Identifier, never reused.
+        role: Entry VM or target.
         region: Region of the zone.
         zone: Availability zone.
-        host: IP number.
-        port: Port of a target; port for peers of an entry VM.
+        host: IP address.
+        port: Port of a target, or an entry VM's port for its peers.
         service: Service of a target, empty for an entry VM.
         state: Live or leaving.
     """
@@ -48,7 +48,7 @@
 
 
 class Fleet:
-    """One reading of the list, indexed."""
+    """Indexed snapshot of the list."""
 
     __slots__ = ("_entries", "_targets", "_vms")
 
@@ -75,15 +75,15 @@
         return self._targets.get(service, {})
 
     def live_targets(self, service: str) -> dict[str, Vm]:
-        """Returns a service's targets that may get new work."""
+        """Returns a service's targets that are not leaving."""
         return {
             vm.id: vm
             for vm in self.targets(service).values()
             if vm.state is VmState.LIVE
         }
 
-    def draining(self, targets: frozenset[str]) -> "Fleet":
-        """Returns this reading with some targets leaving, whatever it says."""
+    def with_leaving(self, targets: frozenset[str]) -> "Fleet":
+        """Returns a copy of the snapshot with the given targets leaving."""
         if not targets & self._vms.keys():
             return self
         leaving = VmState.LEAVING
@@ -105,13 +105,13 @@
         }
 
 
-class Leaving:
-    """Targets that are leaving, and since when this VM knows it.
+class LeavingTargets:
+    """Leaving targets, with the time at which this VM first saw the mark.
 
-    A leaving target hands its keys over within a fraction of a second. If
-    that is not possible, because the store is down, its requests are refused
-    from a certain time on: what it began later would be cut off when the
-    platform stops it, and its caller would not know whether it ran.
+    A leaving target hands over its keys within a fraction of a second. If the
+    store is down, the handover is not possible, and after a timeout its
+    requests are refused: the platform would stop the target in the middle of
+    later requests, and their callers could not tell whether they ran.
     """
 
     __slots__ = ("_since",)
@@ -119,19 +119,19 @@
     def __init__(self) -> None:
         self._since: dict[str, float] = {}
 
-    def update(self, listed: Fleet, now: float) -> None:
-        """Takes a new reading of the list."""
+    def update(self, snapshot: Fleet, now: float) -> None:
+        """Updates the leaving targets from a new snapshot of the list."""
         self._since = {
             vm.id: self._since.get(vm.id, now)
-            for vm in listed.vms.values()
+            for vm in snapshot.vms.values()
             if vm.role is Role.TARGET and vm.state is VmState.LEAVING
         }
 
     def __bool__(self) -> bool:
-        """Whether any target is leaving; usually none is."""
+        """Whether any target is leaving."""
         return bool(self._since)
 
-    def is_over(self, target: str, now: float) -> bool:
-        """Whether a target gets no new work any more."""
+    def has_timed_out(self, target: str, now: float) -> bool:
+        """Whether the handover timeout of a leaving target has passed."""
         since = self._since.get(target)
-        return since is not None and now - since > _HANDOVER_SECONDS
+        return since is not None and now - since > _HANDOVER_TIMEOUT_SECONDS
--- a/packages/mimosastile-core/src/mimosastile_core/history.py
+++ b/packages/mimosastile-core/src/mimosastile_core/history.py
@@ -1,8 +1,9 @@
-"""The history of the configuration: every change, in blocks of store values.
+"""Change history of the configuration, in blocks and snapshots in the store.
 
-The value in force carries its own change. A change moves into the history
-before the next one takes its place, so that history and value together never
-lack one, whatever breaks off in between.
+The stored current configuration contains the change that made it. That change
+is written to the history before the next configuration replaces the current
+one. History and current configuration together therefore contain every
+change, even if a VM crashes between the two writes.
 """
 
 from collections.abc import Iterable
@@ -16,47 +17,47 @@
 from mimosastile_core import config
 from mimosastile_core import patches
 
-SPAN = 64
-"""Numbers per block and from one snapshot to the next."""
+BLOCK_SPAN = 64
+"""Numbers per block, and from one snapshot to the next."""
 
-KEEP_SNAPSHOTS = 64
-"""Newest snapshots that all stay."""
+RECENT_SNAPSHOTS = 64
+"""Number of newest snapshots that are all kept."""
 
-THIN = 64
-"""Of older snapshots, every so many stays."""
+KEPT_SNAPSHOT_INTERVAL = 64
+"""Of the older snapshots, one in this number is kept."""
 
-INLINE_BYTES = 4 << 10
-"""Longest operations inside a block; longer ones have a value of their own, so
-that a full block stays under `SPAN` times this and a little more."""
+MAX_INLINE_BYTES = 4 << 10
+"""Maximum size of operations inside a block; longer ones have a store value of
+their own. A full block stays little above `BLOCK_SPAN` times this size."""
 
 _PREFIX = "history/"
-_THINNED = b"{}"
+_THINNED_SNAPSHOT = b"{}"
 
 
 class Block(msgspec.Struct, frozen=True):
-    """The changes of `SPAN` successive numbers.
+    """The changes of `BLOCK_SPAN` successive numbers.
 
     Attributes:
-        changes: In order of their numbers; operations of long ones are left
-            out here and stand under `operations_key`.
+        changes: By ascending number; operations longer than `MAX_INLINE_BYTES`
+            are left out here and stored under `operations_key`.
     """
 
     changes: tuple[config.Change, ...] = ()
 
     @property
     def last(self) -> int:
-        """Highest number held, 0 for none."""
+        """Highest number in the block, 0 for none."""
         return self.changes[-1].number if self.changes else 0
 
     @property
     def is_full(self) -> bool:
-        """Whether the last number of the span is in."""
-        return bool(self.changes) and self.last % SPAN == SPAN - 1
+        """Whether the block contains the last number of its span."""
+        return bool(self.changes) and self.last % BLOCK_SPAN == BLOCK_SPAN - 1
 
 
-def block_of(number: int) -> int:
-    """Returns the index of the block that holds a number."""
-    return number // SPAN
+def block_index(number: int) -> int:
+    """Returns the index of the block that contains a number."""
+    return number // BLOCK_SPAN
 
 
 def block_key(index: int) -> str:
@@ -70,15 +71,15 @@
 
 
 def operations_key(number: int) -> str:
-    """Returns the store key of operations too long for a block."""
+    """Returns the store key of a change's operations too long for a block."""
     return f"{_PREFIX}operations/{number:010d}"
 
 
-def change_of(version: config.Version) -> config.Change:
+def change_for(version: config.Version) -> config.Change:
     """Returns the change that made a version.
 
-    A version that was put into the store by other means has none; its change
-    then replaces the whole document and says so.
+    A version that was written to the store without a patch has no change; a
+    change that replaces the whole document is returned for it.
     """
     if version.change is not None:
         return version.change
@@ -95,44 +96,48 @@
     )
 
 
-def is_long(change: config.Change) -> bool:
-    """Whether a change's operations get a value of their own."""
-    return len(msgspec.json.encode(change.operations)) > INLINE_BYTES
+def has_long_operations(change: config.Change) -> bool:
+    """Whether a change's operations get a store value of their own."""
+    return len(msgspec.json.encode(change.operations)) > MAX_INLINE_BYTES
 
 
 def append(block: Block, change: config.Change) -> Block:
-    """Returns the block with a change, the same block if it has it.
+    """Returns the block with a change added; idempotent.
 
-    Whoever appends a number appends the same change: it comes from the value
-    that had this number, and there is only one.
+    Every VM that appends a number appends the same change, because it comes
+    from the only configuration that had this number.
     """
     if change.number <= block.last:
         return block
-    if is_long(change):
+    if has_long_operations(change):
         change = msgspec.structs.replace(change, operations=())
     return Block((*block.changes, change))
 
 
-def thinned_by(number: int) -> int | None:
-    """Returns the snapshot that is no longer needed at a number, if any.
+def snapshot_to_thin(number: int) -> int | None:
+    """Returns the index of the snapshot to thin out at a number, if any.
 
-    Every document can still be rebuilt, from an older snapshot and more
-    changes. No change is ever dropped.
+    Every document can still be rebuilt from an older snapshot and more
+    changes. No change is ever deleted.
     """
-    index = block_of(number) - KEEP_SNAPSHOTS
-    starts = number % SPAN == 0
-    return index if starts and index > 0 and index % THIN else None
+    index = block_index(number) - RECENT_SNAPSHOTS
+    starts = number % BLOCK_SPAN == 0
+    return (
+        index
+        if starts and index > 0 and index % KEPT_SNAPSHOT_INTERVAL
+        else None
+    )
 
 
 def encode(block: Block) -> bytes:
-    """Returns the store value; a full block is compressed for good."""
+    """Returns the store value of a block; full blocks are compressed."""
     plain = msgspec.json.encode(block)
     return zlib.compress(plain, 9) if block.is_full else plain
 
 
 def decode(value: bytes) -> result.Result[Block, str]:
-    """Reads a block from its store value."""
-    return _decoded(value, Block)
+    """Decodes a block from its store value."""
+    return _decode_value(value, Block)
 
 
 def encode_json(value: Any) -> bytes:
@@ -143,20 +148,20 @@
 def decode_operations(
     value: bytes,
 ) -> result.Result[tuple[Any, ...], str]:
-    """Reads long operations."""
-    return _decoded(value, tuple[Any, ...])
+    """Decodes operations that are stored outside a block."""
+    return _decode_value(value, tuple[Any, ...])
 
 
 def decode_snapshot(value: bytes) -> result.Result[Any, str]:
-    """Reads a snapshot; None if it was thinned out."""
-    if value == _THINNED:
+    """Decodes a snapshot; None if it was thinned out."""
+    if value == _THINNED_SNAPSHOT:
         return result.Ok(None)
-    return _decoded(value, Any)
+    return _decode_value(value, Any)
 
 
-def thinned() -> bytes:
-    """Returns the value that takes the place of a thinned snapshot."""
-    return _THINNED
+def thinned_snapshot() -> bytes:
+    """Returns the store value that replaces a thinned snapshot."""
+    return _THINNED_SNAPSHOT
 
 
 def replay(
@@ -165,12 +170,12 @@
     """Applies changes in order to a plain JSON document.
 
     Args:
-        raw: A snapshot, as stored.
-        changes: With their operations.
+        raw: The decoded snapshot.
+        changes: The changes by ascending number, with their operations.
 
     Returns:
-        The document after the last change. Fields that were added to the
-        schema since have their defaults.
+        The document after the last change, or an error message. Fields that
+        were added to the schema since have their defaults.
     """
     for change in changes:
         operations = msgspec.convert(
@@ -187,15 +192,15 @@
 def blame(
     changes: Iterable[config.Change], path: str
 ) -> Iterator[config.Change]:
-    """Yields the changes that touched a path, in the order given."""
+    """Yields the changes that affected a path, in the given order."""
     return (
-        c for c in changes if any(patches.touches(p, path) for p in c.paths)
+        c for c in changes if any(patches.overlaps(p, path) for p in c.paths)
     )
 
 
-def _decoded(value: bytes, kind: Any) -> result.Result[Any, str]:
+def _decode_value(value: bytes, kind: Any) -> result.Result[Any, str]:
     try:
-        # JSON never begins with the first byte of a zlib stream.
+        # JSON never begins with the first byte of a zlib stream, "x".
         plain = zlib.decompress(value) if value[:1] == b"x" else value
         return result.Ok(msgspec.json.decode(plain, type=kind))
     except (zlib.error, msgspec.DecodeError, UnicodeDecodeError) as error:
--- a/packages/mimosastile-core/src/mimosastile_core/listings.py
+++ b/packages/mimosastile-core/src/mimosastile_core/listings.py
@@ -1,16 +1,18 @@
-"""Readings of the platform's list of VMs, own ones and told ones.
+"""Snapshots of the platform's list of VMs, read locally or sent by peers.
 
-The list has no version, and its readers see it with different lags. What one
-reader saw listed may be missing from another's older reading, so a VM counts
-as gone only if one and the same reader saw it listed and later not.
+The list has no version, and its readers observe it with different lags. A VM
+that one reader saw may be missing from another reader's older snapshot, so a
+VM counts as gone only if the same reader saw it listed and later not.
 """
 
 from mimosastile_core import fleet
 from mimosastile_core import messages
 
-_FRESHER = 1.0
-"""Seconds by which another reader's reading must be fresher to be taken."""
-_MOST_GONE = 4096
+_FRESHNESS_MARGIN_SECONDS = 1.0
+"""Age difference from which another reader's snapshot replaces the current one;
+without it, the snapshots of two readers would alternate."""
+_MAX_GONE_VMS = 4096
+
 # The property `fleet` hides the module of that name inside the class.
 CurrentFleet = fleet.Fleet
 ListedVm = fleet.Vm
@@ -18,122 +20,132 @@
 
 
 class Listings:
-    """The reading in use and the VMs that are known to be gone."""
+    """The current snapshot of the list and the VMs that left it."""
 
     __slots__ = (
         "_confirmed_at",
         "_fleet",
         "_gone",
-        "_me",
-        "_mine",
+        "_last_own_number",
         "_number",
-        "_numbered",
+        "_own_reader",
+        "_own_vms",
         "_reader",
     )
 
-    def __init__(self, me: str) -> None:
-        """Starts without a reading.
+    def __init__(self, reader: str) -> None:
+        """Starts with an empty snapshot.
 
         Args:
-            me: This VM as a reader, different for each run.
+            reader: Identifier of this VM as a reader, with its incarnation.
         """
-        self._me = me
+        self._own_reader = reader
         self._fleet = fleet.Fleet()
         self._reader = ""
         self._number = 0
-        self._numbered = 0
+        self._last_own_number = 0
         self._confirmed_at = float("-inf")
-        self._mine: frozenset[str] = frozenset()
+        self._own_vms: frozenset[str] = frozenset()
         self._gone: dict[str, None] = {}
 
     @property
     def fleet(self) -> CurrentFleet:
-        """The reading in use, indexed."""
+        """The current snapshot."""
         return self._fleet
 
     @property
     def reader(self) -> str:
-        """Who made the reading in use."""
+        """The reader of the current snapshot."""
         return self._reader
 
     @property
     def number(self) -> int:
-        """Its number."""
+        """The reader's number of the current snapshot."""
         return self._number
 
     def age(self, now: float) -> float:
-        """Returns seconds since the reading in use was confirmed."""
+        """Returns seconds since the current snapshot was confirmed."""
         return now - self._confirmed_at
 
     def is_gone(self, vm: str) -> bool:
-        """Whether a VM was listed once and is listed no longer."""
+        """Whether a VM was listed and no longer is."""
         return vm in self._gone and vm not in self._fleet.vms
 
     def read(self, vms: Vms, now: float) -> bool:
-        """Takes a reading of this VM's own; True if the list changed.
+        """Stores a snapshot read by this VM.
 
         Args:
             vms: The list.
-            now: When it was asked for.
+            now: Time in seconds at which the list was requested.
+
+        Returns:
+            Whether the list changed.
         """
-        newest = fleet.Fleet(vms)
-        self._note_gone(self._mine - set(newest.vms))
-        self._mine = frozenset(newest.vms)
+        snapshot = fleet.Fleet(vms)
+        self._record_gone(self._own_vms - set(snapshot.vms))
+        self._own_vms = frozenset(snapshot.vms)
         self._confirmed_at = now
-        changed = newest.vms != self._fleet.vms
-        if changed or self._reader != self._me:
-            self._numbered += 1
-            self._reader, self._number = self._me, self._numbered
-        self._fleet = newest
+        changed = snapshot.vms != self._fleet.vms
+        if changed or self._reader != self._own_reader:
+            self._last_own_number += 1
+            self._reader, self._number = self._own_reader, self._last_own_number
+        self._fleet = snapshot
         return changed
 
-    def told(self, listing: messages.Listing, now: float) -> bool:
-        """Takes a peer's reading if it is newer; True if the list changed."""
-        self._note_gone(listing.gone)
-        if not self._takes(listing, now):
+    def receive(self, listing: messages.Listing, now: float) -> bool:
+        """Stores a peer's snapshot if it is newer.
+
+        Returns:
+            Whether the list changed.
+        """
+        self._record_gone(listing.gone)
+        if not self._accepts(listing, now):
             return False
-        newest = fleet.Fleet(listing.vms)
-        changed = newest.vms != self._fleet.vms
-        self._fleet = newest
+        snapshot = fleet.Fleet(listing.vms)
+        changed = snapshot.vms != self._fleet.vms
+        self._fleet = snapshot
         self._reader, self._number = listing.reader, listing.number
         self._confirmed_at = now - listing.age
         return changed
 
-    def wants(self, reader: str, number: int, age: float, now: float) -> bool:
-        """Whether a reading is newer than the one in use."""
-        if reader == self._me:
-            # An echo of what this VM once read itself.
+    def is_newer(
+        self, reader: str, number: int, age: float, now: float
+    ) -> bool:
+        """Whether another snapshot is newer than the current one."""
+        if reader == self._own_reader:
+            # A peer returned an earlier snapshot of this VM.
             return False
         if reader == self._reader:
             return number > self._number
-        return age + _FRESHER < self.age(now)
-
-    def _takes(self, listing: messages.Listing, now: float) -> bool:
-        # A leaving mark is taken even from a reading that is only a little
-        # newer: it is not taken back, so readings cannot alternate over it.
-        # With the margin alone, a VM that had just heard of another zone's
-        # reading would learn a second too late that a target leaves.
-        news = (
-            listing.reader not in (self._me, self._reader)
+        return age + _FRESHNESS_MARGIN_SECONDS < self.age(now)
+
+    def _accepts(self, listing: messages.Listing, now: float) -> bool:
+        # A leaving mark is accepted even from a snapshot that is newer by less
+        # than the margin: marks are not withdrawn, so snapshots cannot
+        # alternate because of them. With the margin alone, a VM that had just
+        # received another zone's snapshot would observe a second too late that
+        # a target is leaving.
+        newly_leaving = (
+            listing.reader not in (self._own_reader, self._reader)
             and listing.age < self.age(now)
-            and any(self._marks(vm) for vm in listing.vms)
+            and any(self._is_newly_leaving(vm) for vm in listing.vms)
         )
-        return news or self.wants(
+        return newly_leaving or self.is_newer(
             listing.reader, listing.number, listing.age, now
         )
 
-    def _marks(self, vm: ListedVm) -> bool:
-        held = self._fleet.vms.get(vm.id)
+    def _is_newly_leaving(self, vm: ListedVm) -> bool:
+        current = self._fleet.vms.get(vm.id)
         leaving = fleet.VmState.LEAVING
-        return vm.state is leaving and held is not None and held != vm
+        return vm.state is leaving and current is not None and current != vm
 
     def confirm(self, reader: str, number: int, age: float, now: float) -> None:
-        """Notes that a peer knows the reading in use to be fresher."""
+        """Updates the current snapshot's age from a peer's confirmation."""
         if (reader, number) == (self._reader, self._number):
             self._confirmed_at = max(self._confirmed_at, now - age)
 
     def listing(self, root: str, now: float) -> messages.Listing:
-        """Returns the reading in use as a message."""
+        """Returns the current snapshot as a message."""
         return messages.Listing(
             root,
             self._reader,
@@ -143,7 +155,7 @@
             tuple(self._gone),
         )
 
-    def _note_gone(self, vms: frozenset[str] | tuple[str, ...]) -> None:
+    def _record_gone(self, vms: frozenset[str] | tuple[str, ...]) -> None:
         self._gone.update(dict.fromkeys(vms))
-        while len(self._gone) > _MOST_GONE:
+        while len(self._gone) > _MAX_GONE_VMS:
             del self._gone[next(iter(self._gone))]
--- a/packages/mimosastile-core/src/mimosastile_core/patches.py
+++ b/packages/mimosastile-core/src/mimosastile_core/patches.py
@@ -1,7 +1,8 @@
-"""Patches: the only way in which a configuration changes.
+"""JSON Patch (RFC 6902) changes of the configuration.
 
-A patch is a list of JSON Patch operations (RFC 6902) against one numbered
-configuration. It is accepted whole, as the next number, or not at all.
+A configuration changes only by patches. A patch is a list of operations
+against one numbered configuration. It is atomic: it is accepted whole, as the
+next number, or rejected.
 """
 
 from collections.abc import Iterator
@@ -19,20 +20,20 @@
 from mimosastile_core import errors
 
 MAX_DOCUMENT_BYTES = 512 << 10
-"""Largest document; with its change it stays under the store's megabyte."""
+"""Maximum size of a document; with its change it stays below the store's limit
+of one megabyte per value."""
 
 MAX_PATCH_BYTES = 256 << 10
-"""Largest list of operations."""
+"""Maximum size of an encoded patch."""
 
 MAX_PATHS = 64
-"""Most paths that a change lists one by one; more are given by their parents.
-"""
+"""Maximum number of paths that a change lists; more are replaced by parents."""
 
 MAX_PATHS_BYTES = 4 << 10
-"""Most characters of all paths of a change together."""
+"""Maximum length of all paths of a change together, in characters."""
 
-# Without control characters: each would take six bytes in a block of the
-# history, and a terminal would obey it.
+# Control characters are excluded: each takes six bytes in a block of the
+# history, and a terminal would interpret them.
 Text = Annotated[
     str, msgspec.Meta(max_length=1000, pattern=r"^[^\x00-\x1f\x7f]+\Z")
 ]
@@ -46,8 +47,8 @@
 _PATCH_ERRORS = (
     jsonpatch.JsonPatchException,
     jsonpointer.JsonPointerException,
-    # The library trusts the shapes that it walks through; an operation that
-    # treats a number as an object ends in one of these.
+    # The library does not check the types of the values on a path; an operation
+    # that treats a number as an object raises one of these.
     AttributeError,
     IndexError,
     KeyError,
@@ -67,10 +68,10 @@
     """One operation of RFC 6902.
 
     Attributes:
-        op: What to do.
-        path: JSON pointer to what changes.
-        value: New or expected value of add, replace and test.
-        source: JSON pointer that move and copy read.
+        op: Kind of the operation.
+        path: JSON pointer to the target value.
+        value: New value for add and replace, expected value for test.
+        source: JSON pointer to the source value of move and copy.
     """
 
     op: Literal["add", "remove", "replace", "move", "copy", "test"]
@@ -80,15 +81,16 @@
 
 
 class Patch(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What an operator submits.
+    """A patch as submitted by an operator.
 
     Attributes:
-        id: Chosen by the sender, never used for another patch. A patch whose
-            answer was lost is sent again with the same identifier.
+        id: Idempotency key, chosen by the sender and unique to the patch. A
+            patch whose response was lost is sent again with the same
+            identifier.
         base: Number of the configuration that the operations apply to.
-        reason: Why, for whoever reads it years later.
-        operations: What changes.
-        ticket: Reference into the operators' own tracker.
+        reason: Reason for the change, kept in the history.
+        operations: The operations, applied in order.
+        ticket: Reference into the operators' issue tracker.
     """
 
     id: PatchId
@@ -101,11 +103,11 @@
 
 
 class Proposal(msgspec.Struct, frozen=True):
-    """A patch that fits and what it would make.
+    """The result of a valid patch.
 
     Attributes:
         document: The configuration with the patch applied.
-        paths: JSON pointers to what differs from the base.
+        paths: JSON pointers to the values that differ from the base.
     """
 
     document: config.Document
@@ -116,11 +118,11 @@
 
 
 def decode(data: bytes) -> result.Result[Patch, errors.Failure]:
-    """Reads a patch as an operator sent it."""
+    """Decodes a patch from an operator's request body."""
     if len(data) > MAX_PATCH_BYTES:
         return errors.failed(
             errors.ErrorKind.BODY_TOO_LARGE,
-            f"A patch has at most {MAX_PATCH_BYTES} bytes; submit several.",
+            f"A patch has at most {MAX_PATCH_BYTES} bytes; split it.",
         )
     try:
         return result.Ok(_DECODER.decode(data))
@@ -129,36 +131,38 @@
 
 
 def to_raw(document: config.Document) -> dict[str, Any]:
-    """Returns the document as patches see it: plain JSON, every default set.
+    """Returns the document as plain JSON with all defaults written out.
 
-    With defaults written out, `replace` works on every field and a pointer
-    means the same in every version.
+    With explicit defaults, `replace` works on every field and a pointer has
+    the same meaning in every version.
     """
-    raw: dict[str, Any] = _plain(document)
+    raw: dict[str, Any] = _to_plain_json(document)
     return raw
 
 
 def apply_raw(raw: Any, operations: tuple[Operation, ...]) -> Applied:
-    """Applies operations to a plain JSON document; the input stays as it is."""
+    """Applies operations to a copy of a plain JSON document."""
     try:
-        return result.Ok(jsonpatch.JsonPatch(_plain(operations)).apply(raw))
+        return result.Ok(
+            jsonpatch.JsonPatch(_to_plain_json(operations)).apply(raw)
+        )
     except _PATCH_ERRORS as error:
         return errors.failed(
             errors.ErrorKind.INVALID_CONFIG,
-            f"The operations do not fit: {error or type(error).__name__}.",
+            f"The operations do not apply: {error or type(error).__name__}.",
         )
 
 
 def propose(document: config.Document, patch: Patch) -> Outcome:
-    """Applies a patch and checks what comes out.
+    """Applies a patch and validates the result.
 
     Args:
         document: The base of the patch.
         patch: The patch.
 
     Returns:
-        The new document and what differs, or a failure whose detail names
-        path and mend of each mistake.
+        The new document and its changed paths, or a failure whose detail
+        names path and fix of each error.
     """
     raw = to_raw(document)
     changed = apply_raw(raw, patch.operations)
@@ -167,18 +171,20 @@
     checked = config.convert_document(changed.ok_value)
     if isinstance(checked, result.Err):
         return errors.failed(errors.ErrorKind.INVALID_CONFIG, checked.err_value)
-    paths = tuple(differences(raw, to_raw(checked.ok_value)))
+    paths = tuple(changed_paths(raw, to_raw(checked.ok_value)))
     if not paths:
         return errors.failed(
-            errors.ErrorKind.INVALID_CONFIG, "Nothing changes."
+            errors.ErrorKind.INVALID_CONFIG,
+            "Nothing changes: the patch has no effect.",
         )
     size = len(msgspec.json.encode(checked.ok_value))
     if size > MAX_DOCUMENT_BYTES:
         return errors.failed(
             errors.ErrorKind.INVALID_CONFIG,
-            f"{size} bytes; a configuration has at most {MAX_DOCUMENT_BYTES}.",
+            f"The result has {size} bytes; a configuration has at most"
+            f" {MAX_DOCUMENT_BYTES}.",
         )
-    return result.Ok(Proposal(checked.ok_value, brief_paths(paths)))
+    return result.Ok(Proposal(checked.ok_value, shorten_paths(paths)))
 
 
 def pointers(patch: Patch) -> Iterator[str]:
@@ -189,12 +195,12 @@
             yield operation.source
 
 
-def differences(before: Any, after: Any, at: str = "") -> Iterator[str]:
-    """Yields JSON pointers to everything that differs.
+def changed_paths(before: Any, after: Any, at: str = "") -> Iterator[str]:
+    """Yields JSON pointers to the values that differ.
 
-    Objects are compared by member; an added, removed or otherwise changed
-    value is one path. The documents decide, not the operations: a patch that
-    replaces the root touches what it really changes, no more and no less.
+    Objects are compared member by member; any other value that differs is one
+    path. The documents are compared, not the operations: a patch that replaces
+    the root yields only the values that it actually changes.
     """
     if not (isinstance(before, dict) and isinstance(after, dict)):
         if before != after or type(before) is not type(after):
@@ -203,13 +209,13 @@
     for name in sorted(before.keys() | after.keys()):
         path = f"{at}/{jsonpointer.escape(name)}"
         if name in before and name in after:
-            yield from differences(before[name], after[name], path)
+            yield from changed_paths(before[name], after[name], path)
         else:
             yield path
 
 
-def brief_paths(paths: tuple[str, ...]) -> tuple[str, ...]:
-    """Returns paths, by their parents if there are too many to list."""
+def shorten_paths(paths: tuple[str, ...]) -> tuple[str, ...]:
+    """Returns paths, replaced by their parents while above the limits."""
     for depth in (3, 2, 1):
         size = sum(map(len, paths))
         if len(paths) <= MAX_PATHS and size <= MAX_PATHS_BYTES:
@@ -219,60 +225,64 @@
     return paths
 
 
-def touches(path: str, asked: str) -> bool:
-    """Whether one of two JSON pointers lies within the other."""
-    one, other = path.split("/"), asked.rstrip("/").split("/")
+def overlaps(path: str, other_path: str) -> bool:
+    """Whether one of two JSON pointers contains the other."""
+    one, other = path.split("/"), other_path.rstrip("/").split("/")
     return all(a == b for a, b in zip(one, other, strict=False))
 
 
-def between(
+def diff(
     before: config.Document, after: config.Document
 ) -> tuple[Operation, ...]:
-    """Returns operations that turn one document into another."""
+    """Returns operations that transform one document into another."""
     made = jsonpatch.make_patch(to_raw(before), to_raw(after))
     return msgspec.convert(made.patch, tuple[Operation, ...])
 
 
-def reverting(
+def revert(
     before: config.Document, after: config.Document, now: config.Document
 ) -> result.Result[tuple[Operation, ...], errors.Failure]:
-    """Returns operations that undo one change without undoing later ones.
+    """Returns operations that revert one change but no later one.
 
     Args:
         before: The document before the change.
         after: The document after it.
-        now: The document in force.
+        now: The current document.
 
     Returns:
-        Operations for `now`, or a conflict that names the paths that later
-        changes have touched again.
+        Operations for `now`, or a conflict that names the paths that were
+        changed again later.
     """
     old, new, current = to_raw(before), to_raw(after), to_raw(now)
-    paths = tuple(differences(old, new))
-    touched = [p for p in paths if _at(new, p) != _at(current, p)]
-    if touched:
+    paths = tuple(changed_paths(old, new))
+    conflicting = [
+        p for p in paths if _value_at(new, p) != _value_at(current, p)
+    ]
+    if conflicting:
         return errors.failed(
             errors.ErrorKind.CONFLICT,
-            "Changed again since: " + ", ".join(touched),
+            "Changed again since: " + ", ".join(conflicting),
         )
-    return result.Ok(tuple(itertools.starmap(_undo, _values(old, paths))))
+    return result.Ok(
+        tuple(itertools.starmap(_revert_operation, _values_at(old, paths)))
+    )
 
 
-def _values(raw: Any, paths: tuple[str, ...]) -> Iterator[tuple[str, Any]]:
-    return ((path, _at(raw, path)) for path in paths)
+def _values_at(raw: Any, paths: tuple[str, ...]) -> Iterator[tuple[str, Any]]:
+    return ((path, _value_at(raw, path)) for path in paths)
 
 
-def _undo(path: str, value: Any) -> Operation:
+def _revert_operation(path: str, value: Any) -> Operation:
     if value is msgspec.UNSET:
         return Operation("remove", path)
     return Operation("add", path, value)
 
 
-def _plain(value: Any) -> Any:
-    # Through JSON, so that tuples become lists: the library takes a tuple for
-    # a plain value and would refuse a path into it.
+def _to_plain_json(value: Any) -> Any:
+    # The JSON round trip turns tuples into lists: the library treats a tuple
+    # as a scalar and rejects paths into it.
     return msgspec.json.decode(msgspec.json.encode(value))
 
 
-def _at(raw: Any, path: str) -> Any:
+def _value_at(raw: Any, path: str) -> Any:
     return jsonpointer.resolve_pointer(raw, path, msgspec.UNSET)
--- a/packages/mimosastile-core/src/mimosastile_core/reference.py
+++ b/packages/mimosastile-core/src/mimosastile_core/reference.py
@@ -1,4 +1,4 @@
-"""The configuration's JSON Schema and reference page, made from its types."""
+"""JSON Schema and reference page of the configuration, from its types."""
 
 from collections.abc import Iterable
 from collections.abc import Iterator
@@ -31,65 +31,69 @@
 
 def page() -> str:
     """Returns the reference page in Markdown."""
-    sections = (_section(kind) for kind in _kinds(config.Document))
+    sections = (
+        _struct_section(kind) for kind in _struct_types(config.Document)
+    )
     return "\n".join([_TITLE, _INTRO, *sections])
 
 
-def _kinds(root: Any) -> list[Any]:
-    """Returns a type and all types within it, each once, outermost first."""
+def _struct_types(root: Any) -> list[Any]:
+    """Returns a type and its nested types, breadth first, without repeats."""
     found: list[Any] = []
-    waiting = [root]
-    while waiting:
-        kind = waiting.pop(0)
+    pending = [root]
+    while pending:
+        kind = pending.pop(0)
         if kind not in found:
             found.append(kind)
             fields = msgspec.structs.fields(kind)
-            waiting.extend(
-                inner for f in fields for inner in _within(_described(f.type))
+            pending.extend(
+                inner
+                for f in fields
+                for inner in _nested_structs(_type_info(f.type))
             )
     return found
 
 
-def _described(kind: Any) -> Any:
+def _type_info(kind: Any) -> Any:
     return msgspec.inspect.type_info(kind)
 
 
-def _within(info: Any) -> Iterator[Any]:
+def _nested_structs(info: Any) -> Iterator[Any]:
     if isinstance(info, msgspec.inspect.StructType):
         yield info.cls
     for part in ("item_type", "value_type", "type"):
         inner = getattr(info, part, None)
         if inner is not None:
-            yield from _within(inner)
+            yield from _nested_structs(inner)
     for inner in getattr(info, "types", ()):
-        yield from _within(inner)
+        yield from _nested_structs(inner)
 
 
-def _section(kind: Any) -> str:
-    summary, described = _documented(kind)
+def _struct_section(kind: Any) -> str:
+    summary, attributes = _parse_docstring(kind)
     rows = [
-        f"| `{field.encode_name}` | {_type_name(_described(field.type))} |"
-        f" {_default(field)} | {described.get(field.name, '')} |"
+        f"| `{field.encode_name}` | {_type_name(_type_info(field.type))} |"
+        f" {_default(field)} | {attributes.get(field.name, '')} |"
         for field in msgspec.structs.fields(kind)
     ]
     head = ["| field | type | default | meaning |", "|---|---|---|---|"]
     return "\n".join([f"## {kind.__name__}", "", summary, "", *head, *rows, ""])
 
 
-def _documented(kind: Any) -> tuple[str, dict[str, str]]:
-    """Returns the first paragraph and the attributes of a docstring."""
+def _parse_docstring(kind: Any) -> tuple[str, dict[str, str]]:
+    """Returns the summary and the attribute texts of a docstring."""
     text = inspect.cleandoc(kind.__doc__ or "")
     summary = " ".join(text.partition("\n\n")[0].split())
-    described: dict[str, str] = {}
+    attributes: dict[str, str] = {}
     name = ""
     for line in text.partition("Attributes:")[2].splitlines():
-        begun = _ATTRIBUTE.match(line)
-        if begun:
-            name = begun[1]
-            described[name] = begun[2]
+        match = _ATTRIBUTE.match(line)
+        if match:
+            name = match[1]
+            attributes[name] = match[2]
         elif name:
-            described[name] += " " + line.strip()
-    return summary, {n: d.strip() for n, d in described.items()}
+            attributes[name] += " " + line.strip()
+    return summary, {n: d.strip() for n, d in attributes.items()}
 
 
 def _default(field: Any) -> str:
@@ -135,5 +139,5 @@
         if getattr(info, bound, None) is not None
     )
     pattern = getattr(info, "pattern", None)
-    shown = [*limits, *([f"`{pattern}`"] if pattern else [])]
-    return " ".join([name, *shown]).replace("|", "\\|")
+    parts = [*limits, *([f"`{pattern}`"] if pattern else [])]
+    return " ".join([name, *parts]).replace("|", "\\|")
--- a/packages/mimosastile-ctl/src/mimosastile_ctl/_config.py
+++ b/packages/mimosastile-ctl/src/mimosastile_ctl/_config.py
@@ -216,4 +216,4 @@
         if isinstance(wanted, result.Err):
             _session.end(f"{file}: {wanted.err_value}", _session.EXIT_INVALID)
         held = _submit.current(self._session).document
-        return patches.between(held, wanted.ok_value)
+        return patches.diff(held, wanted.ok_value)
--- a/packages/mimosastile-entry/src/mimosastile_entry/_admin.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_admin.py
@@ -182,10 +182,10 @@
                 access.visible_document(call.principal, document.ok_value)
             )
         before, after = seen
-        paths = patches.differences(
+        paths = patches.changed_paths(
             patches.to_raw(before), patches.to_raw(after)
         )
-        operations = patches.between(before, after)
+        operations = patches.diff(before, after)
         return result.Ok(
             administration.Difference(older, newer, tuple(paths), operations)
         )
--- a/packages/mimosastile-entry/src/mimosastile_entry/_archive.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_archive.py
@@ -53,8 +53,8 @@
         """
         if version.number == 0:
             return result.Ok(history.Block())
-        change = history.change_of(version)
-        key = history.block_key(history.block_of(version.number))
+        change = history.change_for(version)
+        key = history.block_key(history.block_index(version.number))
         for _ in range(_MAX_TRIES):
             read = await self._block(key)
             if isinstance(read, result.Err):
@@ -82,7 +82,7 @@
         self, number: int
     ) -> result.Result[config.Change | None, errors.Failure]:
         """Reads one change with its operations; None if there is none."""
-        read = await self._block(history.block_key(history.block_of(number)))
+        read = await self._block(history.block_key(history.block_index(number)))
         if isinstance(read, result.Err):
             return read
         for change in read.ok_value[0].changes:
@@ -98,7 +98,7 @@
         Long operations are left out; `change` reads them. Ends after a
         failure.
         """
-        for index in range(history.block_of(max(before - 1, 0)), -1, -1):
+        for index in range(history.block_index(max(before - 1, 0)), -1, -1):
             read = await self._block(history.block_key(index))
             if isinstance(read, result.Err):
                 yield read
@@ -113,8 +113,8 @@
         """Rebuilds the document of an earlier number."""
         found: list[config.Change] = []
         raw: Any = None
-        for index in range(history.block_of(number), -1, -1):
-            start = index * history.SPAN
+        for index in range(history.block_index(number), -1, -1):
+            start = index * history.BLOCK_SPAN
             read = await self._block(history.block_key(index))
             snapshot = await self._snapshot(index)
             for outcome in (read, snapshot):
@@ -130,7 +130,7 @@
             whole = bool(found) and found[0].paths == ("",)
             if raw is not None or whole:
                 break
-        first = number % history.SPAN == 0 and raw is not None
+        first = number % history.BLOCK_SPAN == 0 and raw is not None
         reached = bool(found) and found[-1].number == number
         if number and not first and not reached:
             return errors.failed(errors.ErrorKind.NOT_FOUND, f"number {number}")
@@ -174,13 +174,13 @@
         self, version: config.Version, change: config.Change
     ) -> result.Result[None, errors.Failure]:
         """Writes what the block will refer to."""
-        if version.number % history.SPAN == 0:
-            key = history.snapshot_key(history.block_of(version.number))
+        if version.number % history.BLOCK_SPAN == 0:
+            key = history.snapshot_key(history.block_index(version.number))
             raw = patches.to_raw(version.document)
             wrote = await self._create(key, history.encode_json(raw))
             if isinstance(wrote, result.Err):
                 return wrote
-        if history.is_long(change):
+        if history.has_long_operations(change):
             key = history.operations_key(change.number)
             value = history.encode_json(change.operations)
             return await self._create(key, value)
@@ -204,14 +204,14 @@
 
         Left undone by a crash it costs space and nothing else.
         """
-        index = history.thinned_by(number)
+        index = history.snapshot_to_thin(number)
         if index is None:
             return
         key = history.snapshot_key(index)
         read = await self._store.get(key)
         if isinstance(read, result.Ok) and read.ok_value is not None:
             await self._store.compare_and_swap(
-                key, history.thinned(), read.ok_value.revision
+                key, history.thinned_snapshot(), read.ok_value.revision
             )
 
     async def _block(
--- a/packages/mimosastile-entry/src/mimosastile_entry/_configuration.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_configuration.py
@@ -226,7 +226,7 @@
         before = await self.document(number - 1)
         if isinstance(before, result.Err):
             return before
-        return patches.reverting(
+        return patches.revert(
             before.ok_value, after.ok_value, self.current.document
         )
 
@@ -407,7 +407,7 @@
         version = held.ok_value.version
         found: list[config.Change] = []
         if version.number and (not before or version.number < before):
-            found.extend(history.blame([history.change_of(version)], path))
+            found.extend(history.blame([history.change_for(version)], path))
         older = min(before or version.number, version.number)
         async for change in self._archive.changes(older):
             if len(found) >= limit:
@@ -421,7 +421,7 @@
         self, number: int, version: config.Version
     ) -> result.Result[config.Change, errors.Failure]:
         if number == version.number and number:
-            return result.Ok(history.change_of(version))
+            return result.Ok(history.change_for(version))
         read = await self._archive.change(number)
         if isinstance(read, result.Err):
             return read
--- a/packages/mimosastile-entry/src/mimosastile_entry/_digests.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_digests.py
@@ -162,7 +162,7 @@
         return delta
 
     async def _fetch_list(self, peer: str, theirs: messages.Digest) -> bool:
-        if not self._fleet.readings.wants(
+        if not self._fleet.readings.is_newer(
             theirs.reader,
             theirs.list_number,
             theirs.list_age,
--- a/packages/mimosastile-entry/src/mimosastile_entry/_fleet.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_fleet.py
@@ -51,7 +51,7 @@
         self._listings = listings.Listings(vm)
         self._drained: frozenset[str] = frozenset()
         self._fleet = self._listings.fleet
-        self._leaving = fleet.Leaving()
+        self._leaving = fleet.LeavingTargets()
         self._listeners: list[Callable[[], None]] = []
         self._reads = 0
         self._port: ports.FleetPort
@@ -69,7 +69,7 @@
 
     def has_left(self, target: str) -> bool:
         """Whether a target has been leaving too long to get new work."""
-        return bool(self._leaving) and self._leaving.is_over(
+        return bool(self._leaving) and self._leaving.has_timed_out(
             target, self._clock.now()
         )
 
@@ -128,11 +128,11 @@
 
     def take(self, listing: messages.Listing) -> bool:
         """Takes a peer's reading if it is newer; True if the list changed."""
-        return self._told_if(self._listings.told(listing, self._clock.now()))
+        return self._told_if(self._listings.receive(listing, self._clock.now()))
 
     def _told_if(self, changed: bool) -> bool:
         if changed:
-            self._fleet = self._listings.fleet.draining(self._drained)
+            self._fleet = self._listings.fleet.with_leaving(self._drained)
             self._leaving.update(self._fleet, self._clock.now())
             for listener in self._listeners:
                 listener()
--- a/tests/core/test_fleet.py
+++ b/tests/core/test_fleet.py
@@ -1,33 +1,34 @@
-"""Tests of the list of VMs."""
+"""Tests of the platform's list of VMs."""
 
 import pytest
 
 from mimosastile_core import fleet
 
 
-class TestLeaving:
-    """A target is to leave while the store is down.
+class TestLeavingTargets:
+    """A target leaves while the store is down.
 
-    Its keys cannot be given away. What it began after its time would be cut
-    off half-way, and the caller would not know whether it ran.
+    Its keys cannot be handed over. The platform would stop the target in the
+    middle of requests that it started after the timeout, and their callers
+    could not tell whether they ran.
     """
 
     @pytest.mark.parametrize(
         ("now", "over"), [(10.0, False), (10.9, False), (11.1, True)]
     )
-    def test_has_a_moment_to_hand_over(self, now, over):
-        """Then it gets no new work."""
-        leaving = fleet.Leaving()
+    def test_handover_times_out(self, now, over):
+        """The timeout counts from the first snapshot that marks the target."""
+        leaving = fleet.LeavingTargets()
         leaving.update(_listed(fleet.VmState.LEAVING), 10.0)
         leaving.update(_listed(fleet.VmState.LEAVING), 10.5)
-        assert leaving.is_over("t", now) is over
+        assert leaving.has_timed_out("t", now) is over
 
-    def test_mark_that_is_taken_back_counts_no_more(self):
-        """The platform changed its mind."""
-        leaving = fleet.Leaving()
+    def test_withdrawn_mark_has_no_effect(self):
+        """The platform lists the target as live again."""
+        leaving = fleet.LeavingTargets()
         leaving.update(_listed(fleet.VmState.LEAVING), 10.0)
         leaving.update(_listed(fleet.VmState.LIVE), 10.5)
-        assert not leaving.is_over("t", 20.0)
+        assert not leaving.has_timed_out("t", 20.0)
 
 
 def _listed(state):
--- a/tests/core/test_history.py
+++ b/tests/core/test_history.py
@@ -1,4 +1,4 @@
-"""Tests of the history's blocks."""
+"""Tests of the configuration history: blocks, snapshots and blame."""
 
 import msgspec
 import pytest
@@ -20,20 +20,20 @@
     """Changes in blocks of successive numbers."""
 
     def test_append_is_idempotent(self):
-        """Two VMs that record the same number leave one record."""
+        """Two VMs that append the same number produce one entry."""
         once = history.append(history.Block(), _change(1))
         assert history.append(once, _change(1)) == once
 
     def test_worst_full_block_fits_the_store(self):
-        """Longest reasons, paths and inline operations, incompressible."""
+        """The block has the longest reasons, paths and inline operations."""
         filler = "\u20ac"
         long_operation = {
             "op": "add",
             "path": "/x",
-            "value": "y" * (history.INLINE_BYTES - 60),
+            "value": "y" * (history.MAX_INLINE_BYTES - 60),
         }
         block = history.Block()
-        for number in range(history.SPAN - 1):
+        for number in range(history.BLOCK_SPAN - 1):
             one = config.Change(
                 number + 1,
                 "i" * 64,
@@ -44,13 +44,13 @@
                 (long_operation,),
                 ("/" + "p" * (patches.MAX_PATHS_BYTES - 1),),
             )
-            assert not history.is_long(one)
+            assert not history.has_long_operations(one)
             block = history.append(block, one)
         assert len(msgspec.json.encode(block)) < STORE_LIMIT
 
-    @pytest.mark.parametrize("last", [3, history.SPAN - 1])
+    @pytest.mark.parametrize("last", [3, history.BLOCK_SPAN - 1])
     def test_round_trip_plain_and_compressed(self, last):
-        """A full block is compressed and reads the same."""
+        """Full blocks are compressed, others not; both decode unchanged."""
         block = history.Block()
         for number in range(1, last + 1):
             block = history.append(block, _change(number))
@@ -59,39 +59,46 @@
         assert value.startswith(b"x") == block.is_full
 
     @pytest.mark.parametrize("value", [b"", b"x\x9cbad", b"[]", b"\xff"])
-    def test_damage_is_named(self, value):
+    def test_damaged_value_is_an_error(self, value):
         """A damaged block is an error, not an empty history."""
         assert history.decode(value).is_err()
 
-    def test_long_operations_stand_apart(self):
-        """A block holds only a short record of a long change."""
+    def test_long_operations_are_stored_separately(self):
+        """A block contains a long change without its operations."""
         operation = {"op": "add", "path": "/x", "value": "y" * 9000}
         long_one = _change(1, (operation,))
-        assert history.is_long(long_one)
+        assert history.has_long_operations(long_one)
         block = history.append(history.Block(), long_one)
         assert block.changes[0].operations == ()
 
 
 class TestSnapshots:
-    """Which snapshots go, and that no document goes with them."""
+    """Thinning of snapshots."""
 
-    def test_enough_stay(self):
-        """The first, every 64th and the newest ones stay."""
-        last = 5 * history.THIN * history.SPAN
+    def test_first_periodic_and_newest_are_kept(self):
+        """The first, every 64th and the newest snapshots are kept."""
+        last = 5 * history.KEPT_SNAPSHOT_INTERVAL * history.BLOCK_SPAN
         gone = {
             index
             for number in range(1, last + 1)
-            if (index := history.thinned_by(number)) is not None
+            if (index := history.snapshot_to_thin(number)) is not None
         }
-        assert not {0, history.THIN, 2 * history.THIN} & gone
-        newest = last // history.SPAN
-        kept = range(newest - history.KEEP_SNAPSHOTS + 1, newest + 1)
+        assert (
+            not {
+                0,
+                history.KEPT_SNAPSHOT_INTERVAL,
+                2 * history.KEPT_SNAPSHOT_INTERVAL,
+            }
+            & gone
+        )
+        newest = last // history.BLOCK_SPAN
+        kept = range(newest - history.RECENT_SNAPSHOTS + 1, newest + 1)
         assert not gone & set(kept)
-        assert len(gone) == newest - history.KEEP_SNAPSHOTS - 4
+        assert len(gone) == newest - history.RECENT_SNAPSHOTS - 4
 
 
 class TestBlame:
-    """Who touched a path."""
+    """Changes that affected a path."""
 
     @pytest.mark.parametrize(
         ("asked", "found"),
@@ -104,8 +111,8 @@
             ("", [2, 1]),
         ],
     )
-    def test_whole_segments_decide(self, asked, found):
-        """A change of a parent touches its children and the reverse."""
+    def test_paths_match_by_whole_segments(self, asked, found):
+        """A change of a parent affects its children, and the reverse."""
         changes = [
             msgspec.structs.replace(_change(n), paths=(path,))
             for n, path in ((2, "/services/desk/slots"), (1, "/services/desk"))
--- a/tests/core/test_patches.py
+++ b/tests/core/test_patches.py
@@ -1,4 +1,4 @@
-"""Tests of patches: decoding, applying, comparing, reverting."""
+"""Tests of patches: decoding, applying, comparing and reverting."""
 
 import copy
 import json
@@ -37,7 +37,7 @@
 
 
 class TestDecode:
-    """What is refused before it is even tried."""
+    """Rejection of invalid patches before they are applied."""
 
     @pytest.mark.parametrize(
         ("fields", "named"),
@@ -54,8 +54,8 @@
             ({"author": "somebody"}, "author"),
         ],
     )
-    def test_mistake_names_its_field(self, fields, named):
-        """Who sent a patch is told by the token, never by the patch."""
+    def test_error_names_the_field(self, fields, named):
+        """Among others, an author is rejected: it comes from the token."""
         good = {
             "id": "patch-0001",
             "base": 0,
@@ -67,7 +67,7 @@
         assert named in refused.unwrap_err().detail
 
     def test_too_long(self):
-        """A patch that would not fit the store is refused at once."""
+        """A patch above the size limit is rejected before decoding."""
         refused = patches.decode(b" " * (patches.MAX_PATCH_BYTES + 1))
         assert refused.unwrap_err().kind is errors.ErrorKind.BODY_TOO_LARGE
 
@@ -95,7 +95,7 @@
                 ("/members/n",),
             ),
             (
-                # A root operation touches what it changes and nothing else.
+                # A root operation yields only the values that it changes.
                 [_op("replace", "", value={"services": {}, "members": {}})],
                 ("/members/m", "/services/archive", "/services/desk"),
             ),
@@ -106,7 +106,7 @@
         ],
     )
     def test_paths(self, operations, paths):
-        """The documents decide what was touched, not the operations."""
+        """Paths come from comparing documents, not from the operations."""
         made = patches.propose(DOCUMENT, _patch(*operations)).unwrap()
         assert made.paths == paths
 
@@ -147,8 +147,8 @@
             ),
         ],
     )
-    def test_mistake_names_path_and_mend(self, operations, named):
-        """All or nothing: a good operation beside a bad one changes nothing."""
+    def test_error_names_path_and_fix(self, operations, named):
+        """A patch is atomic: one invalid operation rejects the valid ones."""
         good = _op("add", "/members/good", value={})
         refused = patches.propose(DOCUMENT, _patch(*operations))
         assert refused.unwrap_err().kind is errors.ErrorKind.INVALID_CONFIG
@@ -156,14 +156,14 @@
         if "Nothing" not in named:
             assert patches.propose(DOCUMENT, _patch(good, *operations)).is_err()
 
-    def test_many_paths_are_given_by_their_parents(self):
+    def test_many_paths_are_replaced_by_their_parents(self):
         """A change's list of paths stays short in the history."""
         added = [_op("add", f"/members/m{i}", value={}) for i in range(200)]
         made = patches.propose(DOCUMENT, _patch(*added)).unwrap()
         assert made.paths == ("/members",)
 
-    def test_document_too_large_for_the_store(self):
-        """The largest document and its change fit one value."""
+    def test_document_above_the_size_limit_is_rejected(self):
+        """The largest document and its change fit into one store value."""
         keys = {f"k{i:0500}": "t" for i in range(1100)}
         service = {"key": {"place": "path"}, "moves": keys}
         too_much = patches.Patch(
@@ -177,7 +177,7 @@
 
 
 class TestReverting:
-    """Undoing one change with a new patch."""
+    """Reverting one change with a new patch."""
 
     AFTER = msgspec.structs.replace(
         DOCUMENT,
@@ -187,20 +187,20 @@
         },
     )
 
-    def test_later_changes_stay(self):
-        """Only what the change touched goes back."""
+    def test_later_changes_are_kept(self):
+        """Only the paths of the reverted change are restored."""
         now = msgspec.structs.replace(self.AFTER, members={})
-        undo = patches.reverting(DOCUMENT, self.AFTER, now).unwrap()
+        undo = patches.revert(DOCUMENT, self.AFTER, now).unwrap()
         back = patches.apply_raw(patches.to_raw(now), undo).unwrap()
         expected = msgspec.structs.replace(DOCUMENT, members={})
         assert config.convert_document(back).unwrap() == expected
 
     def test_path_changed_again_is_a_conflict(self):
-        """An undo never takes a later change with it."""
+        """A revert never discards a later change."""
         now = msgspec.structs.replace(
             self.AFTER, services={"desk": config.Service(slots=9)}
         )
-        refused = patches.reverting(DOCUMENT, self.AFTER, now).unwrap_err()
+        refused = patches.revert(DOCUMENT, self.AFTER, now).unwrap_err()
         assert refused.kind is errors.ErrorKind.CONFLICT
         assert "/services/desk/slots" in refused.detail
 
@@ -236,12 +236,12 @@
 
 
 class TestProperties:
-    """Whatever comes in, the outcome is a good document or a failure."""
+    """For any input, the outcome is a valid document or a failure."""
 
     @SETTINGS
     @hypothesis.given(strategies.lists(_OPERATIONS, min_size=1, max_size=4))
-    def test_outcome_is_valid_or_named(self, operations):
-        """No operation raises, changes its base or makes a bad document."""
+    def test_outcome_is_valid_or_a_failure(self, operations):
+        """No operation raises, mutates its base or makes it invalid."""
         before = copy.deepcopy(patches.to_raw(DOCUMENT))
         made = patches.Patch("patch-0001", 0, REASON, tuple(operations))
         outcome = patches.propose(DOCUMENT, made)
@@ -257,15 +257,15 @@
     @SETTINGS
     @hypothesis.given(strategies.binary(max_size=60))
     def test_any_bytes(self, data):
-        """Noise is refused by name, never by an exception."""
+        """Arbitrary bytes give a failure with a detail, not an exception."""
         if patches.decode(data).is_err():
             assert patches.decode(data).unwrap_err().detail
 
     @SETTINGS
     @hypothesis.given(_JSON, _JSON)
-    def test_differences_are_empty_only_for_equals(self, one, other):
-        """A path is missing only where nothing differs."""
-        differ = list(patches.differences(one, other))
+    def test_changed_paths_are_empty_only_for_equal_values(self, one, other):
+        """No paths are returned only if the values are equal."""
+        differ = list(patches.changed_paths(one, other))
         assert bool(differ) == (json.dumps(one) != json.dumps(other)) or (
             one == other
         )
@@ -274,14 +274,16 @@
     @hypothesis.given(
         strategies.integers(1, 9), strategies.booleans(), strategies.booleans()
     )
-    def test_between_leads_there(self, slots, drop, add):
-        """The operations between two documents turn one into the other."""
+    def test_diff_transforms_one_document_into_the_other(
+        self, slots, drop, add
+    ):
+        """The operations of a diff transform one document into the other."""
         services = {"desk": config.Service(slots=slots)}
         if add:
             services["more"] = config.Service(drains=("a", "b"))
         if not drop:
             services["archive"] = DOCUMENT.services["archive"]
         after = config.Document(services, DOCUMENT.members)
-        operations = patches.between(DOCUMENT, after)
+        operations = patches.diff(DOCUMENT, after)
         raw = patches.apply_raw(patches.to_raw(DOCUMENT), operations).unwrap()
         assert config.convert_document(raw).unwrap() == after
--- a/tests/entry/test_configuration.py
+++ b/tests/entry/test_configuration.py
@@ -28,9 +28,9 @@
 def _short_blocks():
     """Blocks and snapshots as in production, only more of them."""
     with pytest.MonkeyPatch.context() as patched:
-        patched.setattr(history, "SPAN", SPAN)
-        patched.setattr(history, "KEEP_SNAPSHOTS", 2)
-        patched.setattr(history, "THIN", 3)
+        patched.setattr(history, "BLOCK_SPAN", SPAN)
+        patched.setattr(history, "RECENT_SNAPSHOTS", 2)
+        patched.setattr(history, "KEPT_SNAPSHOT_INTERVAL", 3)
         yield
 
 
@@ -147,7 +147,7 @@
                 key
                 for key, entry in made.store.entries.items()
                 if key.startswith("history/snapshot")
-                and entry.value == history.thinned()
+                and entry.value == history.thinned_snapshot()
             ]
             assert len(gone) == 5
 
