--- a/packages/mimosastile-core/src/mimosastile_core/access.py
+++ b/packages/mimosastile-core/src/mimosastile_core/access.py
@@ -85,14 +85,14 @@
     if scheme.lower() != "bearer" or not token.strip():
         return None
     presented = digest(token.strip())
-    found = None
+    principal = None
     for name, operator in _declared_operators(document, bootstrap):
         for declared in operator.tokens:
             # Every digest is compared, each in constant time: the response
             # time must not reveal how much of a guess was right.
             if hmac.compare_digest(declared, presented):
-                found = Principal(name, operator)
-    return found
+                principal = Principal(name, operator)
+    return principal
 
 
 def check_role(
--- a/packages/mimosastile-core/src/mimosastile_core/differences.py
+++ b/packages/mimosastile-core/src/mimosastile_core/differences.py
@@ -52,9 +52,10 @@
         change: The delta.
 
     Returns:
-        The later version, or None if the delta has another base. A mark on a
-        slice that was set and cleared between two versions is in no delta. If
-        the delta were applied to a version in between, the mark would remain.
+        The later version, or None if the delta has another base. A move that
+        was started and cancelled (`Slice.next` set and cleared) between the
+        two versions is not in the delta. If the delta were applied to a
+        version in between, the move would remain there.
     """
     if block.id != change.id or block.version != change.base:
         return None
--- a/packages/mimosastile-core/src/mimosastile_core/fleet.py
+++ b/packages/mimosastile-core/src/mimosastile_core/fleet.py
@@ -111,7 +111,8 @@
     A leaving target hands over its keys within a fraction of a second. If the
     store is down, the handover is not possible, and after a timeout its
     requests are refused: the platform would stop the target in the middle of
-    later requests, and their callers could not tell whether they ran.
+    later requests, and it would be uncertain for their callers whether they
+    ran.
     """
 
     __slots__ = ("_since",)
--- a/packages/mimosastile-core/src/mimosastile_core/patches.py
+++ b/packages/mimosastile-core/src/mimosastile_core/patches.py
@@ -235,8 +235,8 @@
     before: config.Document, after: config.Document
 ) -> tuple[Operation, ...]:
     """Returns operations that transform one document into another."""
-    made = jsonpatch.make_patch(to_raw(before), to_raw(after))
-    return msgspec.convert(made.patch, tuple[Operation, ...])
+    patch = jsonpatch.make_patch(to_raw(before), to_raw(after))
+    return msgspec.convert(patch.patch, tuple[Operation, ...])
 
 
 def revert(
--- a/packages/mimosastile-core/src/mimosastile_core/reference.py
+++ b/packages/mimosastile-core/src/mimosastile_core/reference.py
@@ -21,11 +21,11 @@
 
 def schema() -> dict[str, Any]:
     """Returns the JSON Schema of the configuration document."""
-    made = msgspec.json.schema(config.Document)
+    generated = msgspec.json.schema(config.Document)
     return {
         "$schema": "https://json-schema.org/draft/2020-12/schema",
         "title": "mimosastile configuration",
-        **made,
+        **generated,
     }
 
 
@@ -98,14 +98,14 @@
 
 def _default(field: Any) -> str:
     if field.default is not msgspec.NODEFAULT:
-        made = field.default
+        default = field.default
     elif field.default_factory is not msgspec.NODEFAULT:
-        made = field.default_factory()
+        default = field.default_factory()
     else:
         return "needed"
-    if isinstance(made, msgspec.Struct):
+    if isinstance(default, msgspec.Struct):
         return "see below"
-    return f"`{msgspec.json.encode(made).decode()}`"
+    return f"`{msgspec.json.encode(default).decode()}`"
 
 
 def _type_name(info: Any) -> str:
--- a/tests/core/test_access.py
+++ b/tests/core/test_access.py
@@ -30,7 +30,7 @@
     """Authentication by bearer token."""
 
     @pytest.mark.parametrize(
-        ("shown", "name"),
+        ("authorization", "name"),
         [
             ("Bearer admin", "admin"),
             ("bearer old", "team"),
@@ -43,15 +43,15 @@
             (f"Bearer {access.digest('admin')}", None),
         ],
     )
-    def test_header(self, shown, name):
+    def test_header(self, authorization, name):
         """A digest is not a token; both tokens of a rotation are valid."""
-        found = access.identify(shown, DOCUMENT, BOOT)
-        assert (found.name if found else None) == name
+        principal = access.identify(authorization, DOCUMENT, BOOT)
+        assert (principal.name if principal else None) == name
 
     def test_bootstrap_is_valid_only_before_the_first_operator(self):
         """A bootstrap token left in place gives no access afterwards."""
-        found = access.identify("Bearer boot", config.Document(), BOOT)
-        assert found.covers_all
+        principal = access.identify("Bearer boot", config.Document(), BOOT)
+        assert principal.covers_all
         assert access.identify("Bearer boot", config.Document()) is None
         assert access.identify("Bearer boot", DOCUMENT, BOOT) is None
 
@@ -61,17 +61,17 @@
         A comparison that stops at the first match or the first wrong byte
         lets an attacker find a token byte by byte (timing attack).
         """
-        seen = []
+        compared = []
 
         def compare(one, other):
-            seen.append(one)
+            compared.append(one)
             return one == other
 
         monkeypatch.setattr(hmac, "compare_digest", compare)
         for token in ("admin", "new", "guess"):
-            seen.clear()
+            compared.clear()
             access.identify(f"Bearer {token}", DOCUMENT)
-            assert len(seen) == 3
+            assert len(compared) == 3
 
 
 class TestScope:
@@ -115,23 +115,26 @@
 
     def test_entries_out_of_scope_are_left_out(self):
         """The document has no foreign services and no operators' digests."""
-        seen = access.visible_document(access.Principal("team", TEAM), DOCUMENT)
-        assert set(seen.services) == {"desk"}
-        assert set(seen.members) == {"m"}
-        assert seen.operators == {}
+        visible = access.visible_document(
+            access.Principal("team", TEAM), DOCUMENT
+        )
+        assert set(visible.services) == {"desk"}
+        assert set(visible.members) == {"m"}
+        assert visible.operators == {}
         admin = access.Principal("admin", ADMIN)
         assert access.visible_document(admin, DOCUMENT) == DOCUMENT
 
     @pytest.mark.parametrize(
-        ("path", "shown"), [("/services/desk", True), ("/members/n", False)]
+        ("path", "is_visible"),
+        [("/services/desk", True), ("/members/n", False)],
     )
-    def test_values_of_changes_out_of_scope_are_hidden(self, path, shown):
+    def test_values_of_changes_out_of_scope_are_hidden(self, path, is_visible):
         """The author and the paths of such a change remain visible."""
         operation = {"op": "remove", "path": path}
         change = config.Change(
             1, "patch-0001", "ana", "why", "", 0.0, (operation,), (path,)
         )
         team = access.Principal("team", TEAM)
-        seen = access.visible_change(team, change)
-        assert bool(seen.operations) == shown
-        assert (seen.author, seen.paths) == ("ana", (path,))
+        visible = access.visible_change(team, change)
+        assert bool(visible.operations) == is_visible
+        assert (visible.author, visible.paths) == ("ana", (path,))
--- a/tests/core/test_config.py
+++ b/tests/core/test_config.py
@@ -63,8 +63,8 @@
     )
     def test_longest_matching_prefix_wins(self, method, path, priority):
         """A route for other methods does not match."""
-        found = config.route_for(self.SERVICE, path, method)
-        assert found.priority is priority
+        route = config.route_for(self.SERVICE, path, method)
+        assert route.priority is priority
 
     @pytest.mark.parametrize(
         ("declared", "method", "expected"),
--- a/tests/core/test_differences.py
+++ b/tests/core/test_differences.py
@@ -27,8 +27,8 @@
         lambda b: moves.set_keepers(b, keepers),
         lambda b: moves.finish_moves(b, moves.Gone("a", 1), lambda _: "c"),
     ):
-        made = step(block)
-        block = made.unwrap() if made.is_ok() else block
+        outcome = step(block)
+        block = outcome.unwrap() if outcome.is_ok() else block
     return block
 
 
@@ -64,9 +64,9 @@
 class TestMissedVersion:
     """A VM missed the base version of a delta.
 
-    A mark on a slice that was set and cleared in between is in no delta. If
-    the delta were applied, the mark would remain, and requests for the key
-    would wait for ever.
+    A move that was started and cancelled in between (`Slice.next` set and
+    cleared) is not in the delta. If the delta were applied, the move would
+    remain, and requests for its keys would wait for ever.
     """
 
     def test_missing_base_is_requested(self):
--- a/tests/core/test_fleet.py
+++ b/tests/core/test_fleet.py
@@ -9,8 +9,8 @@
     """A target leaves while the store is down.
 
     Its keys cannot be handed over. The platform would stop the target in the
-    middle of requests that it started after the timeout, and their callers
-    could not tell whether they ran.
+    middle of requests that it started after the timeout, and it would be
+    uncertain for their callers whether they ran.
     """
 
     @pytest.mark.parametrize(
--- a/tests/core/test_history.py
+++ b/tests/core/test_history.py
@@ -101,7 +101,7 @@
     """Changes that affected a path."""
 
     @pytest.mark.parametrize(
-        ("asked", "found"),
+        ("queried_path", "numbers"),
         [
             ("/services/desk/slots", [2, 1]),
             ("/services/desk", [2, 1]),
@@ -111,11 +111,11 @@
             ("", [2, 1]),
         ],
     )
-    def test_paths_match_by_whole_segments(self, asked, found):
+    def test_paths_match_by_whole_segments(self, queried_path, numbers):
         """A change of a parent affects its children, and the reverse."""
         changes = [
             msgspec.structs.replace(_change(n), paths=(path,))
             for n, path in ((2, "/services/desk/slots"), (1, "/services/desk"))
         ]
-        blamed = history.blame(changes, asked)
-        assert [c.number for c in blamed] == found
+        blamed = history.blame(changes, queried_path)
+        assert [c.number for c in blamed] == numbers
--- a/tests/core/test_patches.py
+++ b/tests/core/test_patches.py
@@ -23,13 +23,13 @@
 
 
 def _patch(*operations, base=0):
-    made = {
+    fields = {
         "id": "patch-0001",
         "base": base,
         "reason": REASON,
         "operations": list(operations),
     }
-    return patches.decode(json.dumps(made).encode()).unwrap()
+    return patches.decode(json.dumps(fields).encode()).unwrap()
 
 
 def _op(kind, path, **rest):
@@ -107,8 +107,8 @@
     )
     def test_paths(self, operations, paths):
         """Paths come from comparing documents, not from the operations."""
-        made = patches.propose(DOCUMENT, _patch(*operations)).unwrap()
-        assert made.paths == paths
+        proposal = patches.propose(DOCUMENT, _patch(*operations)).unwrap()
+        assert proposal.paths == paths
 
     @pytest.mark.parametrize(
         ("operations", "named"),
@@ -159,8 +159,8 @@
     def test_many_paths_are_replaced_by_their_parents(self):
         """A change's list of paths stays short in the history."""
         added = [_op("add", f"/members/m{i}", value={}) for i in range(200)]
-        made = patches.propose(DOCUMENT, _patch(*added)).unwrap()
-        assert made.paths == ("/members",)
+        proposal = patches.propose(DOCUMENT, _patch(*added)).unwrap()
+        assert proposal.paths == ("/members",)
 
     def test_document_above_the_size_limit_is_rejected(self):
         """The largest document and its change fit into one store value."""
@@ -243,8 +243,8 @@
     def test_outcome_is_valid_or_a_failure(self, operations):
         """No operation raises, mutates its base or makes it invalid."""
         before = copy.deepcopy(patches.to_raw(DOCUMENT))
-        made = patches.Patch("patch-0001", 0, REASON, tuple(operations))
-        outcome = patches.propose(DOCUMENT, made)
+        patch = patches.Patch("patch-0001", 0, REASON, tuple(operations))
+        outcome = patches.propose(DOCUMENT, patch)
         assert patches.to_raw(DOCUMENT) == before
         if outcome.is_ok():
             document = outcome.unwrap().document
