--- a/packages/mimosastile-core/src/mimosastile_core/gateway/directory.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/directory.py
@@ -1,4 +1,4 @@
-"""What is known of targets, and which of them may get new work."""
+"""Directory of targets: their registrations, and which may get new work."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -13,15 +13,15 @@
     """A target as it registered itself.
 
     Attributes:
-        id: Its identifier; may come back for another run of it.
-        born: Unix milliseconds of its start; tells its runs apart.
+        id: Identifier of the target; a later incarnation may reuse it.
+        born: Start in Unix milliseconds; distinguishes its incarnations.
         service: Service that it serves.
         address: Host and port.
         zone: Its availability zone.
-        slots: Requests that it runs at a time.
-        leaving: Whether it has announced its end.
+        slots: Number of requests that it runs concurrently.
+        leaving: Whether it has announced its shutdown.
         revision: The store's revision of the registration.
-        warm_at: Time at which it is no longer slow after its start.
+        warm_at: Time at which its slow start ends.
     """
 
     id: str
@@ -48,18 +48,18 @@
 
 
 class Entry:
-    """One target and how it stands.
+    """One target and its status.
 
     Attributes:
-        target: As it registered itself last.
-        standing: Whether it may get new work.
-        since: Time of the last change of `standing`.
+        target: Its latest registration.
+        status: Whether it may get new work.
+        since: Time of the last change of `status`.
         until: Time after which it gets no work at all.
         revision: The store's revision of its last change.
-        cold_until: Time until which it is taken for cold, whatever it has
-            registered.
-        announced_at: When this run said in an answer that it leaves, None if
-            it has not.
+        cold_until: Time until which it counts as cold, regardless of its
+            registration.
+        announced_at: Time at which this incarnation announced its shutdown in a
+            response, None if it has not.
     """
 
     __slots__ = (
@@ -67,14 +67,14 @@
         "cold_until",
         "revision",
         "since",
-        "standing",
+        "status",
         "target",
         "until",
     )
 
     def __init__(self, target: Target, since: float) -> None:
         self.target = target
-        self.standing = TargetStatus.READY
+        self.status = TargetStatus.READY
         self.since = since
         self.until = float("inf")
         self.revision = target.revision
@@ -82,29 +82,29 @@
         self.announced_at: float | None = None
 
     def warm_in(self, now: float) -> float:
-        """Returns the seconds until it is warm, 0 if it is."""
+        """Returns the seconds until the target is warm, 0 if it is."""
         return max(self.target.warm_at, self.cold_until, now) - now
 
 
 class Directory:
-    """All targets that are registered or were until a moment ago.
+    """All targets that are registered or were until recently.
 
-    A target whose registration has vanished may be dead, or cut off from the
-    store and still well, or all registrations may have lapsed in an outage of
-    the store. Callers would notice the last case as a whole service refused
-    at once. So a vanished target stays usable where there is no other, for as
-    long as a leaving one may still get work.
+    A target whose registration has vanished may have crashed, it may be cut off
+    from the store and still serve, or all registrations may have expired in an
+    outage of the store. In the last case callers would find the whole service
+    refused at once. Therefore, if there is no other target, a target without
+    registration stays usable for as long as a leaving one may still get work.
     """
 
     __slots__ = ("_announced", "_entries", "_grace", "_late_grace")
 
     def __init__(self, grace: float, late_grace: float) -> None:
-        """Makes an empty one.
+        """Creates an empty directory.
 
         Args:
             grace: Seconds for which a leaving or vanished target may get work.
-            late_grace: The same if only a comparison of lists showed that it
-                has vanished, which may have happened earlier.
+            late_grace: The same if its absence was only found by a comparison
+                of lists, and it may have vanished earlier.
         """
         self._entries: dict[str, Entry] = {}
         self._announced: set[str] = set()
@@ -112,7 +112,7 @@
         self._late_grace = late_grace
 
     def set_grace(self, grace: float, late_grace: float) -> None:
-        """Changes both for targets that leave or vanish from now on."""
+        """Changes both times for targets that leave or vanish from now on."""
         self._grace = grace
         self._late_grace = late_grace
 
@@ -121,7 +121,7 @@
         return iter(self._entries.values())
 
     def announced(self) -> Iterator[Entry]:
-        """Yields targets that leave by their own word."""
+        """Yields targets that have announced their shutdown in a response."""
         entries = (self._entries.get(name) for name in self._announced)
         return (e for e in entries if e and e.announced_at is not None)
 
@@ -130,10 +130,10 @@
         return self._entries.get(target)
 
     def newer_incarnation(self, target: Target) -> Target | None:
-        """Returns the run that came after the one that registers, if any.
+        """Returns a recorded incarnation later than a registering one, if any.
 
-        A write to the store that got no answer may be carried out seconds
-        later, when the target has started again under its identifier.
+        A write to the store that got no response may be carried out seconds
+        later, when the target has already restarted under its identifier.
         """
         entry = self._entries.get(target.id)
         if entry is None or entry.target.born <= target.born:
@@ -143,31 +143,31 @@
     def put(
         self, target: Target, now: float, since: float | None = None
     ) -> bool:
-        """Takes a registration; one of an older run changes nothing.
+        """Records a registration; one of an older incarnation has no effect.
 
         Args:
             target: The target.
-            now: The time.
+            now: Current time.
             since: Earliest time at which it may have been written; None for
                 now.
 
         Returns:
-            Whether it matters to routing.
+            Whether the change affects routing.
         """
         entry = self._entries.get(target.id)
         if entry is not None and target.revision < entry.revision:
             return False
         if entry is not None and target.born < entry.target.born:
-            # What the store holds now is the older run's; a removal that
-            # follows is newer than that.
+            # The store now holds the older incarnation's registration; a
+            # removal that follows has a higher revision.
             entry.revision = target.revision
             return False
         if entry is None:
             entry = self._entries[target.id] = Entry(target, now)
-            fresh = True
+            is_new = True
         else:
-            former = entry.target
-            fresh = (former.born, former.address) != (
+            previous = entry.target
+            is_new = (previous.born, previous.address) != (
                 target.born,
                 target.address,
             )
@@ -176,13 +176,13 @@
             entry.until = float("inf")
         entry.target = target
         entry.revision = target.revision
-        if entry.standing is TargetStatus.ENDED and not fresh:
+        if entry.status is TargetStatus.ENDED and not is_new:
             return False
         leaving = target.leaving or entry.announced_at is not None
-        standing = TargetStatus.LEAVING if leaving else TargetStatus.READY
-        if entry.standing is standing and not fresh:
+        status = TargetStatus.LEAVING if leaving else TargetStatus.READY
+        if entry.status is status and not is_new:
             return False
-        entry.standing = standing
+        entry.status = status
         entry.since = now
         if leaving:
             entry.since = now if since is None else min(since, now)
@@ -191,33 +191,33 @@
             entry.until = float("inf")
         return True
 
-    def announce(self, target: str, born: int, said_at: float) -> bool:
-        """Takes a target's word in an answer that it is about to end.
+    def announce(self, target: str, born: int, announced_at: float) -> bool:
+        """Records a target's announcement in a response that it will end.
 
-        The word holds for its run, whatever its registration shows: that may
-        lag, lapse and come back, or be written late.
+        The announcement holds for its incarnation, whatever the registration
+        shows: that may lag, expire and return, or be written late.
 
         Args:
             target: Identifier of the target.
-            born: Which run of it.
-            said_at: When it was said.
+            born: Start of its incarnation.
+            announced_at: Time of the announcement.
 
         Returns:
-            Whether that is news.
+            Whether this changes the target's status.
         """
         entry = self._entries.get(target)
         if entry is None or entry.target.born != born:
             return False
         if entry.announced_at is not None:
             return False
-        entry.announced_at = said_at
+        entry.announced_at = announced_at
         self._announced.add(target)
-        if entry.standing is TargetStatus.ENDED:
+        if entry.status is TargetStatus.ENDED:
             return False
-        if entry.standing is TargetStatus.READY:
-            entry.standing = TargetStatus.LEAVING
-            entry.since = said_at
-        entry.until = min(entry.until, said_at + self._grace)
+        if entry.status is TargetStatus.READY:
+            entry.status = TargetStatus.LEAVING
+            entry.since = announced_at
+        entry.until = min(entry.until, announced_at + self._grace)
         return True
 
     def remove(
@@ -229,82 +229,84 @@
         revision: int = 0,
         since: float | None = None,
     ) -> bool:
-        """Notes that a registration has vanished.
+        """Records that a registration has vanished.
 
         Args:
             target: Identifier of the target.
-            now: The time.
+            now: Current time.
             late: Whether it may have vanished a while ago.
-            revision: The store's revision of that, 0 if it is not known.
+            revision: The store's revision of the removal, 0 if it is not known.
             since: Earliest time at which it may have vanished; None for now.
 
         Returns:
-            Whether it was there.
+            Whether the registration was present.
         """
         entry = self._entries.get(target)
-        if entry is None or entry.standing in _VANISHED:
+        if entry is None or entry.status in _VANISHED:
             return False
         if revision and revision < entry.revision:
             return False
         entry.revision = max(entry.revision, revision)
-        entry.standing = TargetStatus.MISSING
+        entry.status = TargetStatus.MISSING
         entry.since = now if since is None else min(since, now)
         entry.until = min(entry.until, entry.since + self._grace)
         if late:
             entry.until = min(entry.until, now + self._late_grace)
         return True
 
-    def end(self, target: str, born: int, now: float) -> bool:
-        """Notes proof that a run of a target is over.
+    def record_end(self, target: str, born: int, now: float) -> bool:
+        """Records proof that an incarnation of a target has ended.
 
-        Its address answers in another target's name. Its registration may
-        stand for seconds more; each request sent there would be one for
-        nothing, and a repeat at the other target's service.
+        The proof is that its address responds under another target's
+        identifier. Its registration may last for seconds more. Each request
+        sent there would be wasted, and would be a retry at the other target's
+        service.
 
         Args:
             target: Identifier of the target.
-            born: Which run of it.
-            now: The time.
+            born: Start of its incarnation.
+            now: Current time.
 
         Returns:
-            Whether that is news.
+            Whether this changes the target's status.
         """
         entry = self._entries.get(target)
         if entry is None or entry.target.born != born:
             return False
-        if entry.standing is TargetStatus.ENDED:
+        if entry.status is TargetStatus.ENDED:
             return False
-        entry.standing = TargetStatus.ENDED
+        entry.status = TargetStatus.ENDED
         entry.since = entry.until = now
         return True
 
     def has_left_address(self, target: str, born: int) -> bool:
-        """Whether a target's own address has answered in another name.
+        """Whether a target's address has responded under another identifier.
 
-        That is sure proof that whatever ran there under its identifier is
-        over. What the store shows of the address proves nothing: a
-        registration that vanished may be one of a target that is cut off from
-        the store, or leaves, and serves on; another identifier at the same
-        address may be an earlier run's, written late. Believing either would
-        give the target's keys away while it runs requests for them.
+        This proves that any process that ran there under the target's
+        identifier has ended. What the store shows of the address proves
+        nothing: a target whose registration vanished may be cut off from the
+        store, or be leaving, and still serve; another identifier at the same
+        address may belong to an earlier incarnation whose registration was
+        written late. Relying on either would give the target's keys to another
+        one while it runs requests for them.
 
         Args:
             target: Identifier of the target.
-            born: Which run of it.
+            born: Start of its incarnation.
         """
         entry = self._entries.get(target)
         return (
             entry is not None
             and entry.target.born == born
-            and entry.standing is TargetStatus.ENDED
+            and entry.status is TargetStatus.ENDED
         )
 
     def has_restarted(self, target: str, born: int) -> bool:
-        """Whether a later run of a target has registered than a given one.
+        """Whether an incarnation later than a given one has registered.
 
         Args:
             target: Identifier of the target.
-            born: Which run of it.
+            born: Start of the given incarnation.
         """
         entry = self._entries.get(target)
         return entry is not None and entry.target.born > born
@@ -312,17 +314,17 @@
     def record_incarnation(
         self, target: str, born: int, address: str, now: float
     ) -> None:
-        """Takes the word of a table that a later run than the known one exists.
+        """Records that a table names a later incarnation than the recorded one.
 
-        A new leader may not have heard of it yet, and would take the keys from
-        the later run to give them to the earlier one. What is known of the
-        earlier one's end says nothing of the later one.
+        A new leader may not have its registration yet, and would take the keys
+        from the later incarnation to give them to the earlier one. The recorded
+        end of the earlier incarnation does not apply to the later one.
 
         Args:
             target: Identifier of the target.
-            born: Its later run.
-            address: Where that is.
-            now: The time.
+            born: Start of its later incarnation.
+            address: Address of the later incarnation.
+            now: Current time.
         """
         entry = self._entries.get(target)
         if entry is None or entry.target.born >= born:
@@ -331,7 +333,7 @@
             entry.target, born=born, address=address, leaving=False
         )
         entry.announced_at = None
-        entry.standing = TargetStatus.READY
+        entry.status = TargetStatus.READY
         entry.since = now
         entry.until = float("inf")
 
@@ -343,38 +345,38 @@
         since: float | None = None,
         gone_since: float | None = None,
     ) -> list[str]:
-        """Takes a whole list.
+        """Replaces all registrations by a complete list.
 
         Args:
-            targets: All that are registered.
-            now: The time.
+            targets: All targets that are registered.
+            now: Current time.
             revision: The store's revision of the list.
             since: Earliest time at which registrations may have changed; None
                 for now.
-            gone_since: The same for those that have vanished.
+            gone_since: Earliest time at which registrations may have vanished;
+                None for now.
 
         Returns:
-            The targets whose entry changed.
+            Identifiers of the targets whose entry changed.
         """
         listed = {target.id: target for target in targets}
         changed = [t.id for t in listed.values() if self.put(t, now, since)]
         gone = [
-            known
-            for known in list(self._entries)
-            if known not in listed
+            target
+            for target in list(self._entries)
+            if target not in listed
             and self.remove(
-                known, now, late=True, revision=revision, since=gone_since
+                target, now, late=True, revision=revision, since=gone_since
             )
         ]
         return changed + gone
 
-    def forget(self, now: float, keep_seconds: float) -> None:
+    def drop_vanished(self, now: float, keep_seconds: float) -> None:
         """Drops targets that vanished long ago."""
         self._entries = {
             name: entry
             for name, entry in self._entries.items()
-            if entry.standing not in _VANISHED
-            or now - entry.since < keep_seconds
+            if entry.status not in _VANISHED or now - entry.since < keep_seconds
         }
         self._announced &= self._entries.keys()
 
@@ -390,21 +392,20 @@
     ) -> list[Target]:
         """Returns the targets of a service that may get new work.
 
-        Ready ones if there are any, else those that are about to go.
+        These are its ready targets if there are any, otherwise those that are
+        still within their grace period.
 
         Args:
             service: The service.
-            now: The time.
-            allowed: Which of them are considered.
+            now: Current time.
+            allowed: Filter on the targets to consider.
         """
         of_service = [
             e
             for e in self._entries.values()
             if e.target.service == service and allowed(e.target)
         ]
-        ready = [
-            e.target for e in of_service if e.standing is TargetStatus.READY
-        ]
+        ready = [e.target for e in of_service if e.status is TargetStatus.READY]
         if ready:
             return ready
         return [e.target for e in of_service if now < e.until]
@@ -417,12 +418,13 @@
     def mark_zone_cold(
         self, zone: str, seconds: Mapping[str, float], now: float
     ) -> None:
-        """Takes the targets of a zone for cold for some time.
+        """Treats the targets of a zone as cold for some time.
 
         Args:
-            zone: Their zone.
-            seconds: For how long, by service.
-            now: The time.
+            zone: Zone of the targets.
+            seconds: Duration by service; a service that is absent is not
+                affected.
+            now: Current time.
         """
         for entry in self._entries.values():
             if entry.target.zone == zone:
@@ -430,15 +432,15 @@
                 entry.cold_until = max(entry.cold_until, now + lasts)
 
     def record_cold(self, target: str, seconds: float, now: float) -> None:
-        """Notes that a target itself has said how long it stays cold."""
+        """Records how long a target stays cold, as it reported itself."""
         entry = self._entries.get(target)
         if entry is not None:
             entry.cold_until = max(entry.cold_until, now + seconds)
 
     def is_ready(self, target: str) -> bool:
-        """Whether a target is registered and does not leave."""
+        """Whether a target is registered and not leaving."""
         entry = self._entries.get(target)
-        return entry is not None and entry.standing is TargetStatus.READY
+        return entry is not None and entry.status is TargetStatus.READY
 
     def may_get_work(self, target: str, now: float) -> bool:
         """Whether a target that owns a key may get a request for it."""
@@ -447,18 +449,18 @@
 
     def all_leave(self, service: str) -> bool:
         """Whether a service has targets that leave, and no others."""
-        standings = {
-            entry.standing
+        statuses = {
+            entry.status
             for entry in self._entries.values()
             if entry.target.service == service
         }
-        return standings - _VANISHED == {TargetStatus.LEAVING}
+        return statuses - _VANISHED == {TargetStatus.LEAVING}
 
     def ready(self, service: str) -> list[Target]:
-        """Returns the registered targets of a service that do not leave."""
+        """Returns the registered targets of a service that are not leaving."""
         return [
             entry.target
             for entry in self._entries.values()
-            if entry.standing is TargetStatus.READY
+            if entry.status is TargetStatus.READY
             and entry.target.service == service
         ]
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/leader_role.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/leader_role.py
@@ -124,7 +124,7 @@
         calls: peer_calls.PeerCalls,
         known: cluster_state.ClusterState,
         timer: clock.Clock,
-        log: events.Events,
+        log: events.EventLog,
     ) -> None:
         self._settings = configured
         self._boot = boot
@@ -169,7 +169,7 @@
 
     def hear(self, reply: messages.ReportReply) -> None:
         """Notes what a leader's answer says of the grants it gives."""
-        now = self._clock.boot()
+        now = self._clock.boottime()
         self.calm_until = (
             now
             + self._settings.leader.trouble_after
@@ -245,7 +245,7 @@
             self.address,
             self._unsure(known),
         )
-        asked = self._clock.boot()
+        asked = self._clock.boottime()
         revision = await self._write_leader(entry, former)
         if not revision:
             return False
@@ -320,7 +320,7 @@
         items: Mapping[str, ports.Item],
         former: leadership.LeaderEntry | None,
     ) -> None:
-        now = self._clock.boot()
+        now = self._clock.boottime()
         configured = self._settings.leader
         self._entry = entry
         self._has_led = True
@@ -349,7 +349,7 @@
         if not entry.unsure:
             # There was none, or it was an earlier run of this daemon, whose
             # longer grants may still last.
-            self._formers.stopped(now)
+            self._formers.record_stopped(now)
         self._formers.record_promise(
             self._witness.identity, self._witness.promised(), now
         )
@@ -403,7 +403,7 @@
         if former is None:
             return ()
         inherited = set(former.unsure)
-        led = self._clock.boot() - self._cluster.leader_since
+        led = self._clock.boottime() - self._cluster.leader_since
         authority = self._settings.leader.authority
         if self._cluster.leader == former and led > authority:
             # Whoever led before that one has had to stop since.
@@ -426,7 +426,7 @@
             return
         keyed = self._new_keyed(table, item.revision)
         self._services[table.service] = keyed
-        for owner in table.holders():
+        for owner in table.owners():
             self._cluster.directory.record_incarnation(
                 owner.id, owner.born, owner.address, self._clock.now()
             )
@@ -486,9 +486,9 @@
             return messages.ReportReply(leader, leading=False)
         now = self._clock.now()
         vm = report.vm
-        boot = self._clock.boot()
+        boot = self._clock.boottime()
         # A VM that reports here does not lead itself.
-        self._formers.follows(vm.id, boot, report.longer)
+        self._formers.record_follower(vm.id, boot, report.longer)
         if report.epoch >= self._entry.epoch:
             witness = lease_extension.Witness(vm.id, vm.boot)
             self._formers.record_promise(witness, report.promised, boot)
@@ -514,10 +514,10 @@
             if keyed is not None:
                 keyed.fast.add(keys, now)
                 keyed.slow.add(keys, now)
-        seen = self._clock.boot()
+        seen = self._clock.boottime()
         self._alive_at.update(dict.fromkeys(report.alive, seen))
         for death in report.deaths:
-            self._crashes.learn(death, now)
+            self._crashes.record_crash(death, now)
         for ended in report.ended:
             self._cluster.end_target(ended.target, ended.born)
         for miss in report.misses:
@@ -532,7 +532,7 @@
         return messages.ReportReply(
             self._entry,
             leading=True,
-            confirmed=self._clock.boot() - self._lease.confirmed,
+            confirmed=self._clock.boottime() - self._lease.confirmed,
             longer=self._longer_seconds(),
             under_way=self._demand.busy(vm.id, vm.zone, known),
             gates=self._gates(fresh, now),
@@ -543,7 +543,7 @@
             configuration=self._cluster.version,
             configuration_seen=self._cluster.configuration_seen,
             store=self._informed(fresh),
-            deaths=self._crashes.deaths(now),
+            deaths=self._crashes.crashes(now),
             watchers=self._watchers(fresh),
             vms=len(fresh),
             take_over=vm.id in self._successors.asked,
@@ -578,7 +578,7 @@
                 self._cluster.directory,
                 [*self._cluster.cold_targets(), *limited],
             )
-            if self._clock.boot() < self._formers.stopped_by:
+            if self._clock.boottime() < self._formers.stopped_by:
                 # A former leader may still name another sender, and the two
                 # together would be beyond the limit.
                 for name in limited:
@@ -597,7 +597,9 @@
     def _formers_lapse(self) -> float:
         """Time at which all grants of former leaders have run out."""
         tables = (keyed.table for keyed in self._services.values())
-        return self._formers.lapse(max((t.hold for t in tables), default=0.0))
+        return self._formers.grants_expire_at(
+            max((t.hold for t in tables), default=0.0)
+        )
 
     def longer_grants(self) -> float | None:
         """Returns how long grants that this VM has made longer may last.
@@ -608,8 +610,8 @@
 
     def _longer_seconds(self) -> float:
         """Returns how long longer grants may last, former leaders' included."""
-        until = max(self._lease.longer_until, self._formers_lapse)
-        return max(until - self._clock.boot(), 0.0)
+        until = max(self._lease.extended_grants_until, self._formers_lapse)
+        return max(until - self._clock.boottime(), 0.0)
 
     def _watchers(
         self, reports: Mapping[str, messages.Report]
@@ -651,7 +653,7 @@
         would wait for seconds, and so would the successor's calls.
         """
         since = self._store_failing_since
-        if since is None or self._clock.boot() - since < _WATCHERS_TRIED:
+        if since is None or self._clock.boottime() - since < _WATCHERS_TRIED:
             return True
         watchers = self._watchers(reports)
         return any(reports[name].store for name in watchers if name in reports)
@@ -684,7 +686,7 @@
         self._serial += 1
         for keyed in self._services.values():
             self._disseminator.publish(
-                assignments.of_table(
+                assignments.from_table(
                     keyed.table,
                     (entry.epoch, self._serial),
                     keyed.reconciler.ready(),
@@ -701,11 +703,13 @@
             await self._confirm()
             reached = self._store_failing_since is None
             if self._witnesses is not None and reached:
-                clear_at = max(self._formers_lapse, self._lease.longer_until)
+                clear_at = max(
+                    self._formers_lapse, self._lease.extended_grants_until
+                )
                 await self._witnesses.name(self._revision, clear_at)
 
     async def _confirm(self) -> None:
-        asked = self._clock.boot()
+        asked = self._clock.boottime()
         late = asyncio.get_running_loop().call_later(
             self._settings.leader.extension_after, self._ask_witnesses
         )
@@ -730,7 +734,7 @@
 
     def _store_failed(self, failure: errors.Failure, asked: float) -> None:
         """Notes that a call to the store that began at `asked` has failed."""
-        now = self._clock.boot()
+        now = self._clock.boottime()
         self._cluster.record_store_status(ok=False, why=failure.detail)
         if self._store_failing_since is None:
             self._store_failing_since = asked
@@ -755,7 +759,7 @@
         """Asks VMs that reach the store to lead; returns the newly asked."""
         able = self._able()
         asked = self._successors.next(
-            [vm.id for vm in able], self._clock.boot()
+            [vm.id for vm in able], self._clock.boottime()
         )
         self._disseminator.request_takeover(vm for vm in able if vm.id in asked)
         return asked
@@ -810,11 +814,11 @@
             for entry in self._cluster.directory
             if entry.target.service == service
         )
-        waited = self._clock.boot() - self._started
+        waited = self._clock.boottime() - self._started
         if now - newest < configured.settle and waited < configured.settle_most:
             return
         weights = {planning.holder(t): float(t.slots) for t in targets}
-        table = ranges.initial(service, weights, self._clock.new_id())
+        table = ranges.initial_table(service, weights, self._clock.new_id())
         keyed = self._new_keyed(table, 0)
         await self._commit(keyed, table)
 
@@ -831,7 +835,7 @@
         entry = self._entry
         if entry is None:
             return False
-        wrong = ranges.problem(table)
+        wrong = ranges.find_problem(table)
         if wrong:
             self._events.write(
                 "leader", "table_refused", service=table.service, why=wrong
@@ -840,7 +844,7 @@
         settled = keyed.reconciler.settled()
         if settled:
             table = _without_settled(table, settled)
-        pace = self._settings.leader.pace(len(table.ranges))
+        pace = self._settings.leader.renewal_pace(len(table.ranges))
         if pace.hold > max(table.hold, self._settings.leader.hold):
             table = msgspec.structs.replace(table, hold=pace.hold)
         key = messages.table_key(table.service)
@@ -849,7 +853,7 @@
             key: keyed.revision,
         }
         write = ports.Write(key, messages.encode(table))
-        asked = self._clock.boot()
+        asked = self._clock.boottime()
         written = await self._store.commit(expected, (write,))
         if self._entry is not entry:
             return False
@@ -895,7 +899,7 @@
     ) -> None:
         fresh = keyed.table.next_fence
         stale = {item.owner for item in table.ranges if item.fence < fresh}
-        renewed = table.holders() - stale
+        renewed = table.owners() - stale
         keyed.table = table
         keyed.revision = revision
         self._services[table.service] = keyed
@@ -940,5 +944,5 @@
     table: ranges.RangeTable, settled: Mapping[ranges.Piece, Iterable[int]]
 ) -> ranges.RangeTable:
     """Drops settled formers of pieces that a change has left as they were."""
-    cleaned = ranges.settle(table, settled, table.commit)
+    cleaned = ranges.remove_released(table, settled, table.commit)
     return msgspec.structs.replace(cleaned, version=table.version)
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
@@ -141,7 +141,7 @@
         watcher: store_watching.StoreWatcher,
         crashes: crash_detection.CrashDetector,
         timer: clock.Clock,
-        log: events.Events,
+        log: events.EventLog,
     ) -> None:
         self._settings = configured
         self._boot = boot
@@ -426,7 +426,7 @@
                 table = messages.decode(item.value, ranges.RangeTable)
                 every = {part.piece for part in table.ranges}
                 self._cluster.apply_assignment(
-                    assignments.of_table(table, (0, table.version), every)
+                    assignments.from_table(table, (0, table.version), every)
                 )
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             self._events.write(
@@ -505,8 +505,8 @@
             self._full_target_requests,
             collections.Counter(),
         )
-        wanted.update(self._queues.waiting())
-        wanted.update(self._admission.waiting())
+        wanted.update(self._queues.lengths())
+        wanted.update(self._admission.waiting_counts())
         ended, self._ended = tuple(self._ended), []
         deaths, self._deaths = tuple(self._deaths), []
         alive, self._alive = tuple(self._alive), set()
@@ -678,7 +678,7 @@
         self._leader.hear(reply)
         self._vms = reply.vms
         for death in reply.deaths:
-            self._crashes.learn(death, now)
+            self._crashes.record_crash(death, now)
         if reply.stamp is not None:
             self._clock_offset = freshness.ClockOffset(
                 reply.stamp, self._reported_at, now
--- a/tests/gateway/test_store_watching.py
+++ b/tests/gateway/test_store_watching.py
@@ -53,7 +53,7 @@
     made = store_watching.StoreWatcher(
         settings.StoreSettings(address="127.0.0.1:1"),
         store,
-        records.Records(),
+        records.RecordDecoder(),
         known,
         timer,
         log,
@@ -280,7 +280,7 @@
             known.seen = 40
             made.start()
             await asyncio.sleep(current)
-            known.registrations.note(virtual.now())
+            known.registrations.record(virtual.now())
             await asyncio.sleep(followed - current)
             made.set_leader_reliable(False)
             await asyncio.sleep(max(leaves_at - followed, 0.0) + 0.1)
@@ -311,7 +311,7 @@
             made, known, _ = _watcher(store, fakes.target("a"))
             known.seen = 40
             made.start()
-            known.registrations.note(virtual.now())
+            known.registrations.record(virtual.now())
             await asyncio.sleep(8.0)
             made.set_leader_reliable(False)
             gone = ports.Changes((), (("servers/a", 41),), 41)
