--- a/packages/mimosastile-entry/src/mimosastile_entry/_digests.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_digests.py
@@ -167,7 +167,7 @@
         return delta
 
     async def _fetch_list(self, peer: str, digest: messages.Digest) -> bool:
-        if not self._fleet.readings.wants(
+        if not self._fleet.readings.is_newer(
             digest.reader,
             digest.list_number,
             digest.list_age,
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
@@ -300,7 +300,7 @@
     def _may_retry(self, call: pending.Call, failure: errors.Failure) -> bool:
         """Whether to send again after a failure; spends the retry budget."""
         now = self._clock.now()
-        maybe_ran = failure.answer.ran is not errors.Ran.NO
+        maybe_ran = failure.response.ran is not errors.Ran.NO
         call.maybe_ran = call.maybe_ran or maybe_ran
         if call.incoming.disconnected:
             # The request was not cancelled, as it may have run. Its caller has
@@ -645,7 +645,7 @@
         incoming: http_server.Request,
         failure: errors.Failure,
     ) -> http_server.Response:
-        if failure.answer.router_retries and not failure.retry_after:
+        if failure.response.router_retries and not failure.retry_after:
             failure = errors.Failure(
                 failure.kind,
                 failure.detail,
@@ -667,7 +667,7 @@
             path=incoming.target.decode("latin-1"),
             key=call.key if call else None,
             kind=kind,
-            status=failure.answer.status,
+            status=failure.response.status,
             why=failure.detail,
             sends=call.send_count if call else 0,
             took_ms=_to_milliseconds(elapsed),
@@ -680,10 +680,12 @@
         ]
         if attempt:
             headers.append((self._header_names.attempt, attempt))
-        if failure.answer.ran is errors.Ran.NO and failure.wait:
+        if failure.response.ran is errors.Ran.NO and failure.wait:
             headers.append((b"retry-after", b"%g" % failure.wait))
-        text = failure.answer.text.encode() + b"\n"
-        return http_server.Response(failure.answer.status, tuple(headers), text)
+        text = failure.response.text.encode() + b"\n"
+        return http_server.Response(
+            failure.response.status, tuple(headers), text
+        )
 
 
 def _final_failure(
