--- a/packages/mimosastile-core/src/mimosastile_core/gateway/admission.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/admission.py
@@ -1,16 +1,21 @@
-"""One exact queue for a target that more requests want than it can run.
-
-Dealing a target's room out among VMs fails with their number: ten places for a
-hundred VMs are a tenth of one each, and a VM whose requests come now and then
-has none when one comes. So one VM, the target's gate, admits the requests of
-all: it knows every place in use, and who waits.
-
-Answers three patterns of load. A burst that the target can absorb: everyone is
-admitted within the wait that their deadlines allow. One key that gets more than
-its owner can answer, for long: places go to requests that can still be on time,
-and the rest hears at once when to come back, since requests that wait until
-they are late would make all answers late. And a target that has turned slow:
-the rate at which places are given back shows it, and fewer are kept waiting.
+"""Admission control for a contended target: one exact wait queue of all VMs.
+
+Dividing a target's capacity among VMs does not scale with their number. Ten
+permits for a hundred VMs are a tenth of a permit each, and a VM that sends only
+now and then has none when a request comes. Therefore one VM, the target's
+admission gate, admits the requests of all VMs: it has the record of every
+permit in use and of every waiting request.
+
+The queue handles three load patterns:
+
+* A burst that the target can absorb: every request is admitted within the wait
+that its deadline allows.
+* One key that for a long time gets more requests than its owner can answer:
+permits go to requests that can still be on time. The others are refused at once
+with a time to retry after, since queueing them until they are late would make
+all responses late.
+* A target that has become slow: the rate at which permits are returned shows
+it, and fewer requests are kept waiting.
 """
 
 from collections.abc import Iterator
@@ -22,46 +27,47 @@
 from mimosastile_core.gateway import limits
 
 _SMOOTHING = 0.1
-"""Weight of one request in means: some ten requests to follow a change."""
+"""Weight of one request in means: a mean follows a change within about ten
+requests."""
 _RATIO_BOUNDS = (0.2, 5.0)
-"""Bounds on one request's part in the mean, as shares of it."""
+"""Bounds on one request's value in the mean, as multiples of the mean."""
 _SPREAD = 0.3
-"""How much longer than the mean, as a share of it, a request may take and
-still be on time: one that is admitted at the last moment is late half of the
-time, and takes the place of one that is not."""
+"""Margin, as a share of the mean, by which a request may take longer and still
+be on time. Without it, a request that is admitted at the last moment is late
+half of the time, and takes the permit of one that would not be."""
 _LEAST_WORK = 1.2
-"""How much of a request's mean work must fit before its deadline. With less,
-most of those that are begun at the last moment are cut off by it."""
+"""A request is worth starting if this multiple of its mean service time is left
+before its deadline. With less, the deadline cuts off most of the requests that
+start at the last moment."""
 _LOST_FACTOR = 3.0
 _LOST_LEAST = 0.5
-"""When a place counts as given back without a word: after this many times what
-a request usually takes, and seconds besides. Its VM may be lost."""
+"""A permit is reclaimed after `_LOST_FACTOR` times the usual service time plus
+these seconds: its VM may have failed."""
 _TOLERANCE = 1.3
-"""How much later than reckoned a waiting request must be before it is refused
-after all: the estimate follows chance."""
+"""A waiting request is refused when its expected start exceeds the time left by
+this factor. The estimate fluctuates."""
 _MOST_WAITING = 256
 """Bounds the memory for one target."""
 _RATE_SECONDS = 1.0
-"""Time over which admitted requests that can be on time are counted."""
+"""Time constant of the rate of admitted requests that can be on time."""
 _PUNCTUAL_SHARE = 0.8
-"""Part of that rate which is reckoned to go before a request that will be late.
-Less than all: the rate is counted over a few dozen requests only."""
+"""Share of that rate that is assumed to go before a late request. It is below 1
+since the rate is measured over only a few dozen requests."""
 _LATE_ROOM = 0.05
-"""Least part of a target's rate that requests which will be late are reckoned
-to get."""
+"""Least share of a target's rate that late requests are assumed to get."""
 
 
 class Ask(msgspec.Struct, frozen=True):
-    """A request that wants a place at a target.
+    """A request that needs a permit for a target.
 
     Attributes:
-        vm: Names the VM that has it.
-        number: Tells that VM's requests apart.
+        vm: The VM that holds the request.
+        number: Unique among that VM's requests.
         priority: Its rank; 0 is the most urgent.
-        on_time: Seconds within which its answer is on time.
+        on_time: Seconds within which its response is on time.
         left: Seconds until its deadline.
-        work: Seconds that such requests run for on average at all targets.
-        held: Requests that its VM has at the target without a place.
+        work: Mean service time, in seconds, of such requests at all targets.
+        held: Number of requests that its VM has at the target without a permit.
     """
 
     vm: str
@@ -74,12 +80,12 @@
 
     @property
     def id(self) -> tuple[str, int]:
-        """Tells all requests apart."""
+        """Unique among the requests of all VMs."""
         return self.vm, self.number
 
 
 class Verdict(enum.Enum):
-    """What becomes of a request."""
+    """The outcome of an admission decision."""
 
     ADMITTED = "admitted"
     WAITS = "waits"
@@ -87,12 +93,12 @@
 
 
 class Decision(msgspec.Struct, frozen=True):
-    """A verdict on one request.
+    """An admission decision on one request.
 
     Attributes:
         ask: The request.
-        verdict: What becomes of it.
-        seconds: Time until it can be expected to be admitted.
+        verdict: The outcome.
+        seconds: Expected time until it is admitted.
     """
 
     ask: Ask
@@ -101,17 +107,17 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """There is no place for a request in time.
+    """A request that cannot be admitted in time.
 
     Attributes:
-        seconds: Time until it could be expected to be admitted.
+        seconds: Time until a request can be expected to be admitted.
     """
 
     seconds: float
 
 
 class _Place:
-    """A request that was admitted."""
+    """A permit: an admitted request."""
 
     __slots__ = ("at", "busy", "until", "work")
 
@@ -123,7 +129,7 @@
 
 
 class _Waiting:
-    """A request that waits."""
+    """A waiting request."""
 
     __slots__ = ("arrived", "ask", "number")
 
@@ -134,11 +140,11 @@
 
 
 class Queue:
-    """Places of one target, and who waits for one.
+    """Permits of one target, and the requests that wait for one.
 
     Attributes:
-        pace: When another request may be admitted, None if the target has
-            named no limit.
+        pace: Rate limiter for the limit that the target has set; None without
+            such a limit.
     """
 
     __slots__ = (
@@ -156,13 +162,13 @@
     )
 
     def __init__(self, slots: int, beyond: int) -> None:
-        """Makes one with all places free.
+        """Makes a queue with all permits free.
 
         Args:
-            slots: Requests that the target runs at a time.
-            beyond: Requests that may wait at the target itself, so that none
-                of its slots is idle while news of a free place are on their
-                way.
+            slots: Number of requests that the target runs at a time.
+            beyond: Number of requests that may wait at the target itself. They
+                keep its slots busy while a returned permit is on its way to the
+                next request.
         """
         self._slots = slots
         self._beyond = beyond
@@ -178,21 +184,21 @@
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is under way or waits."""
+        """Whether no request is in progress or waiting."""
         return not self._places and not self._waiting
 
     @property
     def waiting(self) -> int:
-        """Requests that wait."""
+        """Number of waiting requests."""
         return len(self._waiting)
 
     def busy(self, now: float) -> int:
-        """Returns the requests at the target."""
+        """Returns the number of requests at the target."""
         held = sum(count for count, until in self._held.values() if now < until)
         return len(self._places) + held
 
     def ask(self, ask: Ask, now: float) -> Decision:
-        """Decides on a request; one that asks again keeps its turn."""
+        """Decides on a request; a repeated one keeps its position."""
         if ask.id in self._places:
             return Decision(ask, Verdict.ADMITTED)
         if any(w.ask.id == ask.id for w in self._waiting):
@@ -218,14 +224,14 @@
     def done(
         self, vm: str, number: int, now: float, *, answered: bool = True
     ) -> list[Decision]:
-        """Ends a request that ran or waited; returns what that decides.
+        """Ends an admitted or waiting request; returns the resulting decisions.
 
         Args:
-            vm: Names the VM that has it.
-            number: Tells that VM's requests apart.
+            vm: The VM that holds the request.
+            number: Unique among that VM's requests.
             now: The time.
-            answered: Whether it was answered. A target that rejects requests,
-                or takes no connection, would seem fast.
+            answered: Whether it was answered. Counting a rejection or a failed
+                connection as a response would make the target seem fast.
         """
         place = self._places.pop((vm, number), None)
         if place is not None and answered:
@@ -237,7 +243,7 @@
         return self.turn(now)
 
     def turn(self, now: float) -> list[Decision]:
-        """Decides on those that wait: who is admitted, and who is refused."""
+        """Decides on waiting requests: which to admit and which to refuse."""
         self._forget_lost(now)
         return [*self._admitted(now), *self._refused(now)]
 
@@ -251,7 +257,7 @@
                 yield self._admit(first, now)
 
     def _refused(self, now: float) -> Iterator[Decision]:
-        """Yields those that will get no place in time."""
+        """Yields refusals of requests that will not get a permit in time."""
         self._waiting.sort(key=lambda w: self._order(w, now))
         kept: list[_Waiting] = []
         for entry in self._waiting:
@@ -281,31 +287,31 @@
 
     @property
     def _interval(self) -> float:
-        """Seconds between two places that are given back."""
+        """Expected seconds between two returned permits."""
         return self._factor * self._work / self._slots
 
     def _start_seconds(self, ahead: int, now: float, *, late: bool) -> float:
-        """Returns when one that waits behind others begins to run."""
+        """Returns the expected wait of a request behind others."""
         start = (ahead + 1 + self._beyond) * self._interval
         if late:
-            # Those that can be on time go first, also the ones to come.
+            # Requests that can be on time go first, including future ones.
             taken = self._punctual_rate(now) * self._interval
             start /= max(1 - _PUNCTUAL_SHARE * taken, _LATE_ROOM)
         return max(start, self._paced_seconds(ahead, now))
 
     def _paced_seconds(self, ahead: int, now: float) -> float:
-        """Returns when the target's limit lets one that waits begin."""
+        """Returns the wait that the target's rate limit imposes."""
         if self.pace is None:
             return 0.0
         return self.pace.wait(now) + ahead / self.pace.rate
 
     def _start_left(self, entry: _Waiting, now: float) -> float:
-        """Returns for how long it is still worth beginning."""
+        """Returns the seconds for which starting the request is worthwhile."""
         work = self._factor * entry.ask.work * _LEAST_WORK
         return entry.ask.left - (now - entry.arrived) - work
 
     def _is_late(self, entry: _Waiting, now: float, ahead: int) -> bool:
-        """Whether its answer would be late with some others before it."""
+        """Whether the response would be late behind `ahead` requests."""
         work = self._factor * entry.ask.work * (1 + _SPREAD)
         left = entry.ask.on_time - (now - entry.arrived) - work
         begins = (ahead + self._beyond) * self._interval
@@ -316,7 +322,7 @@
         return late, entry.ask.priority, entry.number
 
     def _note_run(self, place: _Place, now: float) -> None:
-        """Learns how long requests run here, without their wait."""
+        """Updates the mean service time at the target, without queueing."""
         run = (now - place.at) / max(place.busy / self._slots, 1.0)
         low, high = _RATIO_BOUNDS
         ratio = run / max(place.work, 1e-3)
@@ -324,7 +330,7 @@
         self._factor += (ratio - self._factor) * _SMOOTHING
 
     def _punctual_rate(self, now: float) -> float:
-        """Returns the requests a second that get a place in time."""
+        """Returns the on-time admissions per second."""
         gone = math.exp(-(now - self._punctual_at) / _RATE_SECONDS)
         return self._punctual * gone / _RATE_SECONDS
 
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/allowance.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/allowance.py
@@ -1,30 +1,30 @@
-"""How often requests may be sent once more, over all VMs together."""
+"""Retry budget: a bound on repeated sends over all VMs together."""
 
 import collections
 
 
 class RetryAllowance:
-    """One VM's part of the bound on repeated sends to a service.
+    """One VM's part of the retry budget of a service.
 
-    The bound holds for all VMs together: a ratio of the requests in a window
-    plus a fixed amount. Each VM keeps the ratio of its own requests and an
-    equal part of the fixed amount, so the bound holds without any message,
-    also for VMs that are cut off.
+    The budget applies to all VMs together: a ratio of the requests in a window
+    plus a fixed amount. Each VM keeps to the ratio of its own requests and to
+    an equal part of the fixed amount. The sum therefore stays in the budget
+    without any message, even if VMs are cut off.
     """
 
     __slots__ = ("_buckets", "_fixed", "_ratio", "_step", "_window")
 
     _BUCKETS = 10
-    """Steps of the sliding window; the newest is partly in the future, which
-    errs on the safe side by a tenth."""
+    """Buckets of the sliding window. The newest one is partly in the future, so
+    that the window is up to a tenth shorter than configured."""
 
     def __init__(self, ratio: float, window: float, fixed: float) -> None:
-        """Makes a full one.
+        """Makes an unused budget.
 
         Args:
-            ratio: Repeats allowed per request.
-            window: Seconds over which both are counted.
-            fixed: Repeats allowed besides, this VM's part.
+            ratio: Retries allowed per request.
+            window: Seconds over which requests and retries are counted.
+            fixed: This VM's part of the retries allowed in addition.
         """
         self._ratio = ratio
         self._window = window
@@ -41,14 +41,14 @@
         self._bucket(now)[1] += 1
 
     def left(self, now: float) -> float:
-        """Returns how many repeats are allowed now."""
+        """Returns the number of retries that are allowed now."""
         self._bucket(now)
         requests = sum(bucket[1] for bucket in self._buckets)
         repeats = sum(bucket[2] for bucket in self._buckets)
         return self._ratio * requests + self._fixed - repeats
 
     def take(self, now: float) -> bool:
-        """Takes one repeat if it is allowed."""
+        """Takes one retry from the budget if one is left."""
         if self.left(now) < 1:
             return False
         self._bucket(now)[2] += 1
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/demand.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/demand.py
@@ -1,9 +1,9 @@
-"""What all VMs have under way and waiting at each target.
+"""Sums of the requests in progress and waiting at each target, of all VMs.
 
-A leader with a hundred VMs takes some two hundred reports a second and answers
-each with what the others have at hundreds of targets. Adding all reports up
-for every answer was most of its processor time; here a report changes what
-its VM had before, and nothing else.
+A leader of a hundred VMs receives some two hundred reports a second and
+responds to each with the other VMs' counts at hundreds of targets. Adding up
+all reports for every response took most of its processor time. Here a report
+only replaces its VM's former counts in the sums.
 """
 
 from collections.abc import Container
@@ -16,19 +16,19 @@
 from mimosastile_core.gateway import directory
 
 _ENTER_SHARE = 1.0
-"""Requests at a target, under way and wanted, per slot, above which it gets a
-gate: from then on some of them wait."""
+"""A target gets an admission gate above this number of requests, in progress
+and waiting, per slot: from then on some of them wait."""
 _LEAVE_SHARE = 0.5
-"""The same below which it loses it."""
+"""The same below which a target loses its gate."""
 
 
 class _Share(msgspec.Struct):
-    """What one VM reported.
+    """The report of one VM.
 
     Attributes:
-        under_way: Requests under way by target.
-        wanted: These and the waiting ones.
-        at: When.
+        under_way: Requests in progress by target.
+        wanted: Requests in progress and waiting by target.
+        at: Time of the report.
     """
 
     under_way: dict[str, int]
@@ -42,7 +42,7 @@
     __slots__ = ("_contended", "_fresh", "_shares", "_totals", "_under_way")
 
     def __init__(self, fresh: float) -> None:
-        """Makes an empty one.
+        """Makes empty sums.
 
         Args:
             fresh: Seconds for which a report counts.
@@ -60,7 +60,7 @@
         waiting: Mapping[str, int],
         now: float,
     ) -> None:
-        """Takes a VM's report in place of its last one."""
+        """Replaces a VM's last report."""
         self._drop(vm)
         wanted = dict(under_way)
         for target, count in waiting.items():
@@ -73,13 +73,14 @@
     def busy(
         self, vm: str, zone: str, known: directory.Directory
     ) -> dict[str, int]:
-        """Returns what other VMs have under way at targets that are busy.
+        """Returns the requests of other VMs at targets that are busy.
 
-        Below half of a target's slots it does not matter to anyone's choice;
-        in other zones, only whether a slot is free.
+        Targets of the VM's own zone count as busy from half of their slots on;
+        fewer requests do not influence the choice of a target. In other zones
+        all slots must be taken.
 
         Args:
-            vm: The VM that is told.
+            vm: The VM that receives the counts.
             zone: Its availability zone.
             known: The targets.
         """
@@ -90,7 +91,7 @@
             count = total - own.get(name, 0)
             entry = known.get(name)
             if not count or entry is None or name in self._contended:
-                # Whoever wants a contended one asks its gate.
+                # VMs ask a contended target's gate and need no count.
                 continue
             factor = 2 if entry.target.zone == zone else 1
             if count * factor >= entry.target.slots:
@@ -105,19 +106,19 @@
         known: directory.Directory,
         bounded: Iterable[str] = (),
     ) -> dict[str, str]:
-        """Returns the VMs that admit requests to contended or bounded targets.
+        """Returns the admission gates of contended and rate-limited targets.
 
-        It stands as near to the target as there are VMs. A target stays
-        contended until much less is asked of it, so that VMs do not go back
-        and forth between asking a gate and sending by themselves.
+        A gate is a VM as near to the target as possible. A target stays
+        contended until its load is much lower. This keeps VMs from switching
+        back and forth between using a gate and sending directly.
 
         Args:
-            vms: Addresses of those that report, each with its zone.
+            vms: Addresses of the VMs that report, each with its zone.
             regions: Region of each zone.
-            keyed: Services that are divided by key. A request for another one
-                goes where there is room, and asks nobody.
+            keyed: Services whose targets own ranges of keys. Requests of other
+                services go to any target with capacity and need no gate.
             known: The targets.
-            bounded: Targets whose rate is bounded over all VMs.
+            bounded: Targets with a limit on the rate of all VMs.
         """
         able = list(vms)
         contended = set()
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/heat.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/heat.py
@@ -1,26 +1,26 @@
-"""Which keys are asked for how often, from samples of many VMs."""
+"""Request rates of keys, estimated from the samples of many VMs."""
 
 from collections.abc import Iterable
 import math
 
 
 class KeyHeat:
-    """Decaying counts of requests by key.
+    """Exponentially decaying request counts by key.
 
-    Exponential decay by a time constant: a count is close to the number of
-    requests in the last `seconds`, with the newest weighing most.
+    A count is close to the number of requests in the last `seconds`, with the
+    newest weighing most.
     """
 
     __slots__ = ("_at", "_counts", "_scale", "_seconds")
 
     _RESCALE = 1e6
-    """Growth of the weight of new requests after which all are scaled back,
-    far from the limits of floating point."""
+    """Weight of new requests above which all counts are scaled back, far below
+    the limits of floating point."""
     _NEGLIGIBLE = 1e-3
-    """Counts below this are dropped: a thousandth of a request."""
+    """Counts below this, in requests, are dropped."""
 
     def __init__(self, seconds: float, now: float) -> None:
-        """Makes an empty one.
+        """Makes an empty counter.
 
         Args:
             seconds: Time constant of the decay.
@@ -28,8 +28,8 @@
         """
         self._seconds = seconds
         self._counts: dict[int, float] = {}
-        # New requests are counted with growing weight instead of shrinking
-        # all counts each time.
+        # The weight of new requests grows, so that existing counts need no
+        # update at each request.
         self._scale = 1.0
         self._at = now
 
@@ -37,9 +37,9 @@
         """Counts requests.
 
         Args:
-            keys: Key of each.
+            keys: Key of each request.
             now: The time.
-            weight: Requests that each one stands for.
+            weight: Number of requests that each sampled one represents.
         """
         self._advance(now)
         counts = self._counts
@@ -48,7 +48,7 @@
             counts[key] = counts.get(key, 0.0) + grown
 
     def counts(self, now: float) -> dict[int, float]:
-        """Returns the decayed count of each key that has one."""
+        """Returns the decayed count of each recorded key."""
         self._advance(now)
         scale = self._scale
         return {key: count / scale for key, count in self._counts.items()}
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/limits.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/limits.py
@@ -1,10 +1,12 @@
-"""Limits that targets name for all VMs together.
-
-A target in need says in its answers how many requests a second it takes, for
-as long as it says so. The sum over all VMs keeps to that, also of those that
-hear nobody. One VM, named by the leader, sends or admits most of it. Besides,
-each VM has a small share that needs no agreement: with it VMs that hear nobody
-serve on, and a target that the named VM has no requests for is heard of again.
+"""Rate limits that targets set for all VMs together.
+
+An overloaded target states in its responses how many requests a second it
+takes; the limit holds as long as responses state it. The sum over all VMs keeps
+to the limit, including VMs that are cut off from the others. One VM, the sender
+named by the leader, sends or admits most of the requests. Each other VM has a
+small share that needs no agreement. With this share, cut-off VMs can still
+serve requests, and a target for which the sender has no requests still gets
+some and can report a change of its limit.
 """
 
 from collections.abc import Mapping
@@ -13,39 +15,39 @@
 import msgspec
 
 _SENDER_SHARE = 0.9
-"""Part of a limit that the named VM uses. With `_OWN_SHARE` the limit itself is
-exceeded by a twentieth; the rest of what targets tolerate covers the second and
-a half in which two VMs may take themselves for the named one."""
+"""Share of a limit that the sender uses. Together with `_OWN_SHARE`, the limit
+is exceeded by a twentieth. The rest of what targets tolerate covers the 1.5 s
+in which two VMs may act as the sender."""
 _OWN_SHARE = 0.15
-"""Part of a limit that all other VMs may use together without being asked."""
+"""Share of a limit that all other VMs together may use on their own."""
 _ALONE_SHARE = 0.4
-"""The same of VMs that know of no named one. If only a part of all VMs hears
-nobody, its part of this comes on top of what the named VM sends."""
+"""The same for VMs without a known sender. If only some VMs are cut off, their
+part of this is added to the requests of the sender."""
 _BURST_SECONDS = 0.1
-"""Time whose requests may be sent at once, beside a single one."""
+"""The sender may send the requests of this time at once, plus one."""
 _SLOT_SECONDS = 0.5
-"""Longest slot. Slots that are not used are lost: if they were saved, all VMs
-would use theirs at the moment at which the named VM is lost."""
+"""Longest time slot. Unused slots expire: if they accumulated, all VMs would
+use theirs at once when the sender is lost."""
 _LEAST_RATE = 0.1
-"""Least requests a second. A target that gets none at all could never say that
-it takes more."""
+"""Least requests a second. A target that gets no requests could never report a
+higher limit."""
 _LIFT_SECONDS = 0.5
-"""How much newer news must be to lift or raise a limit that this VM has heard
-itself; their age leaves out how long they were on their way."""
+"""How much newer a peer's update must be to lift or raise a limit that this VM
+received itself: the age in an update leaves out its time in transit."""
 _AGAIN_SECONDS = 5.0
-"""How often it is reported that a limit still holds."""
+"""Interval of the reports that a limit still holds."""
 _LIFTED_SECONDS = 30.0
-"""For how long it is told that a limit has been lifted."""
+"""For this time a leader reports that a limit has been lifted."""
 _LOTS = 1 << 32
 
 
 class LimitNews(msgspec.Struct, frozen=True, array_like=True):
-    """What a target has said of its limit, as one VM tells another.
+    """A target's limit as VMs report it to each other.
 
     Attributes:
-        born: Which run of it.
-        rate: Requests a second from all VMs together; None if it names none.
-        age: Seconds since it was heard.
+        born: Incarnation of the target.
+        rate: Requests a second from all VMs together; None without a limit.
+        age: Seconds since a VM received it from the target.
     """
 
     born: int
@@ -54,20 +56,20 @@
 
 
 class Pace:
-    """Rate limiter of this VM for a target that has named a limit.
+    """Rate limiter of this VM for a target that has set a limit.
 
-    The named VM takes tokens from a bucket that holds few; any other VM has a
-    time slot in each period, at an offset of its own.
+    The sender uses a token bucket of small capacity. Any other VM has one time
+    slot in each period, at an offset of its own.
     """
 
     __slots__ = ("_at", "_offset", "_rate", "_tokens", "_used")
 
     def __init__(self, rate: float, offset: float, now: float) -> None:
-        """Makes one that has nothing saved.
+        """Makes a rate limiter without tokens.
 
         Args:
             rate: Requests a second from all VMs together.
-            offset: From 0 to 1, where in a period this VM has its slot.
+            offset: Position of this VM's time slot in a period, 0 to 1.
             now: The time.
         """
         self._rate = max(rate, _LEAST_RATE)
@@ -78,7 +80,7 @@
 
     @property
     def rate(self) -> float:
-        """Requests a second that the named VM sends or admits."""
+        """Requests a second that the sender sends or admits."""
         return self._rate * _SENDER_SHARE
 
     def set_rate(self, rate: float, now: float) -> None:
@@ -87,22 +89,22 @@
         self._rate = max(rate, _LEAST_RATE)
 
     def wait(self, now: float) -> float:
-        """Returns the seconds until the named VM may send or admit one."""
+        """Returns the seconds until the sender may send or admit a request."""
         self._refill(now)
         return max(1.0 - self._tokens, 0.0) / self.rate
 
     def take(self, now: float) -> None:
-        """Notes a request that the named VM sends or admits."""
+        """Records a request that the sender sends or admits."""
         self._refill(now)
         self._tokens -= 1.0
 
     def own_wait(self, vms: int, now: float, *, alone: bool = False) -> float:
-        """Returns the seconds until this VM may send one if it is not named.
+        """Returns the seconds until this VM, not the sender, may send.
 
         Args:
-            vms: How many VMs there are.
+            vms: Number of VMs.
             now: The time.
-            alone: Whether it knows of no named VM.
+            alone: Whether this VM knows of no sender.
         """
         turn, since, period = self._turn(vms, now, alone)
         if turn != self._used and since < min(_SLOT_SECONDS, period / 2):
@@ -110,13 +112,13 @@
         return period - since
 
     def take_own(self, vms: int, now: float, *, alone: bool = False) -> None:
-        """Notes a request that this VM sends without being named."""
+        """Records a request that this VM sends without being the sender."""
         self._used, _, _ = self._turn(vms, now, alone)
 
     def _turn(
         self, vms: int, now: float, alone: bool
     ) -> tuple[int, float, float]:
-        """Returns the number of the period, its age and its length."""
+        """Returns the number, age and length of the current period."""
         share = _ALONE_SHARE if alone else _OWN_SHARE
         period = vms / (self._rate * share)
         gone = now / period + self._offset
@@ -131,14 +133,14 @@
 
 
 class _Named:
-    """What one run of a target has said last.
+    """The limit that one incarnation of a target stated last.
 
     Attributes:
-        born: The run.
+        born: The incarnation.
         rate: Its limit, None for none.
-        since: When this VM first knew of it.
-        at: When it was said last.
-        pace: When this VM may send there, None without a limit.
+        since: When this VM first recorded this limit.
+        at: When the target stated it last.
+        pace: Rate limiter of this VM for the target, None without a limit.
     """
 
     __slots__ = ("at", "born", "pace", "rate", "since")
@@ -154,12 +156,12 @@
 
 
 class Limits:
-    """The limit that each target has named last."""
+    """The current rate limit of each target."""
 
     __slots__ = ("_here", "_known_at", "_limited", "_named", "_told")
 
     def __init__(self, here: str) -> None:
-        """Makes one that knows of none.
+        """Makes a record without limits.
 
         Args:
             here: Identifier of this VM.
@@ -184,7 +186,7 @@
 
         Args:
             target: Identifier of the target.
-            born: Which run of it.
+            born: Its incarnation.
         """
         known = self._named.get(target)
         if known is None or known.born != born:
@@ -194,14 +196,14 @@
     def rate_since(
         self, target: str, born: int, earliest: float
     ) -> float | None:
-        """Returns a limit if it was said since some time."""
+        """Returns a limit if the target stated it at `earliest` or later."""
         known = self._named.get(target)
         if known is None or known.at < earliest:
             return None
         return self.rate(target, born)
 
     def pace(self, target: str, born: int) -> Pace | None:
-        """Returns when this VM may send to a target, None without a limit."""
+        """Returns this VM's rate limiter for a target, None without a limit."""
         known = self._named.get(target)
         if known is None or known.born != born:
             return None
@@ -215,21 +217,21 @@
         sent_at: float,
         now: float,
     ) -> bool:
-        """Takes what a target says of its limit in an answer.
+        """Records the limit that a target states in a response.
 
-        Answers arrive in another order than they were made. A limit is raised
-        or lifted only by the answer to a request that was sent after it was
-        heard; a lower one counts at once.
+        Responses may arrive in another order than the target sent them. Only a
+        response to a request that was sent after the current limit was recorded
+        can raise or lift it; a lower limit applies at once.
 
         Args:
             target: Identifier of the target.
-            born: Which run of it.
-            rate: Requests a second, None if it names no limit.
-            sent_at: When the request was sent that it answers.
+            born: Its incarnation.
+            rate: Requests a second, None if the response states no limit.
+            sent_at: When the request of that response was sent.
             now: The time.
 
         Returns:
-            Whether that is news.
+            Whether this changes the limit.
         """
         known = self._named.get(target)
         if known is None:
@@ -245,7 +247,16 @@
         return self._set(target, born, rate, now, now)
 
     def learn(self, target: str, news: LimitNews, now: float) -> bool:
-        """Takes what another VM has heard; returns whether that is news."""
+        """Records a limit that another VM received.
+
+        Args:
+            target: Identifier of the target.
+            news: The limit.
+            now: The time.
+
+        Returns:
+            Whether this changes the limit.
+        """
         at = now - news.age
         known = self._named.get(target)
         if known is not None:
@@ -270,7 +281,7 @@
         now: float,
         at: float,
     ) -> bool:
-        """Keeps what a run says; returns whether a limit has changed."""
+        """Stores an incarnation's limit; returns whether a limit changed."""
         former = self._named.get(target)
         made = self._named[target] = _Named(born, rate, now, at)
         if rate is not None:
@@ -283,7 +294,7 @@
         return rate is not None or bool(former and former.rate is not None)
 
     def news(self, now: float) -> dict[str, LimitNews]:
-        """Returns what a leader tells of all targets."""
+        """Returns the limits that a leader sends to all VMs."""
         return {
             name: _news(known, now)
             for name, known in self._named.items()
@@ -291,12 +302,12 @@
         }
 
     def take_told(self, told: Mapping[str, LimitNews], now: float) -> None:
-        """Notes what the leader knows, whether or not it is news here."""
+        """Records the leader's limits, including those known here."""
         self._told = dict(told)
         self._known_at = now
 
     def unknown_to_leader(self, now: float) -> dict[str, LimitNews]:
-        """Returns what this VM reports: what its leader does not know."""
+        """Returns the limits that the leader lacks, for this VM's report."""
         return {
             name: _news(known, now)
             for name, known in self._named.items()
@@ -311,10 +322,10 @@
         return told.rate != known.rate or known.at > at + _AGAIN_SECONDS
 
     def forget_except(self, targets: Mapping[str, int]) -> None:
-        """Drops targets that are gone and runs that are over.
+        """Drops targets that no longer exist and ended incarnations.
 
         Args:
-            targets: Present runs by target.
+            targets: Present incarnations by target.
         """
         self._named = {
             name: known
@@ -324,7 +335,7 @@
         self._limited = sum(n.rate is not None for n in self._named.values())
 
     def dump(self) -> dict[str, float]:
-        """Returns the limits that are in force, by target."""
+        """Returns the limits in force by target."""
         return {
             name: known.rate
             for name, known in self._named.items()
@@ -333,7 +344,7 @@
 
 
 def _lifts(rate: float | None, known: float | None) -> bool:
-    """Whether one limit allows more than another."""
+    """Whether a rate allows more than the recorded one."""
     if known is None:
         return False
     return rate is None or rate > known
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/patience.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/patience.py
@@ -1,20 +1,21 @@
-"""How long a caller has been trying already, as its deadline shows.
+"""Estimates from its deadline how long a caller has been retrying.
 
-Callers send how long they will wait. One that was refused or got no answer
-comes again with what is left of that, so its deadline is well below what others
-of its route send. Its answer can be late though this attempt has just begun.
+Callers send the time for which they will wait. A caller that was refused or got
+no response retries with the rest of that time, so its deadline is well below
+those of other requests on its route. Its response can be late although this
+attempt has just begun.
 """
 
 _DECAY = 0.002
-"""Part by which each request lowers the longest deadline that is remembered,
-so that it follows callers that change: some hundred requests."""
+"""Share by which each request lowers the recorded longest deadline. The record
+follows a change of callers within some hundred requests."""
 _SPREAD = 0.25
-"""Share by which deadlines of first attempts may differ: callers do not all
-wait equally long."""
+"""Share by which deadlines of first attempts may differ: not all callers wait
+equally long."""
 
 
 class Patience:
-    """Deadlines of one route's callers."""
+    """The deadlines of one route's callers."""
 
     __slots__ = ("_longest",)
 
@@ -22,14 +23,14 @@
         self._longest = 0.0
 
     def tried_for(self, deadline: float) -> float:
-        """Takes a request's deadline.
+        """Records a request's deadline and estimates the retry time.
 
         Args:
             deadline: Seconds that its caller will wait.
 
         Returns:
-            Seconds for which its caller has been trying, at least; 0 for what
-            seems to be a first attempt.
+            Least number of seconds for which the caller has been retrying; 0
+            for an apparent first attempt.
         """
         self._longest = max(self._longest * (1 - _DECAY), deadline)
         usual = self._longest * (1 - _SPREAD)
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/reported.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/reported.py
@@ -1,20 +1,20 @@
-"""What a target says of itself in its answers."""
+"""Feedback on a target's own state in its responses."""
 
 import msgspec
 
 _SLOWNESS_SECONDS = 0.2
-"""Time for which a target that is slow now can be expected to stay so."""
+"""Expected duration of a target's current slowness."""
 
 
 class TargetLoad(msgspec.Struct, frozen=True):
-    """A target's load at the moment of its answer.
+    """The load of a target at the time of its response.
 
     Attributes:
-        running: Requests that it runs.
-        waiting: Requests that wait for a slot there.
-        slots: Requests that it can run at a time.
-        slowness: How many times as long as usual work takes at the moment;
-            targets share their machines with others.
+        running: Number of requests that it runs.
+        waiting: Number of requests that wait for a slot there.
+        slots: Number of requests that it can run at a time.
+        slowness: Current service time as a multiple of the usual one; targets
+            share their machines with other programs.
     """
 
     running: int
@@ -24,18 +24,19 @@
 
     @property
     def runs(self) -> float:
-        """Runs that another request takes: its own and those before it."""
+        """Service times until another request ends, its own included."""
         ahead = max(self.running + self.waiting + 1 - self.slots, 0)
         return 1 + ahead / self.slots
 
     def seconds(self, work: float) -> float:
-        """Returns the time until it has answered another request.
+        """Returns the time until the target has answered another request.
 
-        Its slowness changes several times a second: it delays what runs now,
-        and says nothing of what will run when the queue has moved on.
+        The slowness changes several times a second. It delays the requests that
+        run now, but not those that run after the queue has advanced.
 
         Args:
-            work: Seconds of such a request there when it is as fast as usual.
+            work: Usual service time of such a request at the target, in
+                seconds.
         """
         usual = work * self.runs
         slowed = usual * (self.slowness - 1)
@@ -44,17 +45,17 @@
 
 
 class Notice(msgspec.Struct, frozen=True):
-    """What a target says in an answer that concerns other requests as well.
+    """Target feedback: statements of a response beyond its own request.
 
     Attributes:
-        load: The target's load, None if it does not say.
-        limit: Requests a second that it takes from all VMs together, None if
-            it names none that can be read.
-        names_limit: Whether it names a limit, readable or not.
-        leaving: Whether it says that it is about to end.
-        rest: Seconds for which it wants nothing from the VM that it answers,
-            where it turns a request away; None if it does not say.
-        unreadable: Headers whose values make no sense, by name.
+        load: The target's load, None if not stated.
+        limit: Requests a second that the target takes from all VMs together,
+            None if it states no readable limit.
+        names_limit: Whether it states a limit, readable or not.
+        leaving: Whether it states that it is about to end.
+        rest: Backoff in seconds that it asks of the receiving VM when it
+            rejects a request; None if not stated.
+        unreadable: Names and values of headers with invalid values.
     """
 
     load: TargetLoad | None = None
@@ -66,11 +67,11 @@
 
 
 class HealthReport(msgspec.Struct, frozen=True):
-    """An answer to a health check.
+    """The response to a health check.
 
     Attributes:
-        notice: What it says beside the check's result.
-        cold_seconds: For how long it stays cold, None if it does not say.
+        notice: The target's feedback besides the result of the check.
+        cold_seconds: For how long the target stays cold, None if not stated.
     """
 
     notice: Notice = Notice()
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/rests.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/rests.py
@@ -1,20 +1,21 @@
-"""Backoff that targets ask this VM for, with the rejection of a request."""
+"""Backoff that targets ask of this VM when they reject a request."""
 
 import msgspec
 
 _LONG_SECONDS = 2.0
-"""Rest from which keys should move: a move takes about a second."""
+"""Least length of a backoff for which keys should move: a move takes about a
+second."""
 _LEFT_SECONDS = 0.5
-"""Rest that is left from which a move of keys is too late."""
+"""With less than this left of a backoff, it is too late to move keys."""
 
 
 class _Rest(msgspec.Struct, frozen=True):
-    """What one run of a target has asked for.
+    """The backoff that one incarnation of a target has asked for.
 
     Attributes:
-        born: The run.
-        began: When it was asked for.
-        ends: Until when it wants nothing.
+        born: The incarnation.
+        began: When the backoff began.
+        ends: When the backoff ends.
     """
 
     born: int
@@ -23,29 +24,30 @@
 
 
 class Rests:
-    """Until when each target wants nothing from this VM.
+    """The current backoff of this VM for each target.
 
-    It concerns one VM alone: a target may reject whoever sends most.
+    A backoff applies to one VM only: a target may reject just the VM that sends
+    most.
     """
 
     __slots__ = ("_rests",)
 
     def __init__(self) -> None:
-        """Makes one that knows of none."""
+        """Makes a record without backoffs."""
         self._rests: dict[str, _Rest] = {}
 
     @property
     def any(self) -> bool:
-        """Whether any target may rest."""
+        """Whether a backoff of any target may be in force."""
         return bool(self._rests)
 
     def ask(self, target: str, born: int, seconds: float, now: float) -> None:
-        """Takes a target's word; the longest one counts.
+        """Records a backoff; the one that ends last applies.
 
         Args:
             target: Identifier of the target.
-            born: Which run of it.
-            seconds: For how long it wants nothing.
+            born: Its incarnation.
+            seconds: Length of the backoff.
             now: The time.
         """
         ends = now + seconds
@@ -53,7 +55,7 @@
             self._rests[target] = _Rest(born, now, ends)
 
     def left(self, target: str, born: int, now: float) -> float:
-        """Returns for how many seconds a run of a target gets nothing."""
+        """Returns the seconds for which an incarnation gets no requests."""
         rest = self._rests.get(target)
         if rest is None or rest.born != born:
             return 0.0
@@ -63,9 +65,9 @@
         return rest.ends - now
 
     def long(self, now: float) -> dict[str, float]:
-        """Returns the seconds left of rests for which keys should move.
+        """Returns the seconds left of backoffs for which keys should move.
 
-        Those that have ended are forgotten.
+        Ended backoffs are dropped.
         """
         self._rests = {n: r for n, r in self._rests.items() if r.ends > now}
         return {
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/room.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/room.py
@@ -1,10 +1,10 @@
-"""Which target takes a request now, or how long it has to wait for one.
+"""Chooses a target for each request by load, and estimates waiting times.
 
-What a VM knows of a target: its own requests under way there, exactly; those
-of the other VMs, some tenths of a second old; how much slower or faster than
-the mean it answers; and how it failed lately. From these follows when an
-answer could be expected, and the target with the earliest one is taken, with a
-handicap for zones and regions that have to be crossed.
+A VM has these data on a target: its own requests in progress there, exactly;
+those of the other VMs, some tenths of a second old; the target's response time
+relative to the mean; and its recent failures. From them it estimates the time
+to a response and takes the target with the shortest one. Targets in other zones
+and regions get a handicap.
 """
 
 from collections.abc import Iterable
@@ -16,65 +16,72 @@
 from mimosastile_core.gateway import reported
 
 _SMOOTHING = 0.15
-"""Weight of one answer in the mean: some seven answers to follow a change."""
+"""Weight of one response in the mean: the mean follows a change within about
+seven responses."""
 _FACTOR_BOUNDS = (0.2, 20.0)
 _TROUBLE_HALF_LIFE = 2.0
-"""Seconds in which the memory of failures halves."""
+"""Half-life, in seconds, of the recorded failure share."""
 _TROUBLE_WEIGHT = 4.0
-"""A target that fails always counts as five times as slow."""
+"""A target that always fails counts as five times as slow."""
 _REST_SECONDS = 0.5
 _REST_MOST_SECONDS = 4.0
-"""How long a target is left alone after it could not be reached; doubles."""
+"""Longest backoff after a target could not be reached. The backoff starts at
+`_REST_SECONDS` and doubles with each failure."""
 _EVEN_SHARE = 2.0
-"""How many times its even part a VM may have at a target that has no gate."""
+"""A VM may have this many times its even share of the requests at a target
+without an admission gate."""
 _TURN_RUNS = 2.0
-"""Runs of a full target's slots after which one of this VM's requests gets its
-turn, while nobody knows what the other VMs have waiting."""
+"""Number of service times, divided by the slots, after which one of this VM's
+requests may expect a slot at a full target without a gate. What other VMs have
+waiting there is unknown."""
 _GATE_REST = 1.0
-"""Seconds for which a gate that did not answer is not asked."""
+"""Backoff, in seconds, after an admission gate did not respond."""
 _ON_TIME_SHARE = 0.75
-"""Part of the time within which an answer is on time that it may be expected to
-take; requests differ in their work."""
+"""Share of the remaining on-time budget that the estimated response time may
+take. The margin covers the variance of service times."""
 _LATE_WAITING = 1
-"""Requests that wait at a target to which one is sent that will be late."""
+"""A request that will be late is sent to a target only if at most this many
+requests wait there."""
 _DISTANCE_STEP = 0.1
-"""Seconds of handicap that make one target farther away than another."""
+"""Size, in seconds of handicap, of one distance rank."""
 _SILENT_REST = 0.3
-"""How long a target is left alone that did not say its load in time: a full one
-answers nothing new until a request ends."""
+"""Backoff, in seconds, after a target did not report its load in time. A full
+target answers no new request until one of its requests ends."""
 _OTHERS_FRESH_SECONDS = 1.5
-"""Age up to which counts of other VMs are believed."""
+"""Oldest age at which the counts of other VMs are used."""
 
 
 _ALIKE = 0.5
-"""How far other VMs are reckoned to choose as this one: they stand elsewhere,
-and their callers come at other times."""
+"""Estimated share of other VMs that choose the same target as this one. They
+are located elsewhere, and their callers' requests come at other times."""
 
 
 class Policy(msgspec.Struct, frozen=True):
-    """How far targets are filled and what distance costs.
+    """Limits on the load of targets, and the cost of distance.
 
     Attributes:
         queue: Requests that may wait at a target beyond its slots. Targets
-            queue more, but some never answer one that they cannot queue, and
-            counts of other VMs are a little old; half of their queue is kept
-            free for that.
-        admitted: The same at a target with a gate, whose counts are exact:
-            just enough for no slot to be idle while a place that is given
-            back is on its way to the next request. What waits at the gate
-            instead can still be put in order, refused or sent elsewhere.
+            queue more, but some never answer a request that they cannot queue,
+            and counts of other VMs are slightly old. Half of the targets' queue
+            is kept free as a margin.
+        admitted: The same for a target with an admission gate, whose counts are
+            exact. It is just enough to keep all slots busy while a returned
+            permit is on its way to the next request. A request that waits at
+            the gate instead can still be reordered, refused or sent elsewhere.
         zone_seconds: Handicap of another zone of the same region.
         region_seconds: Handicap of another region.
-        zone_bytes_per_second: Bytes to and from another zone cost a second
-            per this many.
+        zone_bytes_per_second: Adds a second of handicap per this many bytes to
+            and from another zone.
         region_bytes_per_second: The same for another region.
-        zone_share: Part of a route's target latency that the handicap of
-            another zone reaches at most. Within it a caller is as well served
-            by a target nearby that is slower or has others waiting, and what
-            crosses zones is paid for by volume; above it answers come late.
+        zone_share: Upper bound on the handicap of another zone, as a share of
+            the route's target latency. Within the target latency, a nearby
+            target that is slower or has a queue serves a caller as well, and
+            traffic between zones is billed by volume. Beyond it, responses are
+            late.
         region_share: The same for another region.
-        probes: Targets whose present load is asked for before a request that
-            several may run is sent, where targets report it; 0 for none.
+        probes: Number of targets whose current load is requested before a
+            request that several targets may run is sent, where targets report
+            their load; 0 for none.
     """
 
     queue: int = 6
@@ -89,14 +96,14 @@
 
 
 class Place(msgspec.Struct, frozen=True):
-    """Where something stands."""
+    """A location."""
 
     zone: str
     region: str
 
 
 class Load:
-    """What this VM knows of one target."""
+    """The load and health of one target as recorded by this VM."""
 
     __slots__ = (
         "_rests",
@@ -126,35 +133,37 @@
         self._rests = 0
 
     def under_way(self, now: float) -> int:
-        """Returns the requests under way there, of all VMs."""
+        """Returns the number of requests in progress there, of all VMs."""
         fresh = now - self.others_at < _OTHERS_FRESH_SECONDS
         return self.own + (self.others if fresh else 0)
 
     def begin(self) -> None:
-        """Notes a request that is sent there."""
+        """Records that a request is sent to the target."""
         self.own += 1
         self.sent += 1
 
     def end(self) -> None:
-        """Notes that a request is over."""
+        """Records that a request has ended."""
         self.own -= 1
 
     def reckoned(
         self, least_sent: int, slots: int, vms: int, now: float
     ) -> float:
-        """Returns the requests under way there, as they may be by now.
+        """Estimates the number of requests in progress there now.
 
-        The counts of other VMs are some tenths of a second old. All find the
-        same target empty and choose it, and it resets what it cannot queue.
-        What this VM has sent there since, beyond what it has sent to others
-        beside it, other VMs will have sent as well.
+        The counts of other VMs are some tenths of a second old. In that time
+        all VMs may see the same target as empty and choose it, and it resets
+        what it cannot queue. The estimate assumes that other VMs have also sent
+        there what this VM has sent beyond its requests to the least used
+        neighbor.
 
         Args:
-            least_sent: What it has sent since to the one beside it that got
-                least. Without that, targets far away would seem emptier.
-            slots: Requests that it runs at a time; more than these are not
-                supposed without a count.
-            vms: How many VMs there are.
+            least_sent: The least number of requests that this VM has sent since
+                the last counts to a target of the same zone. Without this
+                correction, targets far away would seem emptier.
+            slots: Number of requests that the target runs at a time; upper
+                bound on the requests that are estimated without a count.
+            vms: Number of VMs.
             now: The time.
         """
         unseen = _ALIKE * (self.sent - least_sent) * (vms - 1)
@@ -166,17 +175,17 @@
         return self._trouble * math.exp2(-age / _TROUBLE_HALF_LIFE)
 
     def answered(self, seconds: float, work: float, now: float) -> None:
-        """Notes an answer.
+        """Records a response and its service time.
 
         Args:
-            seconds: Time that it took, without waiting at the target.
-            work: Mean time of such requests at all targets.
+            seconds: Service time, without queueing at the target.
+            work: Mean service time of such requests at all targets.
             now: The time.
         """
         low, high = _FACTOR_BOUNDS
         ratio = min(max(seconds / max(work, 1e-3), low), high)
-        # One request in a hundred takes several times as long; a few of them
-        # do not make a target slow.
+        # One request in a hundred takes several times as long. A few of them do
+        # not make a target slow.
         step = max(_SMOOTHING, 1 / (self.samples + 1))
         ratio = min(ratio, 3 * self.factor)
         self.factor += (ratio - self.factor) * step
@@ -184,23 +193,23 @@
         self.well(now)
 
     def well(self, now: float) -> None:
-        """Notes that it answers, whatever that took."""
+        """Records that the target responded, with any service time."""
         self._note(0.0, now)
         self._rests = 0
 
     def failed(self, now: float) -> None:
-        """Notes a failure or a rejection."""
+        """Records a failure or a rejection."""
         self._note(1.0, now)
 
     def unreachable(self, now: float) -> None:
-        """Notes that it could not be reached at all."""
+        """Records that the target could not be reached, and backs off."""
         self._note(1.0, now)
         rest = min(_REST_SECONDS * 2**self._rests, _REST_MOST_SECONDS)
         self.rest_until = now + rest
         self._rests = min(self._rests + 1, 8)
 
     def silent(self, now: float) -> None:
-        """Notes that it did not say its load in time."""
+        """Records that the target did not report its load in time."""
         self.rest_until = max(self.rest_until, now + _SILENT_REST)
 
     def _note(self, value: float, now: float) -> None:
@@ -210,13 +219,14 @@
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """What was found for a request.
+    """The result of choosing a target for a request.
 
     Attributes:
-        target: The target; None if it has to wait or cannot be served.
-        seconds: Expected time to its answer, or until there is room.
-        runs: Runs that this time takes with those that wait there; 0 if the
-            target has not said so.
+        target: The target; None if the request has to wait or cannot be served.
+        seconds: Expected time to the response or, without a target, until one
+            has capacity.
+        runs: The expected time as a number of service times, including those of
+            requests that wait there; 0 if the target has not reported its load.
     """
 
     target: directory.Target | None
@@ -225,7 +235,7 @@
 
 
 class Rooms:
-    """Loads of all targets, and the choice among them."""
+    """Load balancer: the loads of all targets, and the choice among them."""
 
     __slots__ = (
         "_gates",
@@ -242,12 +252,12 @@
     def __init__(
         self, here: Place, regions: dict[str, str], policy: Policy
     ) -> None:
-        """Makes one that knows nothing.
+        """Makes a balancer without any recorded load.
 
         Args:
-            here: Where this VM stands.
+            here: Location of this VM.
             regions: Region of each zone.
-            policy: How far targets are filled and what distance costs.
+            policy: Limits on the load of targets, and the cost of distance.
         """
         self._here = here
         self._regions = regions
@@ -260,14 +270,14 @@
         self._silent_gates: dict[str, float] = {}
 
     def load(self, target: str) -> Load:
-        """Returns what is known of a target."""
+        """Returns the recorded load of a target."""
         found = self._loads.get(target)
         if found is None:
             found = self._loads[target] = Load()
         return found
 
     def forget_except(self, targets: Iterable[str]) -> None:
-        """Drops targets that are gone."""
+        """Drops targets that no longer exist and have no own requests."""
         kept = set(targets)
         self._loads = {
             name: load
@@ -276,11 +286,14 @@
         }
 
     def own(self) -> dict[str, int]:
-        """Returns this VM's requests under way by target."""
+        """Returns this VM's requests in progress by target."""
         return {name: x.own for name, x in self._loads.items() if x.own}
 
     def factors(self) -> dict[str, float]:
-        """Returns how slow targets are, where this has been seen."""
+        """Returns each target's service time relative to the mean.
+
+        Targets without a measured response are left out.
+        """
         return {
             name: round(load.factor, 2)
             for name, load in self._loads.items()
@@ -289,11 +302,11 @@
 
     @property
     def policy(self) -> Policy:
-        """How far targets are filled and what distance costs."""
+        """Limits on the load of targets, and the cost of distance."""
         return self._policy
 
     def reports_load(self, service: str) -> bool:
-        """Whether targets of a service have said what their load is."""
+        """Whether any target of a service has reported its load."""
         return service in self._reporting
 
     def learn_load(
@@ -301,7 +314,7 @@
         target: directory.Target,
         said: reported.TargetLoad,
     ) -> None:
-        """Takes what a target has said of its load.
+        """Records the load that a target reported.
 
         Args:
             target: The target.
@@ -314,12 +327,13 @@
     def distance(
         self, target: directory.Target, route: str, latency: float
     ) -> int:
-        """Returns how far away a target is, in steps that matter.
+        """Returns the distance rank of a target.
 
         Args:
             target: The target.
-            route: Route of the request; what is large has farther to go.
-            latency: Time in seconds within which an answer is on time.
+            route: Route of the request; a larger mean size makes targets in
+                other zones more distant.
+            latency: Time in seconds within which a response is on time.
         """
         away = self._handicap(target, self.size(route), latency)
         return int(away / _DISTANCE_STEP)
@@ -335,20 +349,21 @@
         left: float,
         latency: float = math.inf,
     ) -> Choice:
-        """Returns the best of some targets that have just said their load.
+        """Returns the best of the targets that have just reported their load.
 
-        A target is full if a request would be answered late there. One that
-        is late in any case gets what the others leave over.
+        A target is left out if a request would be answered late there. A
+        request that is late in any case is only sent to a target that has a
+        short queue and can respond before the deadline.
 
         Args:
             targets: The targets.
             route: The request's route.
-            guess: Time in seconds that it takes if none was seen yet.
-            most_own: Requests of this VM that one target may have.
+            guess: Service time in seconds to assume if none was measured yet.
+            most_own: Most requests of this VM at one target.
             now: The time.
-            on_time: Seconds within which its answer is on time.
-            left: Seconds until its deadline.
-            latency: Time in seconds within which an answer is on time.
+            on_time: Seconds within which the response is on time.
+            left: Seconds until the request's deadline.
+            latency: Time in seconds within which a response is on time.
         """
         best: tuple[float, Choice] | None = None
         soonest = math.inf
@@ -377,7 +392,7 @@
         return best[1] if best else Choice(None, soonest)
 
     def learn_others(self, totals: dict[str, int], now: float) -> None:
-        """Takes the other VMs' counts; targets that are not named have 0."""
+        """Records the other VMs' counts; unnamed targets have 0."""
         for name, load in self._loads.items():
             load.others = totals.get(name, 0)
             load.others_at = now
@@ -389,16 +404,16 @@
                 load.others_at = now
 
     def learn_gates(self, gates: dict[str, str], now: float) -> None:
-        """Takes the addresses of VMs that admit to contended targets."""
+        """Records the addresses of all contended targets' admission gates."""
         self._gates = gates
         self._gates_at = now
 
     def learn_new_gates(self, gates: dict[str, str]) -> None:
-        """Takes gates beside the known ones, of targets just contended."""
+        """Adds the gates of targets that have just become contended."""
         self._gates = {**self._gates, **gates}
 
     def gate(self, target: str, now: float) -> str | None:
-        """Returns who admits to a target, None if it has no gate."""
+        """Returns the address of a target's gate, None without a usable one."""
         if now - self._gates_at > _OTHERS_FRESH_SECONDS:
             return None
         found = self._gates.get(target)
@@ -407,28 +422,28 @@
         return found
 
     def gate_silent(self, gate: str, now: float) -> None:
-        """Notes that a gate did not answer."""
+        """Records that a gate did not respond."""
         self._silent_gates[gate] = now + _GATE_REST
 
     def turn_seconds(
         self, target: directory.Target, route: str, guess: float
     ) -> float:
-        """Returns how soon this VM gets a turn at a full target without gate.
+        """Estimates the wait for a slot at a full target without a gate.
 
         Args:
             target: The target.
             route: The request's route.
-            guess: Time in seconds that it takes if none was seen yet.
+            guess: Service time in seconds to assume if none was measured yet.
         """
         work = self.work(route, guess) * self.load(target.id).factor
         return _TURN_RUNS * work / target.slots
 
     def work(self, route: str, guess: float) -> float:
-        """Returns the mean time in seconds that a route's requests take."""
+        """Returns the mean service time in seconds of a route's requests."""
         return self._work.get(route, (guess, 0.0))[0]
 
     def size(self, route: str) -> float:
-        """Returns the mean bytes of a route's requests and answers."""
+        """Returns the mean bytes of a route's requests and responses."""
         return self._work.get(route, (0.0, 0.0))[1]
 
     def answered(
@@ -441,16 +456,16 @@
         *,
         waited: bool = False,
     ) -> None:
-        """Notes a whole answer.
+        """Records a complete response.
 
         Args:
             route: The request's route.
-            target: Who answered.
-            seconds: Time from sending to the answer's end.
-            size: Bytes of the request and the answer.
+            target: Identifier of the target.
+            seconds: Time from sending to the end of the response.
+            size: Bytes of the request and the response.
             now: The time.
-            waited: Whether it may have waited at the target, which says
-                nothing about how fast that is.
+            waited: Whether the request may have been queued at the target. Its
+                time then says nothing about the target's speed.
         """
         mean, bytes_mean = self._work.get(route, (seconds, float(size)))
         load = self.load(target)
@@ -472,7 +487,7 @@
         vms: int,
         now: float,
     ) -> float:
-        """Returns the time in seconds to an answer if it were sent now."""
+        """Estimates the seconds to a response if the request were sent now."""
         load = self.load(target.id)
         work = self.work(route, guess) * load.factor
         if now < target.warm_at and load.samples < 5:
@@ -483,7 +498,7 @@
         return (work + wait) * (1 + _TROUBLE_WEIGHT * load.trouble(now))
 
     def full(self, target: directory.Target, most_own: int, now: float) -> bool:
-        """Whether a target should get nothing more at the moment."""
+        """Whether a target should get no further request at the moment."""
         load = self.load(target.id)
         limit = target.slots + self._policy.queue
         return load.own >= most_own or load.under_way(now) >= limit
@@ -491,21 +506,21 @@
     def full_owner(
         self, target: directory.Target, vms: int, now: float
     ) -> bool:
-        """Whether the only target for a key should get nothing more now.
+        """Whether the only target for a key should get no further request.
 
-        Requests for one key cannot go elsewhere, so all VMs may want the same
-        target at once. Before it has a gate, and while that is not reached,
-        each keeps to twice its even part: together they then fill a target's
-        own queue at most.
+        Requests for one key cannot go elsewhere, so all VMs may send to the
+        same target at once. While it has no reachable admission gate, each VM
+        keeps to twice its even share: together they then fill the target's own
+        queue at most.
 
         Args:
             target: The target.
-            vms: How many VMs there are.
+            vms: Number of VMs.
             now: The time.
         """
         load = self.load(target.id)
         if load.under_way(now) < target.slots:
-            # As far as is known a slot is free.
+            # A slot is free according to the current counts.
             return False
         limit = target.slots + self._policy.queue
         even = max(1, round(_EVEN_SHARE * limit / vms))
@@ -522,17 +537,17 @@
         jitter: float,
         latency: float = math.inf,
     ) -> Choice:
-        """Returns the target for a request that any of some may run.
+        """Returns the best target for a request that several may run.
 
         Args:
-            targets: Those that may run it.
+            targets: The targets that may run it.
             route: Its route.
-            guess: Time in seconds that it takes if none was seen yet.
-            most_own: Requests of this VM that one target may have.
-            vms: How many VMs there are.
+            guess: Service time in seconds to assume if none was measured yet.
+            most_own: Most requests of this VM at one target.
+            vms: Number of VMs.
             now: The time.
-            jitter: From 0 to 1, keeps VMs from all choosing the same one.
-            latency: Time in seconds within which an answer is on time.
+            jitter: From 0 to 1; keeps VMs from all choosing the same target.
+            latency: Time in seconds within which a response is on time.
         """
         best: tuple[float, float, directory.Target] | None = None
         soonest = math.inf
@@ -559,7 +574,7 @@
     def _least_sent(
         self, targets: Iterable[directory.Target]
     ) -> dict[str, int]:
-        """Returns the least that was sent to a target, by zone."""
+        """Returns the fewest requests sent to any target, by zone."""
         least: dict[str, int] = {}
         for target in targets:
             sent = self.load(target.id).sent
@@ -569,7 +584,7 @@
     def _handicap(
         self, target: directory.Target, size: float, latency: float
     ) -> float:
-        """Returns what distance costs, in seconds."""
+        """Returns the cost of distance in seconds."""
         policy = self._policy
         if target.zone == self._here.zone:
             return 0.0
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/routes.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/routes.py
@@ -1,4 +1,4 @@
-"""Routes of callers' requests: host and longest prefix to a service."""
+"""Routes from a request's host and longest path prefix to a service."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated on a route."""
+    """Whether requests of a route may be repeated."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -19,11 +19,11 @@
 
 
 class Part(msgspec.Struct, frozen=True):
-    """One of the services that a route divides its requests among.
+    """One of the services among which a route divides its requests.
 
     Attributes:
         service: Name of the service.
-        weight: Its share is this over the sum of all parts' weights.
+        weight: The service's share is this over the sum of all weights.
     """
 
     service: str
@@ -31,16 +31,16 @@
 
 
 class Route(msgspec.Struct, frozen=True):
-    """How requests of one host under one prefix are treated.
+    """Settings for the requests of one host and path prefix.
 
     Attributes:
         name: Name in logs.
-        host: Host header that it applies to, in lower case.
+        host: Host header that the route applies to, in lower case.
         prefix: Path prefix; begins and ends with a slash.
-        kind: What may be repeated.
+        kind: Whether requests may be repeated.
         parts: Services that its requests go to, at least one.
-        timeout: Longest time in seconds from arrival to the final answer.
-        target_latency: Time in seconds within which an answer is on time.
+        timeout: Longest time in seconds from arrival to the final response.
+        target_latency: Time in seconds within which a response is on time.
         attempts: Most targets that one request may be sent to.
         priority: Rank; 0 is the most urgent.
         regions: Regions in which its requests may be run; empty for any.
@@ -59,17 +59,18 @@
 
 
 class Service(msgspec.Struct, frozen=True):
-    """One service behind the gateway.
+    """A service behind the gateway.
 
     Attributes:
         name: Its name.
         health_path: Path of its health check.
         connections: Connections that one target takes from all callers.
         keyed: Whether its targets own ranges of keys.
-        warm_seconds: How long keys are slow that come without a handover.
-        cold_seconds: How long a target is cold after its start.
-        cold_rate: Requests a second that a cold target tolerates; 0 if they
-            need no bound.
+        warm_seconds: For how long keys are slow at a new owner that got them
+            without a handover.
+        cold_seconds: For how long a target is cold after its start.
+        cold_rate: Requests a second that a cold target tolerates; 0 for no
+            bound.
     """
 
     name: str
@@ -82,13 +83,13 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True):
-    """Bounds on what a caller may send.
+    """Limits on the requests of a caller.
 
     Attributes:
         header_bytes: Largest head of a request.
         body_bytes: Largest body.
         header_seconds: Longest time for a head to arrive.
-        idle_seconds: Longest time that a connection may rest.
+        idle_seconds: Longest time that a connection may be idle.
     """
 
     header_bytes: int = 16 << 10
@@ -98,13 +99,13 @@
 
 
 class Configuration(msgspec.Struct, frozen=True):
-    """What operators have decided, as one version.
+    """One version of the operators' configuration.
 
     Attributes:
-        version: Rises with each change.
+        version: Increases with each change.
         routes: All routes.
-        services: By name.
-        limits: Bounds on callers.
+        services: Services by name.
+        limits: Limits on callers.
     """
 
     version: int
@@ -123,7 +124,7 @@
 
         Args:
             routes: All routes; of two with the same host and prefix the last
-                one counts.
+                one applies.
         """
         self._by_host: dict[str, dict[str, Route]] = {}
         for route in routes:
@@ -131,7 +132,7 @@
             prefixes[route.prefix] = route
 
     def find(self, host: str, path: str) -> Route | None:
-        """Returns the route with the longest prefix that begins the path.
+        """Returns the route with the longest prefix of the path.
 
         Args:
             host: Host header; a port in it is ignored.
@@ -150,11 +151,11 @@
 
 
 class WeightedShares:
-    """Deals a route's requests out among its parts in exact proportion.
+    """Divides a route's requests among its parts in exact proportion.
 
     Smooth weighted round robin: after any number of requests each part is less
-    than one request off its share. Drawing parts at random would be off by
-    several in a hundred over a few hundred requests.
+    than one request off its share. Random selection of the parts would be off
+    by several percent over a few hundred requests.
     """
 
     __slots__ = ("_credits",)
@@ -177,6 +178,6 @@
         return parts[best].service
 
     def keep(self, routes: tuple[Route, ...]) -> None:
-        """Forgets routes that are not configured any more."""
+        """Drops the state of routes that are no longer configured."""
         known = {(route.name, route.parts) for route in routes}
         self._credits = {k: v for k, v in self._credits.items() if k in known}
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/sampling.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/sampling.py
@@ -1,9 +1,9 @@
-"""Which few targets a VM compares for a request.
+"""Selects the few targets whose loads a VM compares for a request.
 
-With hundreds of VMs nobody knows the present load of all targets: counts that
-travel are older than a request takes. Comparing the present load of a few
-targets chosen at random comes close to knowing all of them, and its cost does
-not depend on the number of VMs or targets.
+With hundreds of VMs, no VM has the current load of all targets: reported counts
+are older than the duration of a request. Comparing the current load of a few
+randomly chosen targets (the power of two choices) comes close to knowing all
+loads, and its cost does not depend on the number of VMs or targets.
 
 Each VM draws from a subset of the targets, so that its connections to them are
 used often enough to stay open. Subsets differ between VMs and overlap.
@@ -20,15 +20,15 @@
 from mimosastile_core.gateway import directory
 
 _SUBSET = 8
-"""Targets of one distance that a VM draws from."""
+"""Number of targets at each distance that a VM draws from."""
 
 
 class Pool(msgspec.Struct, frozen=True):
-    """Targets that a VM draws samples from.
+    """The targets that a VM draws samples from.
 
     Attributes:
-        nearest: Those that are as near as any.
-        all: All of them, the nearest included.
+        nearest: The targets at the smallest distance.
+        all: All of the targets, the nearest included.
     """
 
     nearest: tuple[directory.Target, ...]
@@ -40,12 +40,12 @@
     vm: str,
     distance: Callable[[directory.Target], int],
 ) -> Pool:
-    """Returns a VM's subset of some targets.
+    """Returns a VM's subset of the targets.
 
     Args:
-        targets: All that may be used.
+        targets: All targets that may be used.
         vm: Identifier of the VM.
-        distance: Returns how far away a target is, as a rank.
+        distance: Returns the distance rank of a target.
     """
     ordered = sorted(
         targets,
@@ -64,11 +64,11 @@
     random: Callable[[], float],
     excluded: Callable[[directory.Target], bool],
 ) -> list[directory.Target]:
-    """Returns different targets to compare, the nearest ones if there are any.
+    """Draws different targets to compare, the nearest ones first.
 
     Args:
-        drawn: Where they are drawn from.
-        count: How many are wanted.
+        drawn: The targets to draw from.
+        count: Number of targets to draw.
         random: Returns a number from 0 to 1.
         excluded: Whether a target is left out.
     """
@@ -85,7 +85,7 @@
     count: int,
     random: Callable[[], float],
 ) -> list[directory.Target]:
-    """Returns some of the targets, all with the same probability."""
+    """Draws up to `count` targets, all with the same probability."""
     left = list(targets)
     return [
         left.pop(min(int(random() * len(left)), len(left) - 1))
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/warmup.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/warmup.py
@@ -1,27 +1,27 @@
-"""Bounds on what cold targets get.
+"""Limits the request rate of cold targets.
 
 A target that has just started, or has lost its caches, crashes at a rate that
-is harmless to a warm one. The bound is on the sum over all VMs, also of those
-that are cut off: so one VM at a time is named as the only sender of a cold
-target, and keeps to the rate by itself.
+is harmless to a warm one. The bound applies to the sum over all VMs, including
+those that are cut off. Therefore one VM at a time is named as the only sender
+of a cold target, and keeps to the rate locally.
 """
 
 import collections
 import math
 
 WINDOW_SECONDS = 1.0
-"""Time over which requests to a cold target are counted."""
+"""Window over which requests to a cold target are counted."""
 _KEPT_TARGETS = 128
-"""Targets whose sends are kept; those without recent ones go first."""
+"""Above this number of targets, those without recent requests are dropped."""
 
 
 class SendRate:
-    """Requests that this VM has sent to cold targets lately."""
+    """The requests that this VM has recently sent to cold targets."""
 
     __slots__ = ("_sent",)
 
     def __init__(self) -> None:
-        """Makes one without any sends."""
+        """Makes a record without requests."""
         self._sent: dict[str, collections.deque[float]] = {}
 
     def wait(self, target: str, rate: float, now: float) -> float:
@@ -29,7 +29,7 @@
 
         Args:
             target: Identifier of the target.
-            rate: Requests a second that it tolerates.
+            rate: Requests a second that the target tolerates.
             now: The time.
 
         Returns:
@@ -44,7 +44,7 @@
         return max(sent[-most] + WINDOW_SECONDS - now, 0.0)
 
     def note(self, target: str, now: float) -> None:
-        """Notes a request that is sent to a cold target."""
+        """Records a request that is sent to a cold target."""
         if len(self._sent) >= _KEPT_TARGETS:
             self._forget(now)
         sent = self._sent.setdefault(target, collections.deque())
--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission.py
@@ -1,4 +1,4 @@
-"""One exact queue for a contended target, under the loads that it answers."""
+"""Tests of the admission queue of a contended target under load."""
 
 import heapq
 import random
@@ -15,7 +15,7 @@
 
 
 class Model:
-    """A target, its gate, and requests from many VMs; no network."""
+    """Simulates a target, its gate and requests of many VMs, no network."""
 
     def __init__(self, seed=1, work=WORK):
         self.random = random.Random(seed)
@@ -33,11 +33,11 @@
         self._number = 0
 
     def offer(self, at, vm="vm", priority=2, known_work=WORK):
-        """Adds a request."""
+        """Schedules a request."""
         self._push(at, self._ask, vm, priority, known_work)
 
     def play(self):
-        """Plays all events."""
+        """Processes all events."""
         while self._events:
             self.now, _, act, args = heapq.heappop(self._events)
             act(*args)
@@ -98,17 +98,17 @@
 
 
 class TestSizes:
-    """A target serves as much however many VMs want it."""
+    """Throughput is independent of the number of VMs."""
 
     @pytest.mark.parametrize("vms", [12, 67, 300, 1000])
     @pytest.mark.parametrize("load", [0.7, 0.95])
     def test_nobody_is_refused_beside_free_slots(self, vms, load):
-        """Many VMs have a request now and then, and the target keeps up.
+        """Guards against refusals beside free slots.
 
-        Where its room is dealt out among VMs, one that had no request just
-        now has no part, and refuses the next one while slots are free. A
-        single queue without refusals would answer nearly all; this one must
-        come within a tenth of that.
+        Many VMs send a request now and then, and the target keeps up. If its
+        capacity were divided among VMs, a VM that was idle would have no share
+        and would refuse its next request. A single queue without refusals would
+        answer nearly all; this one must come within a tenth of that.
         """
         model = Model()
         _poisson(model, load * CAPACITY, 60, vms)
@@ -120,15 +120,15 @@
 
 
 class TestOverload:
-    """More is asked for than a target can answer."""
+    """Load above the capacity of a target."""
 
     @pytest.mark.parametrize("times", [1.5, 2.0, 4.0])
     def test_slots_answer_on_time(self, times):
-        """One key gets more than its owner can answer, for long.
+        """Guards against queueing that makes every response late.
 
-        Queueing all of it until deadlines pass makes every answer late;
-        callers on time are served best if the slots work for requests that
-        can still be on time.
+        One key gets more requests than its owner can answer, for a long time.
+        Most are on time if the slots work on requests that can still be on
+        time.
         """
         model = Model()
         _poisson(model, times * CAPACITY, 30, 67)
@@ -147,7 +147,7 @@
         assert model.late + model.on_time > 0
 
     def test_urgent_ones_go_first(self):
-        """Issues and lookups for one hot key; every issue is on time."""
+        """Urgent requests for a hot key get permits before the others."""
         model = Model()
         _poisson(model, 1.5 * CAPACITY, 20, 67)
         for n in range(int(20 * CAPACITY * 0.3)):
@@ -157,10 +157,10 @@
         assert len(urgent) >= 0.98 * int(20 * CAPACITY * 0.3)
 
     def test_slow_target(self):
-        """A target works four times as long as before.
+        """A target becomes four times as slow.
 
-        What waits there is reckoned by the rate at which it gives places
-        back; requests that it cannot answer any more are refused at once.
+        The wait is estimated from the rate at which permits are returned;
+        requests that cannot be answered in time any more are refused at once.
         """
         model = Model(work=4 * WORK)
         _poisson(model, CAPACITY, 30, 67)
@@ -171,7 +171,7 @@
 
 
 class TestPlaces:
-    """Places that are in use."""
+    """Permits in use."""
 
     def _ask(self, number, **changes):
         fields = {"priority": 2, "on_time": AIM, "left": DEADLINE, "work": WORK}
@@ -189,7 +189,7 @@
     )
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=100)
     def test_never_more_than_there_are(self, steps):
-        """Whatever is asked, lost and asked again, in whatever order."""
+        """Permits stay bounded through any series of requests and losses."""
         queue, now = admission.Queue(2, 1), 0.0
         for number, (what, which, pause) in enumerate(steps):
             if what == "ask":
@@ -205,9 +205,9 @@
             now += pause
 
     def test_lost_vm(self):
-        """A VM dies with requests under way; nobody gives its places back.
+        """A VM fails with requests in progress and never returns its permits.
 
-        They count for as long as such requests may take, not for ever.
+        The permits are reclaimed once such requests should have ended.
         """
         queue = admission.Queue(1, 0)
         queue.ask(self._ask(1), 0.0)
@@ -218,14 +218,14 @@
         assert decided.verdict is admission.Verdict.ADMITTED
 
     def test_what_a_vm_holds_without_a_place_counts(self):
-        """A gate that has just become one learns what is under way."""
+        """A new gate is informed of the requests already in progress."""
         queue = admission.Queue(4, 0)
         first = queue.ask(self._ask(1, held=4), 0.0)
         assert first.verdict is admission.Verdict.WAITS
         assert [d.ask.number for d in queue.turn(WORK + 0.01)] == [1]
 
     def test_withdrawn(self):
-        """A caller leaves; its place goes to the next one."""
+        """A caller disconnects; its permit goes to the next request."""
         queue = admission.Queue(1, 0)
         for number in (1, 2, 3):
             queue.ask(self._ask(number), 0.0)
@@ -234,10 +234,10 @@
         assert decided.ask.number == 3
 
     def test_target_that_rejects(self):
-        """A target rejects every other request at once.
+        """Guards against rejections that make a target seem fast.
 
-        If that counted as an answer it would seem many times as fast as it
-        is, and requests would be kept there that it cannot serve in time.
+        A target rejects every other request at once. Counting these as
+        responses would keep requests waiting that it cannot serve in time.
         """
         queue = admission.Queue(1, 0)
         now = 0.0
@@ -250,7 +250,7 @@
         assert queue._interval == pytest.approx(WORK, rel=0.01)
 
     def test_refusal_says_when_to_come_back(self):
-        """The wait that is told is that of the queue, not a constant."""
+        """The retry time follows from the queue and is not a constant."""
         queue = admission.Queue(1, 0)
         for number in range(1, 12):
             queue.ask(self._ask(number, left=9.0, on_time=9.0), 0.0)
@@ -260,13 +260,13 @@
 
 
 class TestLimited:
-    """A steady load above a limit that the target has named itself."""
+    """A steady load above the rate limit that the target has set."""
 
     def test_admits_at_the_limit_and_refuses_the_rest(self):
-        """Guards against places that are free and above the target's limit.
+        """Guards against admissions above the target's limit on free slots.
 
-        Slots stand idle then, and whoever cannot have a turn in time hears at
-        once when one can be expected.
+        A request that cannot be admitted in time is refused at once with the
+        expected time of admission.
         """
         queue = admission.Queue(SLOTS, BEYOND)
         queue.pace = limits.Pace(6.1, 0.0, 0.0)
--- a/tests/gateway/test_allowance.py
+++ b/tests/gateway/test_allowance.py
@@ -1,4 +1,4 @@
-"""The bound on repeated sends over all VMs together."""
+"""Tests of the retry budget of all VMs together."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 def _most_repeats(vms, requests_per_second, seconds=30):
-    """Repeats in the worst window if every VM repeats whenever it may."""
+    """Returns the retries in the worst window if VMs use all they may."""
     parts = [
         allowance.RetryAllowance(RATIO, WINDOW, FIXED / vms) for _ in range(vms)
     ]
@@ -28,21 +28,22 @@
 
 
 class TestBound:
-    """All VMs together stay within the bound."""
+    """All VMs together stay within the budget."""
 
     @pytest.mark.parametrize(("vms", "rate"), [(1, 200), (10, 400), (10, 0)])
     def test_every_vm_repeats_all_it_may(self, vms, rate):
-        """All targets of a service reject everything for half a minute.
+        """Guards against retry storms.
 
-        If each VM repeated as it liked, the targets would get a multiple of
-        what callers send, and would never recover.
+        All targets of a service reject everything for half a minute. Without a
+        budget, the targets would get a multiple of the callers' requests and
+        would never recover.
         """
         allowed = RATIO * rate * WINDOW + FIXED
-        # A caller's requests may be counted in the window before.
+        # A caller's requests may be counted in the previous window.
         assert _most_repeats(vms, rate) <= allowed * 1.1 + vms
 
     def test_tokens_come_back(self):
-        """What was used in one window may be used again in a later one."""
+        """Retries used in one window are available again in a later one."""
         left = allowance.RetryAllowance(RATIO, WINDOW, 2.0)
         assert left.take(0.0)
         assert left.take(0.0)
@@ -50,7 +51,7 @@
         assert left.take(11.5)
 
     def test_part_follows_the_number_of_vms(self):
-        """With fewer VMs each may repeat more."""
+        """With fewer VMs each may retry more."""
         left = allowance.RetryAllowance(RATIO, WINDOW, 0.0)
         assert not left.take(0.0)
         left.set_fixed(3.0)
--- a/tests/gateway/test_bounded_targets.py
+++ b/tests/gateway/test_bounded_targets.py
@@ -1,4 +1,4 @@
-"""What all VMs together send to a target that has named a limit."""
+"""Tests of the total rate of all VMs at a target that has set a limit."""
 
 import asyncio
 
@@ -10,18 +10,19 @@
 from tests.gateway import fleet
 
 CONTACT_SECONDS = 3.0
-"""From the first naming until all VMs keep to it."""
+"""Time from the first statement of a limit until all VMs keep to it."""
 WINDOW_SECONDS = 4.0
 TOLD_SECONDS = 0.5
-"""After a VM has passed on an answer that names it, its requests count."""
+"""A VM's requests count from this time after it passed on a response that
+states the limit."""
 
 
 def most_beyond(target, since):
-    """Returns how many requests over its bound a target got in some window.
+    """Returns the most requests by which any window exceeds the bound.
 
     Args:
         target: The target.
-        since: When it first named a limit.
+        since: When it first stated a limit.
     """
     told = {}
     for at, vm, said in target.passed:
@@ -55,7 +56,7 @@
 
 
 def _limit(target, rate):
-    """Has a target name a limit; returns when."""
+    """Makes a target state a limit; returns the time."""
     target.says["server-limit"] = str(rate)
     return virtual.now()
 
@@ -67,12 +68,12 @@
 
 
 class TestAllVmsTogether:
-    """A limit holds for the sum over all VMs."""
+    """A limit applies to the sum over all VMs."""
 
     @pytest.mark.parametrize("vms", [10, 88, 300])
     @pytest.mark.parametrize("rate", [6.1, 0.4])
     def test_owner_of_keys(self, vms, rate):
-        """Guards against VMs that each send what a target takes in all."""
+        """Guards against VMs that each send the whole limit."""
 
         async def scenario(made):
             await made.call(2.0, 120.0, "/s", fleet.any_key)
@@ -99,7 +100,7 @@
         _play(scenario, vms)
 
     def test_requests_without_a_key_to_an_owner_of_keys(self):
-        """Guards against requests that pass a bound on those with a key."""
+        """Guards against requests without a key that bypass the limit."""
 
         async def scenario(made):
             await made.call(2.0, 60.0, "/s", fleet.any_key)
@@ -114,7 +115,7 @@
         _play(scenario, 10)
 
     def test_only_target_of_a_service(self):
-        """Guards against a bound that is dropped where there is no choice."""
+        """Guards against a limit that is ignored for a sole target."""
 
         async def scenario(made):
             await made.call(2.0, 40.0, "/p")
@@ -130,9 +131,10 @@
 
     @pytest.mark.parametrize("seed", [1, 2, 3, 4, 5, 6])
     def test_vms_that_hear_nobody(self, seed):
-        """Guards against cut-off VMs that each take the whole for theirs.
+        """Guards against cut-off VMs that each use the whole limit.
 
-        Their leader goes on for some time while the others have a new one.
+        Their leader stays in office for a while after the others have a new
+        one.
         """
 
         async def scenario(made):
@@ -146,7 +148,7 @@
         _play(scenario, 20, seed=seed)
 
     def test_gate_and_leader_are_lost(self):
-        """Guards against an old sender and its follower that both send."""
+        """Guards against an old and a new sender that both send."""
 
         async def scenario(made):
             await made.call(2.0, 120.0, "/s", fleet.any_key)
@@ -167,7 +169,7 @@
         _play(scenario, 12)
 
     def test_vms_that_start(self):
-        """Guards against VMs that start while a limit is named."""
+        """Guards against new VMs that ignore a limit in force."""
 
         async def scenario(made):
             await made.call(2.0, 120.0, "/s", fleet.any_key)
@@ -186,11 +188,11 @@
 
 
 class TestDisorder:
-    """Limits while VMs are killed, cut off and started, and the store fails."""
+    """Limits while VMs fail, are cut off and start, and the store fails."""
 
     @pytest.mark.parametrize("seed", [1, 5, 13])
     def test_series(self, seed):
-        """Guards against faults in series in which the sum is exceeded."""
+        """Guards against series of faults in which the sum is exceeded."""
 
         async def scenario(made):
             await made.call(2.0, 150.0, "/s", fleet.any_key)
@@ -236,10 +238,10 @@
 
 
 class TestOtherAnswers:
-    """A limit that no answer to a caller's request has named yet."""
+    """A limit that no response to a caller's request has stated yet."""
 
     def test_answer_to_an_order(self):
-        """Guards against an owner in need whose limit its leader passes by."""
+        """Guards against a leader that ignores limits in order responses."""
 
         async def scenario(made):
             target = made.owner()
@@ -254,10 +256,10 @@
 
 
 class TestUse:
-    """A target in need gets what it takes, and all again afterwards."""
+    """A limited target gets up to its limit, and full load afterwards."""
 
     def test_keys_move_until_the_rest_fits(self):
-        """Guards against callers that are refused while others have room."""
+        """Guards against refusals while other targets have capacity."""
 
         async def scenario(made):
             await made.call(3.0, 120.0, "/s", fleet.any_key)
@@ -274,7 +276,7 @@
 
     @pytest.mark.parametrize("path", ["/s", "/p"])
     def test_limit_is_lifted(self, path):
-        """Guards against a limit that outlives its last naming."""
+        """Guards against a limit that outlives its last statement."""
 
         async def scenario(made):
             key = fleet.any_key if path == "/s" else None
@@ -292,7 +294,7 @@
         _play(scenario, 10)
 
     def test_new_run_at_the_same_address(self):
-        """Guards against the limit of a run that is over."""
+        """Guards against the limit of an ended incarnation."""
 
         async def scenario(made):
             await made.call(2.0, 120.0, "/p")
@@ -310,7 +312,7 @@
 
     @pytest.mark.parametrize("rate", ["-3", "many", "1e99", ""])
     def test_limit_that_makes_no_sense(self, rate):
-        """Guards against a target that is left alone for a word of nonsense."""
+        """Guards against a target without requests due to an invalid limit."""
 
         async def scenario(made):
             target = made.targets["p0"]
@@ -321,7 +323,7 @@
         _play(scenario, 10)
 
     def test_no_requests_at_all(self):
-        """A limit of 0 is kept, and callers hear at once when to come back."""
+        """A limit of 0 applies; callers are refused at once."""
 
         async def scenario(made):
             await made.call(2.0, 60.0, "/p")
--- a/tests/gateway/test_demand.py
+++ b/tests/gateway/test_demand.py
@@ -1,4 +1,4 @@
-"""Sums over reports, kept up as reports come."""
+"""Tests of the incremental sums over the VMs' reports."""
 
 import collections
 
@@ -24,21 +24,21 @@
 
 
 class TestBusy:
-    """What a VM hears of the others."""
+    """The counts of other VMs that a VM receives."""
 
     @pytest.mark.parametrize(
         ("count", "told"),
         [(0, {}), (1, {"x": 1}), (2, {"x": 2, "z": 2})],
     )
     def test_near_and_far(self, count, told):
-        """In its own zone half of the slots matter, elsewhere all."""
+        """In a VM's own zone half of the slots matter, elsewhere all."""
         sums = demand.Demand(1.5)
         sums.take("vm-1", {"x": 9}, {}, 0.0)
         sums.take("vm-2", {"x": count, "z": count}, {}, 0.0)
         assert sums.busy("vm-1", "a", _targets()) == told
 
     def test_gone_vm(self):
-        """A VM dies; what it had does not count for ever."""
+        """Guards against the counts of a failed VM staying in the sums."""
         sums = demand.Demand(1.5)
         sums.take("vm-1", {"x": 5}, {"y": 9}, 0.0)
         sums.take("vm-2", {}, {}, 2.0)
@@ -47,17 +47,17 @@
 
 
 class TestGates:
-    """Which targets are contended, and who admits requests to them."""
+    """Contended targets and their admission gates."""
 
     def test_hot_key(self):
-        """All VMs want one target; one of its zone admits."""
+        """All VMs send to one target; a VM of its zone becomes the gate."""
         sums = demand.Demand(1.5)
         for vm in ("vm-1", "vm-2", "vm-3"):
             sums.take(vm, {"x": 1}, {"x": 2}, 0.0)
         found = sums.gates(VMS, REGIONS, {"s"}, _targets())
         assert found.keys() == {"x"}
         assert found["x"] in {"one:1", "two:1"}
-        # Whoever it is, it stays while those that report are the same.
+        # The gate stays the same while the same VMs report.
         assert sums.gates(VMS[::-1], REGIONS, {"s"}, _targets()) == found
 
     @pytest.mark.parametrize(
@@ -69,19 +69,19 @@
         ],
     )
     def test_near_the_target(self, vms, expected):
-        """Its zone goes before its region, and that before the rest."""
+        """VMs in the target's zone go first, then those of its region."""
         sums = demand.Demand(1.5)
         sums.take("vm-1", {"z": 9}, {}, 0.0)
         assert sums.gates(vms, REGIONS, {"s"}, _targets()) == {"z": expected}
 
     def test_service_without_keys(self):
-        """Its requests go elsewhere; no gate is told of."""
+        """Its requests can go to other targets and need no gate."""
         sums = demand.Demand(1.5)
         sums.take("vm-1", {"x": 9}, {}, 0.0)
         assert sums.gates(VMS, REGIONS, (), _targets()) == {}
 
     def test_counts_are_not_told_besides(self):
-        """A hundred VMs hear of hundreds of targets; each thing once."""
+        """A target has either counts or a gate, which bounds the responses."""
         sums = demand.Demand(1.5)
         sums.take("vm-1", {"x": 9}, {}, 0.0)
         assert sums.busy("vm-2", "a", _targets()) == {"x": 9}
@@ -89,13 +89,13 @@
         assert sums.busy("vm-2", "a", _targets()) == {}
 
     def test_no_vm_reports(self):
-        """Nobody can admit while nobody is heard."""
+        """Without reporting VMs there is no gate."""
         sums = demand.Demand(1.5)
         sums.take("vm-1", {"x": 9}, {}, 0.0)
         assert sums.gates((), REGIONS, {"s"}, _targets()) == {}
 
     def test_does_not_flap(self):
-        """Demand swings around a target's slots; its gate stays."""
+        """Demand varies around a target's slots; its gate stays."""
         sums = demand.Demand(1.5)
         told = []
         for count in (2, 3, 2, 3, 2, 1):
@@ -110,7 +110,7 @@
     )
     @hypothesis.settings(derandomize=True, deadline=None)
     def test_as_if_added_up(self, reports):
-        """Whatever came before, only the last report of each VM counts."""
+        """After any series of reports only the last of each VM counts."""
         sums = demand.Demand(1.5)
         last = {}
         for vm, under_way, waiting in reports:
--- a/tests/gateway/test_heat.py
+++ b/tests/gateway/test_heat.py
@@ -1,4 +1,4 @@
-"""Decaying counts of requests by key."""
+"""Tests of the decaying request counts."""
 
 import pytest
 
@@ -6,13 +6,13 @@
 
 
 class TestDecay:
-    """What is counted."""
+    """Decay of the counts."""
 
     @pytest.mark.parametrize(
         ("after", "left"), [(0.0, 1.0), (2.0, 0.3679), (20.0, 4.5e-5)]
     )
     def test_exponential(self, after, left):
-        """A count falls by the time constant."""
+        """A count decays by the time constant."""
         counts = heat.KeyHeat(2.0, 0.0)
         counts.add([7], 0.0)
         found = counts.counts(after).get(7, 0.0)
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits that targets name."""
+"""Tests of the rate limits that targets set."""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -11,12 +11,12 @@
 
 
 class TestHeard:
-    """Which of several answers counts."""
+    """Limits from the responses of a target."""
 
     @pytest.mark.parametrize(
         ("answers", "expected"),
         [
-            # Rate, time at which the request was sent, time of the answer.
+            # Rate, time of the request, time of the response.
             ([(6.1, 0.0, 1.0)], 6.1),
             ([(6.1, 0.0, 1.0), (6.1, 0.5, 1.5)], 6.1),
             ([(6.1, 0.0, 1.0), (2.0, 0.5, 1.5)], 2.0),
@@ -30,14 +30,14 @@
         ],
     )
     def test_order_of_answers(self, answers, expected):
-        """Guards against a limit that an answer from before it lifts."""
+        """Guards against an older response that lifts a newer limit."""
         made = limits.Limits("vm-1")
         for rate, sent_at, now in answers:
             made.hear("t", 1, rate, sent_at, now)
         assert made.rate("t", 1) == expected
 
     def test_new_run(self):
-        """Guards against a limit that outlives the run that named it."""
+        """Guards against a limit that outlives its incarnation."""
         made = limits.Limits("vm-1")
         made.hear("t", 1, 6.1, 0.0, 1.0)
         assert made.rate("t", 2) is None
@@ -46,7 +46,7 @@
         assert (made.rate("t", 1), made.rate("t", 2)) == (None, 3.0)
 
     def test_log(self):
-        """A limit is logged when it is named, changed and lifted."""
+        """A limit is logged when it is set, changed and lifted."""
 
         async def main():
             log, timer = fakes.Lines(), fakes.VirtualClock()
@@ -63,12 +63,12 @@
 
 
 class TestLearned:
-    """What one VM tells another."""
+    """Limits that VMs report to each other."""
 
     @pytest.mark.parametrize(
         ("heard", "told", "expected"),
         [
-            # Rate and time of the own answer; rate and time of the peer's.
+            # Rate and time of the own response; rate and time of the peer's.
             ((None, 0.0), (6.1, 5.0), 6.1),
             ((6.1, 4.0), (None, 5.0), None),
             ((6.1, 4.8), (None, 5.0), 6.1),
@@ -79,7 +79,7 @@
         ],
     )
     def test_newer_word_counts(self, heard, told, expected):
-        """Guards against a limit that news from before it lift."""
+        """Guards against an older update that lifts a newer limit."""
         made = limits.Limits("vm-1")
         made.hear("t", 1, heard[0], 0.0, heard[1])
         now = 10.0
@@ -87,7 +87,7 @@
         assert made.rate("t", 1) == expected
 
     def test_report(self):
-        """Guards against limits that a leader is told again and again."""
+        """Guards against reporting the same limits to a leader repeatedly."""
         one, leader = limits.Limits("vm-1"), limits.Limits("vm-2")
         one.hear("t", 1, 6.1, 0.0, 1.0)
         for name, news in one.unknown_to_leader(1.0).items():
@@ -100,13 +100,13 @@
         for name, news in one.unknown_to_leader(9.0).items():
             leader.learn(name, news, 9.1)
         assert leader.rate("t", 1) is None
-        # A leader that knows nothing yet.
+        # A new leader without any limits.
         one.hear("t", 1, 2.0, 9.5, 9.6)
         one.take_told({}, 10.0)
         assert list(one.unknown_to_leader(10.0)) == ["t"]
 
     def test_targets_that_are_gone_are_forgotten(self):
-        """Memory does not grow with the targets that ever named a limit."""
+        """Memory does not grow with the targets that ever set a limit."""
         made = limits.Limits("vm-1")
         for number in range(50):
             made.hear(f"t{number}", 1, 6.1, 0.0, 1.0)
@@ -115,7 +115,7 @@
 
 
 class TestPace:
-    """When a VM may send."""
+    """The rate limiter of a VM."""
 
     @hypothesis.settings(max_examples=100, deadline=None)
     @hypothesis.given(
@@ -125,10 +125,10 @@
         st.sampled_from([10, 88, 300]),
     )
     def test_senders_that_are_replaced(self, rate, gaps, replaced, vms):
-        """Guards against an old sender and its follower in one window.
+        """Guards against an old and a new sender in one window.
 
-        The old one goes on for as long as what its peers know of it counts,
-        and every other VM takes its own turns.
+        The old sender continues until its last update from its peers expires,
+        and every other VM uses its own time slots.
         """
         changes = sorted(replaced)
         paces = [limits.Pace(rate, n / 4, 0.0) for n in range(len(changes) + 1)]
@@ -156,7 +156,7 @@
 
     @pytest.mark.parametrize("vms", [10, 88, 300])
     def test_own_turns_are_not_saved(self, vms):
-        """Guards against all VMs using up what they saved at one moment."""
+        """Guards against accumulated slots that all VMs use at one moment."""
         rate = 6.1
         paces = [limits.Pace(rate, n / vms, 0.0) for n in range(vms)]
         for alone in (False, True):
@@ -168,7 +168,7 @@
     @pytest.mark.parametrize("vms", [10, 88, 300])
     @pytest.mark.parametrize("rate", [0.4, 6.1, 40.0])
     def test_vms_that_hear_nobody(self, vms, rate):
-        """Guards against cut-off VMs that each take the whole for theirs."""
+        """Guards against cut-off VMs that each use the whole limit."""
         paces = [limits.Pace(rate, (n * 0.618) % 1, 0.0) for n in range(vms)]
         sent = []
         for step in range(1000):
@@ -182,7 +182,7 @@
         assert len(sent) > 0.3 * rate * 40.0 - 2
 
     def test_sender_saves_little(self):
-        """Guards against a rush after a quiet time."""
+        """Guards against a burst after an idle period."""
         pace = limits.Pace(6.1, 0.0, 0.0)
         sent = 0
         while not pace.wait(1000.0):
@@ -191,6 +191,6 @@
         assert sent == 1
 
     def test_no_requests_at_all(self):
-        """Guards against a target that can never say it takes more."""
+        """Guards against a limit of 0 that the target can never raise."""
         pace = limits.Pace(0.0, 0.0, 0.0)
         assert 1.0 < pace.wait(0.0) < 20.0
--- a/tests/gateway/test_patience.py
+++ b/tests/gateway/test_patience.py
@@ -1,4 +1,4 @@
-"""Deadlines tell who has been trying for a while."""
+"""Tests of the estimate of a caller's retry time from its deadline."""
 
 import pytest
 
@@ -13,30 +13,31 @@
 
 
 class TestTriedFor:
-    """A caller's deadline against those of others."""
+    """A caller's deadline compared with those of others."""
 
     @pytest.mark.parametrize(
         ("deadline", "expected"),
         [
             pytest.param(1.5, 0.0, id="first attempt"),
-            pytest.param(1.25, 0.0, id="less patient than others"),
+            pytest.param(1.25, 0.0, id="shorter deadline than others"),
             pytest.param(0.7, 0.425, id="second attempt"),
-            pytest.param(0.0, 1.125, id="nothing left"),
+            pytest.param(0.0, 1.125, id="no time left"),
         ],
     )
     def test_known_route(self, deadline, expected):
-        """A burst has callers come again; their answers are late already.
+        """Guards against late retries that make other requests late too.
 
-        Serving them before callers that are not would make those late too.
+        Callers retry in a burst, and their responses are late already. Serving
+        them first would make first attempts late.
         """
         made = _known([1.5, 1.3, 1.4, 1.5])
         assert made.tried_for(deadline) == pytest.approx(expected, abs=0.01)
 
     def test_first_request(self):
-        """Nothing is known yet; nobody is taken for late."""
+        """Without any recorded deadline no caller counts as retrying."""
         assert patience.Patience().tried_for(0.2) == 0.0
 
     def test_follows_callers_that_change(self):
-        """One caller waits for a minute; it does not make others late."""
+        """One caller with a 60 s deadline does not make others look late."""
         made = _known([60.0] + [1.5] * 3000)
         assert made.tried_for(1.5) == 0.0
--- a/tests/gateway/test_rests.py
+++ b/tests/gateway/test_rests.py
@@ -1,4 +1,4 @@
-"""Times for which targets want nothing."""
+"""Tests of the backoff that targets ask for."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 class TestRests:
-    """One VM's view."""
+    """The backoffs of one VM."""
 
     @pytest.mark.parametrize(
         ("asked", "now", "left"),
@@ -20,14 +20,14 @@
         ],
     )
     def test_longest_word_counts(self, asked, now, left):
-        """Guards against a rest that an answer from before it cuts short."""
+        """Guards against a response that shortens a backoff in force."""
         made = rests.Rests()
         for at, seconds in asked:
             made.ask("t", 1, seconds, at)
         assert made.left("t", 1, now) == left
 
     def test_next_run(self):
-        """Guards against the rest of a run that is over."""
+        """Guards against the backoff of an ended incarnation."""
         made = rests.Rests()
         made.ask("t", 1, 7200.0, 0.0)
         assert made.left("t", 2, 1.0) == 0.0
@@ -35,7 +35,7 @@
         assert made.left("t", 2, 1.5) == 0.5
 
     def test_reported(self):
-        """Guards against moves of keys for a short rest."""
+        """Guards against moves of keys for a short backoff."""
         made = rests.Rests()
         made.ask("short", 1, 1.5, 0.0)
         made.ask("long", 1, 4.0, 0.0)
--- a/tests/gateway/test_room.py
+++ b/tests/gateway/test_room.py
@@ -1,4 +1,4 @@
-"""The choice of a target for a request."""
+"""Tests of the choice of a target for a request."""
 
 import collections
 import itertools
@@ -27,17 +27,18 @@
 
 
 class TestChoose:
-    """Which target gets a request."""
+    """The choice of a target."""
 
     def test_near_before_far(self):
-        """With equal load the zone goes before the region and the link."""
+        """With equal load, the own zone goes first, then the own region."""
         targets = [_target("x", "b1"), _target("y", "a2"), _target("z", "a1")]
         assert _choose(_rooms(), targets).target.id == "z"
 
     def test_large_answers_stay_near(self):
-        """Downloads fill the link between regions and are paid for there.
+        """Guards against large responses that cross regions needlessly.
 
-        A short wait in the zone is better than a hundred kilobytes across.
+        Downloads fill the link between regions, which is billed. A short wait
+        in the zone is better than sending 90 kB across.
         """
         rooms = _rooms()
         for _ in range(200):
@@ -48,10 +49,10 @@
 
     @pytest.mark.parametrize(("under_way", "chosen"), [(5, "near"), (7, "far")])
     def test_near_only_within_the_target_latency(self, under_way, chosen):
-        """Large answers are worth a wait nearby, but not to be late for it.
+        """Guards against both extremes for large responses from a busy zone.
 
-        All targets of a zone are busy. Going to the next zone at once pays for
-        bytes and gains callers nothing; staying for ever makes them wait.
+        Going to the next zone at once costs bytes and gains callers nothing.
+        Staying in the zone without a bound makes responses late.
         """
         rooms = _rooms()
         for _ in range(30):
@@ -62,23 +63,23 @@
         assert choice.target.id == chosen
 
     def test_free_before_busy(self):
-        """A target whose slots are taken loses to one in the next zone."""
+        """A target without a free slot loses to one in the next zone."""
         rooms = _rooms()
         rooms.load("x").own = 8
         targets = [_target("x"), _target("y", "a2")]
         assert _choose(rooms, targets).target.id == "y"
 
     def test_others_requests_count(self):
-        """What other VMs have under way fills a target as well."""
+        """Requests of other VMs fill a target as well."""
         rooms = _rooms()
         rooms.learn_others({"x": 9}, 10.0)
         targets = [_target("x"), _target("y", "a2")]
         assert _choose(rooms, targets).target.id == "y"
-        # Old news count for nothing.
+        # Outdated counts are ignored.
         assert _choose(rooms, targets, now=20.0).target.id == "x"
 
     def test_slow_target_gets_less(self):
-        """A target turns slow; its answers show it."""
+        """A target becomes slow, and its response times show it."""
         rooms = _rooms()
         for _ in range(30):
             rooms.answered("r", "y", 0.1, 100, 10.0)
@@ -87,7 +88,7 @@
         assert _choose(rooms, targets).target.id == "y"
 
     def test_failing_target_gets_less_and_comes_back(self):
-        """A target sheds half of its requests though its health is good."""
+        """A target sheds half of its requests though its health checks pass."""
         rooms = _rooms()
         for _ in range(10):
             rooms.load("x").failed(10.0)
@@ -96,7 +97,7 @@
         assert _choose(rooms, targets, now=25.0).target.id == "x"
 
     def test_unreachable_target_rests(self):
-        """A target that cannot be reached is left alone, not forgotten."""
+        """A target that cannot be reached is backed off from, not dropped."""
         rooms = _rooms()
         rooms.load("x").unreachable(10.0)
         targets = [_target("x"), _target("y", "b1")]
@@ -104,9 +105,9 @@
         assert _choose(rooms, targets[:1]).target.id == "x"
 
     def test_full_targets_get_nothing(self):
-        """Targets that never answer what they cannot queue are not filled.
+        """Guards against overfilling targets that never answer such requests.
 
-        A request beyond the queue would hang with its connection.
+        A request beyond the target's queue would hang with its connection.
         """
         rooms = _rooms()
         rooms.learn_others({"x": 12}, 10.0)
@@ -123,7 +124,7 @@
 
 
 class TestLoad:
-    """What is learned of one target."""
+    """The recorded load and health of one target."""
 
     def test_one_long_request_does_not_make_it_slow(self):
         """One request in a hundred takes several times as long."""
@@ -134,7 +135,7 @@
         assert load.factor < 1.5
 
     def test_rest_grows_and_ends(self):
-        """Repeated failures to reach it make it rest longer."""
+        """Repeated connection failures lengthen the backoff up to a bound."""
         load = room.Load()
         load.unreachable(0.0)
         first = load.rest_until
@@ -145,7 +146,7 @@
         assert load.rest_until <= 24.0
 
     def test_forgets_targets_that_are_gone(self):
-        """Targets come and go all day; what was learned of them goes too."""
+        """Guards against a leak: targets come and go all day."""
         rooms = _rooms()
         rooms.load("x").own = 1
         rooms.load("y")
@@ -160,12 +161,12 @@
     """Counts of other VMs that are some tenths of a second old."""
 
     def _most(self, vms, reckons_for):
-        """Plays a burst; returns the most that one of 8 targets got."""
+        """Simulates a burst; returns the most that one of 8 targets got."""
         targets = [_target(f"t{n}") for n in range(8)]
         got = collections.Counter()
         for vm in range(vms):
             rooms = _rooms()
-            # All were told the same: one target is empty.
+            # All VMs got the same counts: one target is empty.
             counts = {target.id: 4 for target in targets[1:]}
             rooms.learn_others(counts, 10.0)
             for n in range(3):
@@ -178,17 +179,18 @@
         return max(got.values())
 
     def test_burst_does_not_fall_on_one_target(self):
-        """Many users come at once; all VMs find the same target empty.
+        """Guards against a burst that all VMs send to the same empty target.
 
-        It gets what all VMs send in the time between two counts, and resets
-        what it cannot queue.
+        It would get what all VMs send between two counts, and reset what it
+        cannot queue.
         """
         assert self._most(12, reckons_for=12) < 0.6 * self._most(12, 1)
 
     def test_far_targets_do_not_seem_emptier(self):
-        """This VM has sent to all targets beside it since the last counts.
+        """Guards against crossing into another region on estimated counts.
 
-        Others may have too; that is no reason to cross into another region.
+        This VM has sent to all nearby targets since the last counts, and other
+        VMs may have done the same.
         """
         rooms = _rooms()
         near = [_target(f"n{n}") for n in range(2)]
@@ -201,15 +203,15 @@
 
 
 class TestWithoutGate:
-    """A target that many VMs want, before it has a gate."""
+    """A target that many VMs send to before it has an admission gate."""
 
     @pytest.mark.parametrize(("vms", "own"), [(1, 10), (10, 2), (75, 1)])
     def test_each_vm_keeps_to_its_part(self, vms, own):
-        """A key gets hot within a tenth of a second.
+        """Guards against a target flooded when a key becomes hot within 0.1 s.
 
-        A hundred VMs find its target with room and all send at once. It would
-        get more than it can queue and never answer the rest; their callers
-        would wait until their deadlines for nothing.
+        A hundred VMs see free capacity and all send at once. The target would
+        get more than it can queue and never answer the excess; callers would
+        wait until their deadlines.
         """
         rooms = _rooms()
         rooms.learn_others({"x": 4 if vms > 1 else 0}, 10.0)
@@ -219,33 +221,32 @@
         assert not rooms.full_owner(_target("x"), vms, 10.0)
 
     def test_free_slots_are_used(self):
-        """Two requests for one key at once wait for nothing."""
+        """Two concurrent requests for one key need not wait."""
         rooms = _rooms()
         rooms.load("x").own = 3
         assert not rooms.full_owner(_target("x"), 75, 10.0)
 
 
 class TestGates:
-    """Who admits requests to a target."""
+    """The admission gates of targets."""
 
     def test_named_by_the_leader(self):
-        """A contended target has a gate, any other none."""
+        """A contended target has a gate, any other has none."""
         rooms = _rooms()
         rooms.learn_gates({"x": "vm-2:1"}, 10.0)
         assert rooms.gate("x", 10.1) == "vm-2:1"
         assert rooms.gate("y", 10.1) is None
 
     def test_old_word_of_a_lost_leader(self):
-        """The leader falls silent; gates may have changed since."""
+        """The leader is silent; gates may have changed since its update."""
         rooms = _rooms()
         rooms.learn_gates({"x": "vm-2:1"}, 10.0)
         assert rooms.gate("x", 20.0) is None
 
     def test_silent_gate(self):
-        """A gate is cut off from this VM.
+        """Guards against requests that each wait for an unreachable gate.
 
-        Its callers would wait for its word with each request; they are served
-        without it, and it is asked again later.
+        They are served without the gate, and it is used again later.
         """
         rooms = _rooms()
         rooms.learn_gates({"x": "vm-2:1"}, 10.0)
@@ -256,7 +257,7 @@
 
 
 class TestCompare:
-    """Targets that have just said their load."""
+    """Targets that have just reported their load."""
 
     @staticmethod
     def _compare(loads, on_time=1.0, left=2.0):
@@ -273,13 +274,13 @@
             ({"x": (0, 0, 2), "y": (2, 0, 2)}, "x"),
             ({"x": (2, 3, 2), "y": (2, 0, 2)}, "y"),
             ({"x": (1, 0, 2, 3.0), "y": (1, 0, 2, 1.0)}, "y"),
-            # It is slow for less time than the other's queue takes.
+            # Its slowness passes in less time than the other's queue takes.
             ({"x": (1, 0, 2, 3.0), "y": (2, 3, 2, 1.0)}, "x"),
             ({"x": (2, 6, 2), "y": (2, 7, 2)}, None),
         ],
     )
     def test_earliest_answer(self, loads, chosen):
-        """Guards against work for targets that are full or slow now."""
+        """Guards against sending to targets that are full or slow now."""
         found = self._compare(loads)
         assert (found.target.id if found.target else None) == chosen
         assert found.seconds < 10.0
@@ -298,18 +299,19 @@
         [((0, 0, 2), 1.0), ((2, 0, 2), 1.5), ((2, 3, 2), 3.0)],
     )
     def test_runs_before_it(self, said, runs):
-        """Guards against work that is never learned while targets are full."""
+        """Guards against full targets whose service times go unmeasured."""
         assert self._compare({"x": said}).runs == runs
 
     def test_no_time_left(self):
-        """Guards against a send whose answer cannot come in time."""
+        """Guards against sending a request that cannot be answered in time."""
         assert self._compare({"x": (2, 0, 2)}, -1.0, 0.2).target is None
 
     def test_work_is_learned_while_targets_are_full(self):
-        """Guards against refusals beside room after a restart under load.
+        """Guards against refusals despite capacity after a restart under load.
 
-        The first guess of a route's work is too long, and every request waits
-        at its target: without their answers it would stay so for ever.
+        The initial guess of a route's service time is too long, and every
+        request waits at its target. If queued responses were not measured, the
+        guess would stay for ever.
         """
         rooms = _rooms()
         target = _target("x", slots=2)
--- a/tests/gateway/test_routes.py
+++ b/tests/gateway/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes by host and longest prefix, and exact shares of divided routes."""
+"""Tests of the lookup of routes and of exact shares of divided routes."""
 
 import collections
 
@@ -19,7 +19,7 @@
 
 
 class TestFind:
-    """Which route a request takes."""
+    """The route of a request."""
 
     @pytest.mark.parametrize(
         ("host", "path", "expected"),
@@ -36,12 +36,12 @@
         ],
     )
     def test_longest_prefix(self, host, path, expected):
-        """The longest prefix that begins the path wins."""
+        """The longest prefix of the path wins."""
         found = TABLE.find(host, path)
         assert (found.prefix if found else None) == expected
 
     def test_later_route_replaces_earlier(self):
-        """Of two routes with one prefix the last one counts."""
+        """Of two routes with the same prefix the last one applies."""
         other = _route("/", parts=(routes.Part("b"),))
         assert (
             routes.RouteTable((_route("/"), other)).find("desk.example", "/x")
@@ -50,7 +50,7 @@
 
 
 class TestShares:
-    """How a divided route deals its requests out."""
+    """Division of a route's requests."""
 
     @pytest.mark.parametrize(
         "weights", [(90, 10), (1, 1, 1), (70, 20, 10), (0.5, 0.25), (1, 0)]
@@ -69,7 +69,7 @@
                 assert abs(got[part.service] - fair) < 1.01
 
     def test_new_weights_begin_anew(self):
-        """Credits of weights that are gone do not linger."""
+        """Credits of former weights have no effect."""
         shares = routes.WeightedShares()
         old = _route("/", parts=(routes.Part("a", 1), routes.Part("b", 1)))
         shares.next(old)
--- a/tests/gateway/test_sampling.py
+++ b/tests/gateway/test_sampling.py
@@ -1,4 +1,4 @@
-"""Which few targets are compared."""
+"""Tests of the selection of targets to compare."""
 
 import random
 
@@ -34,7 +34,7 @@
 
 
 class TestPool:
-    """A VM's subset."""
+    """A VM's subset of the targets."""
 
     @pytest.mark.parametrize(("count", "kept"), [(3, 3), (8, 8), (40, 8)])
     def test_part_of_each_distance(self, count, kept):
@@ -52,16 +52,16 @@
         assert min(counts) > 88 * 8 / 40 / 2.5
 
     def test_none(self):
-        """A service without targets."""
+        """A service without targets has an empty pool."""
         assert _pool([]) == sampling.Pool((), ())
 
 
 class TestSample:
-    """A draw for one request."""
+    """A sample for one request."""
 
     @pytest.mark.parametrize("count", [1, 2, 3, 8])
     def test_different_and_near_ones_first(self, count):
-        """Guards against a sample without the targets nearby."""
+        """Guards against a sample without the nearest targets."""
         made = _pool(_targets(6))
         drawn = sampling.sample(
             made, count, random.Random(3).random, lambda _: False
@@ -71,7 +71,7 @@
 
     @pytest.mark.parametrize("left", [0, 1, 2])
     def test_excluded_ones(self, left):
-        """Guards against a target that was tried or found full already."""
+        """Guards against targets that were already tried or found full."""
         targets = _targets(3, ("near",))
         excluded = {t.id for t in targets[left:]}
         drawn = sampling.sample(
--- a/tests/gateway/test_warmup.py
+++ b/tests/gateway/test_warmup.py
@@ -1,4 +1,4 @@
-"""The rate of cold targets."""
+"""Tests of the request rate of cold targets."""
 
 import itertools
 import math
@@ -29,7 +29,7 @@
 
 
 class TestSendRate:
-    """One VM that is the only sender."""
+    """The only sender of a cold target."""
 
     @pytest.mark.parametrize(
         ("rate", "sent", "now", "expected"),
@@ -43,7 +43,7 @@
         ],
     )
     def test_wait(self, rate, sent, now, expected):
-        """Guards against more in a second than a cold target tolerates."""
+        """Guards against a higher rate than a cold target tolerates."""
         made = warmup.SendRate()
         for at in sent:
             made.note("t", at)
@@ -58,7 +58,7 @@
 
 
 class TestOnlySender:
-    """A leader names one VM for each cold target."""
+    """A leader names one sender for each cold target."""
 
     @pytest.mark.parametrize("vms", [12, 88, 600])
     def test_one_vm_for_a_cold_target(self, vms):
@@ -89,14 +89,14 @@
         replaced=[0.0, 2.0],
     )
     def test_senders_that_are_replaced(self, wanted, replaced):
-        """Guards against two senders in one second exceeding the bound.
+        """Guards against two senders that exceed the bound in one second.
 
-        A VM vanishes with sends on their way, or goes on for as long as what
-        it knows of its leader counts.
+        A VM fails with requests in transit, or continues as the sender until
+        its last update from the leader expires.
         """
         changes = sorted(replaced)
-        # A leader names another VM when reports of the one before are missing,
-        # which takes longer than a second.
+        # A leader replaces the sender when its reports are missing, which takes
+        # longer than a second.
         changes = [
             at
             for at, before in zip(changes, [-math.inf, *changes], strict=False)
@@ -106,7 +106,7 @@
         sent = []
         for at, behind in sorted(wanted):
             present = sum(change <= at for change in changes)
-            # One that has not heard of the change yet sends as before.
+            # A VM that has not received the change yet sends as before.
             stale = max(present - (behind > 2), 0)
             for sender in {present, stale}:
                 if not rates[sender].wait("t", RATE, at):
@@ -121,7 +121,7 @@
 
 
 class TestColdness:
-    """When a target counts as cold."""
+    """Whether a target is cold."""
 
     @pytest.mark.parametrize(
         ("registered", "said", "zone", "now", "expected"),
@@ -135,7 +135,7 @@
         ],
     )
     def test_latest_word_counts(self, registered, said, zone, now, expected):
-        """Guards against a cold target that one of its sources calls warm."""
+        """Guards against a cold target that one of three sources calls warm."""
         known = directory.Directory(1.0, 0.3)
         target = fakes.target("t", warm_at=registered)
         known.put(target, 0.0)
@@ -146,7 +146,7 @@
         assert known.warm_in("t", now) == expected
 
     def test_it_becomes_cold_again(self):
-        """Guards against a target that is cold again without a new start."""
+        """Guards against a target that becomes cold without a restart."""
         known = directory.Directory(1.0, 0.3)
         for revision, warm_at in enumerate(itertools.chain([0.0], [9.0]), 1):
             known.put(
