--- a/packages/mimosastile-core/src/mimosastile_core/gateway/admission.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/admission.py
@@ -9,13 +9,13 @@
 The queue handles three load patterns:
 
 * A burst that the target can absorb: every request is admitted within the wait
-that its deadline allows.
+  that its deadline allows.
 * One key that for a long time gets more requests than its owner can answer:
-permits go to requests that can still be on time. The others are refused at once
-with a time to retry after, since queueing them until they are late would make
-all responses late.
+  permits go to requests that can still be on time. The others are refused at
+  once with a time to retry after, since queueing them until they are late would
+  make all responses late.
 * A target that has become slow: the rate at which permits are returned shows
-it, and fewer requests are kept waiting.
+  it, and fewer requests are kept waiting.
 """
 
 from collections.abc import Iterator
@@ -26,34 +26,34 @@
 
 from mimosastile_core.gateway import limits
 
-_SMOOTHING = 0.1
+_SMOOTHING_WEIGHT = 0.1
 """Weight of one request in means: a mean follows a change within about ten
 requests."""
-_RATIO_BOUNDS = (0.2, 5.0)
-"""Bounds on one request's value in the mean, as multiples of the mean."""
-_SPREAD = 0.3
+_SAMPLE_BOUNDS = (0.2, 5.0)
+"""Bounds on one request's sample, as multiples of the current mean."""
+_LATE_MARGIN_SHARE = 0.3
 """Margin, as a share of the mean, by which a request may take longer and still
 be on time. Without it, a request that is admitted at the last moment is late
-half of the time, and takes the permit of one that would not be."""
-_LEAST_WORK = 1.2
+half of the time, and takes the permit of one that would be on time."""
+_MIN_TIME_LEFT_FACTOR = 1.2
 """A request is worth starting if this multiple of its mean service time is left
 before its deadline. With less, the deadline cuts off most of the requests that
 start at the last moment."""
 _LOST_FACTOR = 3.0
-_LOST_LEAST = 0.5
+_LOST_EXTRA_SECONDS = 0.5
 """A permit is reclaimed after `_LOST_FACTOR` times the usual service time plus
 these seconds: its VM may have failed."""
-_TOLERANCE = 1.3
+_REFUSAL_TOLERANCE = 1.3
 """A waiting request is refused when its expected start exceeds the time left by
 this factor. The estimate fluctuates."""
-_MOST_WAITING = 256
+_MAX_WAITING = 256
 """Bounds the memory for one target."""
-_RATE_SECONDS = 1.0
+_RATE_WINDOW_SECONDS = 1.0
 """Time constant of the rate of admitted requests that can be on time."""
-_PUNCTUAL_SHARE = 0.8
+_ON_TIME_PRECEDENCE = 0.8
 """Share of that rate that is assumed to go before a late request. It is below 1
 since the rate is measured over only a few dozen requests."""
-_LATE_ROOM = 0.05
+_MIN_LATE_SHARE = 0.05
 """Least share of a target's rate that late requests are assumed to get."""
 
 
@@ -116,7 +116,7 @@
     seconds: float
 
 
-class _Place:
+class _Permit:
     """A permit: an admitted request."""
 
     __slots__ = ("at", "busy", "until", "work")
@@ -148,16 +148,16 @@
     """
 
     __slots__ = (
-        "_beyond",
-        "_factor",
         "_held",
-        "_numbers",
-        "_places",
-        "_punctual",
-        "_punctual_at",
+        "_mean_work",
+        "_next_number",
+        "_on_time_count",
+        "_on_time_count_at",
+        "_permits",
         "_slots",
+        "_target_queue",
         "_waiting",
-        "_work",
+        "_work_factor",
         "pace",
     )
 
@@ -171,21 +171,21 @@
                 next request.
         """
         self._slots = slots
-        self._beyond = beyond
-        self._work = 0.0
-        self._factor = 1.0
-        self._places: dict[tuple[str, int], _Place] = {}
+        self._target_queue = beyond
+        self._mean_work = 0.0
+        self._work_factor = 1.0
+        self._permits: dict[tuple[str, int], _Permit] = {}
         self._held: dict[str, tuple[int, float]] = {}
         self._waiting: list[_Waiting] = []
-        self._numbers = 0
-        self._punctual = 0.0
-        self._punctual_at = 0.0
+        self._next_number = 0
+        self._on_time_count = 0.0
+        self._on_time_count_at = 0.0
         self.pace: limits.Pace | None = None
 
     @property
     def idle(self) -> bool:
         """Whether no request is in progress or waiting."""
-        return not self._places and not self._waiting
+        return not self._permits and not self._waiting
 
     @property
     def waiting(self) -> int:
@@ -195,31 +195,31 @@
     def busy(self, now: float) -> int:
         """Returns the number of requests at the target."""
         held = sum(count for count, until in self._held.values() if now < until)
-        return len(self._places) + held
+        return len(self._permits) + held
 
     def ask(self, ask: Ask, now: float) -> Decision:
         """Decides on a request; a repeated one keeps its position."""
-        if ask.id in self._places:
+        if ask.id in self._permits:
             return Decision(ask, Verdict.ADMITTED)
         if any(w.ask.id == ask.id for w in self._waiting):
             return Decision(ask, Verdict.WAITS)
-        self._work = self._work or ask.work
-        self._work += (ask.work - self._work) * _SMOOTHING
+        self._mean_work = self._mean_work or ask.work
+        self._mean_work += (ask.work - self._mean_work) * _SMOOTHING_WEIGHT
         self._held[ask.vm] = (ask.held, now + ask.work)
-        self._forget_lost(now)
-        entry = _Waiting(ask, self._numbers, now)
-        self._numbers += 1
-        order = self._order(entry, now)
-        ahead = sum(self._order(w, now) < order for w in self._waiting)
+        self._reclaim_lost(now)
+        entry = _Waiting(ask, self._next_number, now)
+        self._next_number += 1
+        position = self._position(entry, now)
+        ahead = sum(self._position(w, now) < position for w in self._waiting)
         if not ahead and self._free(now):
             return self._admit(entry, now)
         late = self._is_late(entry, now, ahead)
-        start = self._start_seconds(ahead, now, late=late)
-        full = len(self._waiting) >= _MOST_WAITING
-        if start > self._start_left(entry, now) or full:
-            return Decision(ask, Verdict.REFUSED, start)
+        wait = self._expected_wait(ahead, now, late=late)
+        full = len(self._waiting) >= _MAX_WAITING
+        if wait > self._time_to_start(entry, now) or full:
+            return Decision(ask, Verdict.REFUSED, wait)
         self._waiting.append(entry)
-        return Decision(ask, Verdict.WAITS, start)
+        return Decision(ask, Verdict.WAITS, wait)
 
     def done(
         self, vm: str, number: int, now: float, *, answered: bool = True
@@ -233,10 +233,10 @@
             answered: Whether it was answered. Counting a rejection or a failed
                 connection as a response would make the target seem fast.
         """
-        place = self._places.pop((vm, number), None)
-        if place is not None and answered:
-            self._note_run(place, now)
-        if place is None:
+        permit = self._permits.pop((vm, number), None)
+        if permit is not None and answered:
+            self._update_factor(permit, now)
+        if permit is None:
             self._waiting = [
                 w for w in self._waiting if w.ask.id != (vm, number)
             ]
@@ -244,105 +244,113 @@
 
     def turn(self, now: float) -> list[Decision]:
         """Decides on waiting requests: which to admit and which to refuse."""
-        self._forget_lost(now)
+        self._reclaim_lost(now)
         return [*self._admitted(now), *self._refused(now)]
 
     def _admitted(self, now: float) -> Iterator[Decision]:
         while self._waiting and self._free(now):
-            first = min(self._waiting, key=lambda w: self._order(w, now))
+            first = min(self._waiting, key=lambda w: self._position(w, now))
             self._waiting.remove(first)
-            if self._start_left(first, now) < 0:
+            if self._time_to_start(first, now) < 0:
                 yield Decision(first.ask, Verdict.REFUSED, self._interval)
             else:
                 yield self._admit(first, now)
 
     def _refused(self, now: float) -> Iterator[Decision]:
         """Yields refusals of requests that will not get a permit in time."""
-        self._waiting.sort(key=lambda w: self._order(w, now))
+        self._waiting.sort(key=lambda w: self._position(w, now))
         kept: list[_Waiting] = []
         for entry in self._waiting:
             late = self._is_late(entry, now, len(kept))
-            start = self._start_seconds(len(kept), now, late=late)
-            if start > self._start_left(entry, now) * _TOLERANCE:
-                yield Decision(entry.ask, Verdict.REFUSED, start)
+            wait = self._expected_wait(len(kept), now, late=late)
+            if wait > self._time_to_start(entry, now) * _REFUSAL_TOLERANCE:
+                yield Decision(entry.ask, Verdict.REFUSED, wait)
             else:
                 kept.append(entry)
         self._waiting = kept
 
     def _admit(self, entry: _Waiting, now: float) -> Decision:
         if not self._is_late(entry, now, 0):
-            self._note_punctual(now)
+            self._count_on_time(now)
         busy = self.busy(now) + 1
-        usual = self._factor * entry.ask.work * max(busy / self._slots, 1.0)
-        until = now + _LOST_LEAST + _LOST_FACTOR * usual
+        expected = (
+            self._work_factor * entry.ask.work * max(busy / self._slots, 1.0)
+        )
+        until = now + _LOST_EXTRA_SECONDS + _LOST_FACTOR * expected
         if self.pace is not None:
             self.pace.take(now)
-        self._places[entry.ask.id] = _Place(entry.ask.work, now, until, busy)
+        self._permits[entry.ask.id] = _Permit(entry.ask.work, now, until, busy)
         return Decision(entry.ask, Verdict.ADMITTED)
 
     def _free(self, now: float) -> bool:
         if self.pace is not None and self.pace.wait(now) > 0:
             return False
-        return self.busy(now) < self._slots + self._beyond
+        return self.busy(now) < self._slots + self._target_queue
 
     @property
     def _interval(self) -> float:
         """Expected seconds between two returned permits."""
-        return self._factor * self._work / self._slots
+        return self._work_factor * self._mean_work / self._slots
 
-    def _start_seconds(self, ahead: int, now: float, *, late: bool) -> float:
+    def _expected_wait(self, ahead: int, now: float, *, late: bool) -> float:
         """Returns the expected wait of a request behind others."""
-        start = (ahead + 1 + self._beyond) * self._interval
+        wait = (ahead + 1 + self._target_queue) * self._interval
         if late:
             # Requests that can be on time go first, including future ones.
-            taken = self._punctual_rate(now) * self._interval
-            start /= max(1 - _PUNCTUAL_SHARE * taken, _LATE_ROOM)
-        return max(start, self._paced_seconds(ahead, now))
+            taken = self._on_time_rate(now) * self._interval
+            wait /= max(1 - _ON_TIME_PRECEDENCE * taken, _MIN_LATE_SHARE)
+        return max(wait, self._limiter_wait(ahead, now))
 
-    def _paced_seconds(self, ahead: int, now: float) -> float:
+    def _limiter_wait(self, ahead: int, now: float) -> float:
         """Returns the wait that the target's rate limit imposes."""
         if self.pace is None:
             return 0.0
         return self.pace.wait(now) + ahead / self.pace.rate
 
-    def _start_left(self, entry: _Waiting, now: float) -> float:
+    def _time_to_start(self, entry: _Waiting, now: float) -> float:
         """Returns the seconds for which starting the request is worthwhile."""
-        work = self._factor * entry.ask.work * _LEAST_WORK
-        return entry.ask.left - (now - entry.arrived) - work
+        needed = self._work_factor * entry.ask.work * _MIN_TIME_LEFT_FACTOR
+        return entry.ask.left - (now - entry.arrived) - needed
 
     def _is_late(self, entry: _Waiting, now: float, ahead: int) -> bool:
         """Whether the response would be late behind `ahead` requests."""
-        work = self._factor * entry.ask.work * (1 + _SPREAD)
+        work = self._work_factor * entry.ask.work * (1 + _LATE_MARGIN_SHARE)
         left = entry.ask.on_time - (now - entry.arrived) - work
-        begins = (ahead + self._beyond) * self._interval
-        return max(begins, self._paced_seconds(ahead, now)) > left
+        wait = (ahead + self._target_queue) * self._interval
+        return max(wait, self._limiter_wait(ahead, now)) > left
 
-    def _order(self, entry: _Waiting, now: float) -> tuple[bool, int, int]:
+    def _position(self, entry: _Waiting, now: float) -> tuple[bool, int, int]:
         late = self._is_late(entry, now, 0)
         return late, entry.ask.priority, entry.number
 
-    def _note_run(self, place: _Place, now: float) -> None:
+    def _update_factor(self, permit: _Permit, now: float) -> None:
         """Updates the mean service time at the target, without queueing."""
-        run = (now - place.at) / max(place.busy / self._slots, 1.0)
-        low, high = _RATIO_BOUNDS
-        ratio = run / max(place.work, 1e-3)
-        ratio = min(max(ratio, low * self._factor), high * self._factor)
-        self._factor += (ratio - self._factor) * _SMOOTHING
-
-    def _punctual_rate(self, now: float) -> float:
+        service_time = (now - permit.at) / max(permit.busy / self._slots, 1.0)
+        low, high = _SAMPLE_BOUNDS
+        ratio = service_time / max(permit.work, 1e-3)
+        ratio = min(
+            max(ratio, low * self._work_factor), high * self._work_factor
+        )
+        self._work_factor += (ratio - self._work_factor) * _SMOOTHING_WEIGHT
+
+    def _on_time_rate(self, now: float) -> float:
         """Returns the on-time admissions per second."""
-        gone = math.exp(-(now - self._punctual_at) / _RATE_SECONDS)
-        return self._punctual * gone / _RATE_SECONDS
-
-    def _note_punctual(self, now: float) -> None:
-        gone = math.exp(-(now - self._punctual_at) / _RATE_SECONDS)
-        self._punctual = self._punctual * gone + 1
-        self._punctual_at = now
-
-    def _forget_lost(self, now: float) -> None:
-        lost = [key for key, p in self._places.items() if now > p.until]
-        for key in lost:
-            del self._places[key]
-        past = [vm for vm, (_, until) in self._held.items() if now > until]
-        for vm in past:
+        decay = math.exp(-(now - self._on_time_count_at) / _RATE_WINDOW_SECONDS)
+        return self._on_time_count * decay / _RATE_WINDOW_SECONDS
+
+    def _count_on_time(self, now: float) -> None:
+        decay = math.exp(-(now - self._on_time_count_at) / _RATE_WINDOW_SECONDS)
+        self._on_time_count = self._on_time_count * decay + 1
+        self._on_time_count_at = now
+
+    def _reclaim_lost(self, now: float) -> None:
+        lost = [
+            request_id
+            for request_id, p in self._permits.items()
+            if now > p.until
+        ]
+        for request_id in lost:
+            del self._permits[request_id]
+        expired = [vm for vm, (_, until) in self._held.items() if now > until]
+        for vm in expired:
             del self._held[vm]
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/allowance.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/allowance.py
@@ -12,7 +12,7 @@
     without any message, even if VMs are cut off.
     """
 
-    __slots__ = ("_buckets", "_fixed", "_ratio", "_step", "_window")
+    __slots__ = ("_bucket_seconds", "_buckets", "_fixed", "_ratio", "_window")
 
     _BUCKETS = 10
     """Buckets of the sliding window. The newest one is partly in the future, so
@@ -29,7 +29,7 @@
         self._ratio = ratio
         self._window = window
         self._fixed = fixed
-        self._step = window / self._BUCKETS
+        self._bucket_seconds = window / self._BUCKETS
         self._buckets: collections.deque[list[float]] = collections.deque()
 
     def set_fixed(self, fixed: float) -> None:
@@ -38,27 +38,27 @@
 
     def request(self, now: float) -> None:
         """Counts a caller's request."""
-        self._bucket(now)[1] += 1
+        self._current_bucket(now)[1] += 1
 
     def left(self, now: float) -> float:
         """Returns the number of retries that are allowed now."""
-        self._bucket(now)
+        self._current_bucket(now)
         requests = sum(bucket[1] for bucket in self._buckets)
-        repeats = sum(bucket[2] for bucket in self._buckets)
-        return self._ratio * requests + self._fixed - repeats
+        retries = sum(bucket[2] for bucket in self._buckets)
+        return self._ratio * requests + self._fixed - retries
 
     def take(self, now: float) -> bool:
         """Takes one retry from the budget if one is left."""
         if self.left(now) < 1:
             return False
-        self._bucket(now)[2] += 1
+        self._current_bucket(now)[2] += 1
         return True
 
-    def _bucket(self, now: float) -> list[float]:
-        start = now // self._step
+    def _current_bucket(self, now: float) -> list[float]:
+        index = now // self._bucket_seconds
         buckets = self._buckets
-        while buckets and buckets[0][0] <= start - self._BUCKETS:
+        while buckets and buckets[0][0] <= index - self._BUCKETS:
             buckets.popleft()
-        if not buckets or buckets[-1][0] != start:
-            buckets.append([start, 0.0, 0.0])
+        if not buckets or buckets[-1][0] != index:
+            buckets.append([index, 0.0, 0.0])
         return buckets[-1]
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/demand.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/demand.py
@@ -15,14 +15,14 @@
 
 from mimosastile_core.gateway import directory
 
-_ENTER_SHARE = 1.0
+_GATE_ABOVE_SHARE = 1.0
 """A target gets an admission gate above this number of requests, in progress
 and waiting, per slot: from then on some of them wait."""
-_LEAVE_SHARE = 0.5
+_GATE_BELOW_SHARE = 0.5
 """The same below which a target loses its gate."""
 
 
-class _Share(msgspec.Struct):
+class _Report(msgspec.Struct):
     """The report of one VM.
 
     Attributes:
@@ -39,7 +39,13 @@
 class Demand:
     """Sums over the last reports of all VMs."""
 
-    __slots__ = ("_contended", "_fresh", "_shares", "_totals", "_under_way")
+    __slots__ = (
+        "_contended",
+        "_reports",
+        "_under_way",
+        "_valid_seconds",
+        "_wanted",
+    )
 
     def __init__(self, fresh: float) -> None:
         """Makes empty sums.
@@ -47,11 +53,11 @@
         Args:
             fresh: Seconds for which a report counts.
         """
-        self._fresh = fresh
-        self._shares: dict[str, _Share] = {}
+        self._valid_seconds = fresh
+        self._reports: dict[str, _Report] = {}
         self._under_way: dict[str, int] = {}
         self._contended: set[str] = set()
-        self._totals: dict[str, int] = {}
+        self._wanted: dict[str, int] = {}
 
     def take(
         self,
@@ -65,10 +71,10 @@
         wanted = dict(under_way)
         for target, count in waiting.items():
             wanted[target] = wanted.get(target, 0) + count
-        self._shares[vm] = _Share(dict(under_way), wanted, now)
-        _add(self._under_way, under_way.items())
-        _add(self._totals, wanted.items())
-        self._forget_silent(now)
+        self._reports[vm] = _Report(dict(under_way), wanted, now)
+        _add_counts(self._under_way, under_way.items())
+        _add_counts(self._wanted, wanted.items())
+        self._drop_expired(now)
 
     def busy(
         self, vm: str, zone: str, known: directory.Directory
@@ -84,9 +90,9 @@
             zone: Its availability zone.
             known: The targets.
         """
-        share = self._shares.get(vm)
-        own = share.under_way if share else {}
-        found = {}
+        report = self._reports.get(vm)
+        own = report.under_way if report else {}
+        counts = {}
         for name, total in self._under_way.items():
             count = total - own.get(name, 0)
             entry = known.get(name)
@@ -95,8 +101,8 @@
                 continue
             factor = 2 if entry.target.zone == zone else 1
             if count * factor >= entry.target.slots:
-                found[name] = count
-        return found
+                counts[name] = count
+        return counts
 
     def gates(
         self,
@@ -120,49 +126,57 @@
             known: The targets.
             bounded: Targets with a limit on the rate of all VMs.
         """
-        able = list(vms)
+        candidates = list(vms)
         contended = set()
-        for name, total in self._totals.items():
+        for name, total in self._wanted.items():
             entry = known.get(name)
             if entry is None or entry.target.service not in keyed:
                 continue
-            share = _LEAVE_SHARE if name in self._contended else _ENTER_SHARE
+            share = (
+                _GATE_BELOW_SHARE
+                if name in self._contended
+                else _GATE_ABOVE_SHARE
+            )
             if total > entry.target.slots * share:
                 contended.add(name)
         self._contended = contended
-        found = {}
+        gates = {}
         for name in contended.union(bounded):
             entry = known.get(name)
-            if entry is not None and able:
+            if entry is not None and candidates:
                 zone = entry.target.zone
-                found[name] = min(
-                    able,
+                gates[name] = min(
+                    candidates,
                     key=lambda vm, zone=zone, name=name: (  # type: ignore[misc]
                         vm[1] != zone,
                         regions.get(vm[1]) != regions.get(zone),
                         zlib.crc32(f"{vm[0]}/{name}".encode()),
                     ),
                 )[0]
-        return found
+        return gates
 
-    def _forget_silent(self, now: float) -> None:
-        silent = [
+    def _drop_expired(self, now: float) -> None:
+        expired = [
             vm
-            for vm, share in self._shares.items()
-            if now - share.at >= self._fresh
+            for vm, report in self._reports.items()
+            if now - report.at >= self._valid_seconds
         ]
-        for vm in silent:
+        for vm in expired:
             self._drop(vm)
 
     def _drop(self, vm: str) -> None:
-        share = self._shares.pop(vm, None)
-        if share is None:
+        report = self._reports.pop(vm, None)
+        if report is None:
             return
-        _add(self._under_way, ((t, -c) for t, c in share.under_way.items()))
-        _add(self._totals, ((t, -c) for t, c in share.wanted.items()))
+        _add_counts(
+            self._under_way, ((t, -c) for t, c in report.under_way.items())
+        )
+        _add_counts(self._wanted, ((t, -c) for t, c in report.wanted.items()))
 
 
-def _add(sums: dict[str, int], counts: Iterable[tuple[str, int]]) -> None:
+def _add_counts(
+    sums: dict[str, int], counts: Iterable[tuple[str, int]]
+) -> None:
     for name, count in counts:
         total = sums.get(name, 0) + count
         if total:
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/heat.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/heat.py
@@ -43,9 +43,9 @@
         """
         self._advance(now)
         counts = self._counts
-        grown = self._scale * weight
+        step = self._scale * weight
         for key in keys:
-            counts[key] = counts.get(key, 0.0) + grown
+            counts[key] = counts.get(key, 0.0) + step
 
     def counts(self, now: float) -> dict[int, float]:
         """Returns the decayed count of each recorded key."""
@@ -54,16 +54,16 @@
         return {key: count / scale for key, count in self._counts.items()}
 
     def _advance(self, now: float) -> None:
-        passed = max(now - self._at, 0.0)
-        if not passed:
+        elapsed = max(now - self._at, 0.0)
+        if not elapsed:
             return
         self._at = now
-        self._scale *= math.exp(min(passed / self._seconds, 50.0))
+        self._scale *= math.exp(min(elapsed / self._seconds, 50.0))
         if self._scale > self._RESCALE:
-            least = self._NEGLIGIBLE * self._scale
+            smallest = self._NEGLIGIBLE * self._scale
             self._counts = {
                 key: count / self._scale
                 for key, count in self._counts.items()
-                if count > least
+                if count > smallest
             }
             self._scale = 1.0
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/limits.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/limits.py
@@ -20,7 +20,7 @@
 in which two VMs may act as the sender."""
 _OWN_SHARE = 0.15
 """Share of a limit that all other VMs together may use on their own."""
-_ALONE_SHARE = 0.4
+_NO_SENDER_SHARE = 0.4
 """The same for VMs without a known sender. If only some VMs are cut off, their
 part of this is added to the requests of the sender."""
 _BURST_SECONDS = 0.1
@@ -28,17 +28,17 @@
 _SLOT_SECONDS = 0.5
 """Longest time slot. Unused slots expire: if they accumulated, all VMs would
 use theirs at once when the sender is lost."""
-_LEAST_RATE = 0.1
+_MIN_RATE = 0.1
 """Least requests a second. A target that gets no requests could never report a
 higher limit."""
-_LIFT_SECONDS = 0.5
+_LIFT_MARGIN_SECONDS = 0.5
 """How much newer a peer's update must be to lift or raise a limit that this VM
 received itself: the age in an update leaves out its time in transit."""
-_AGAIN_SECONDS = 5.0
+_CONFIRM_SECONDS = 5.0
 """Interval of the reports that a limit still holds."""
-_LIFTED_SECONDS = 30.0
+_REPORT_LIFTED_SECONDS = 30.0
 """For this time a leader reports that a limit has been lifted."""
-_LOTS = 1 << 32
+_HASH_RANGE = 1 << 32
 
 
 class LimitNews(msgspec.Struct, frozen=True, array_like=True):
@@ -62,7 +62,7 @@
     slot in each period, at an offset of its own.
     """
 
-    __slots__ = ("_at", "_offset", "_rate", "_tokens", "_used")
+    __slots__ = ("_at", "_offset", "_rate", "_tokens", "_used_period")
 
     def __init__(self, rate: float, offset: float, now: float) -> None:
         """Makes a rate limiter without tokens.
@@ -72,11 +72,11 @@
             offset: Position of this VM's time slot in a period, 0 to 1.
             now: The time.
         """
-        self._rate = max(rate, _LEAST_RATE)
+        self._rate = max(rate, _MIN_RATE)
         self._offset = offset
         self._tokens = 0.0
         self._at = now
-        self._used = -1
+        self._used_period = -1
 
     @property
     def rate(self) -> float:
@@ -86,7 +86,7 @@
     def set_rate(self, rate: float, now: float) -> None:
         """Changes the limit."""
         self._refill(now)
-        self._rate = max(rate, _LEAST_RATE)
+        self._rate = max(rate, _MIN_RATE)
 
     def wait(self, now: float) -> float:
         """Returns the seconds until the sender may send or admit a request."""
@@ -106,33 +106,35 @@
             now: The time.
             alone: Whether this VM knows of no sender.
         """
-        turn, since, period = self._turn(vms, now, alone)
-        if turn != self._used and since < min(_SLOT_SECONDS, period / 2):
+        period_number, elapsed, period = self._current_period(vms, now, alone)
+        if period_number != self._used_period and elapsed < min(
+            _SLOT_SECONDS, period / 2
+        ):
             return 0.0
-        return period - since
+        return period - elapsed
 
     def take_own(self, vms: int, now: float, *, alone: bool = False) -> None:
         """Records a request that this VM sends without being the sender."""
-        self._used, _, _ = self._turn(vms, now, alone)
+        self._used_period, _, _ = self._current_period(vms, now, alone)
 
-    def _turn(
+    def _current_period(
         self, vms: int, now: float, alone: bool
     ) -> tuple[int, float, float]:
         """Returns the number, age and length of the current period."""
-        share = _ALONE_SHARE if alone else _OWN_SHARE
+        share = _NO_SENDER_SHARE if alone else _OWN_SHARE
         period = vms / (self._rate * share)
-        gone = now / period + self._offset
-        turn = int(gone)
-        return turn, (gone - turn) * period, period
+        periods = now / period + self._offset
+        period_number = int(periods)
+        return period_number, (periods - period_number) * period, period
 
     def _refill(self, now: float) -> None:
-        most = 1.0 + self.rate * _BURST_SECONDS
-        grown = self._tokens + (now - self._at) * self.rate
-        self._tokens = min(grown, most)
+        capacity = 1.0 + self.rate * _BURST_SECONDS
+        tokens = self._tokens + (now - self._at) * self.rate
+        self._tokens = min(tokens, capacity)
         self._at = now
 
 
-class _Named:
+class _TargetLimit:
     """The limit that one incarnation of a target stated last.
 
     Attributes:
@@ -158,7 +160,13 @@
 class Limits:
     """The current rate limit of each target."""
 
-    __slots__ = ("_here", "_known_at", "_limited", "_named", "_told")
+    __slots__ = (
+        "_here",
+        "_leader_limits",
+        "_leader_limits_at",
+        "_limited_count",
+        "_limits",
+    )
 
     def __init__(self, here: str) -> None:
         """Makes a record without limits.
@@ -167,19 +175,19 @@
             here: Identifier of this VM.
         """
         self._here = here
-        self._named: dict[str, _Named] = {}
-        self._limited = 0
-        self._told: dict[str, LimitNews] = {}
-        self._known_at = 0.0
+        self._limits: dict[str, _TargetLimit] = {}
+        self._limited_count = 0
+        self._leader_limits: dict[str, LimitNews] = {}
+        self._leader_limits_at = 0.0
 
     @property
     def any(self) -> bool:
         """Whether any target has a limit."""
-        return self._limited > 0
+        return self._limited_count > 0
 
     def limited(self) -> list[str]:
         """Returns the targets that have a limit."""
-        return [n for n, known in self._named.items() if known.pace]
+        return [n for n, limit in self._limits.items() if limit.pace]
 
     def rate(self, target: str, born: int) -> float | None:
         """Returns the limit of a target in requests a second, None for none.
@@ -188,26 +196,26 @@
             target: Identifier of the target.
             born: Its incarnation.
         """
-        known = self._named.get(target)
-        if known is None or known.born != born:
+        limit = self._limits.get(target)
+        if limit is None or limit.born != born:
             return None
-        return known.rate
+        return limit.rate
 
     def rate_since(
         self, target: str, born: int, earliest: float
     ) -> float | None:
         """Returns a limit if the target stated it at `earliest` or later."""
-        known = self._named.get(target)
-        if known is None or known.at < earliest:
+        limit = self._limits.get(target)
+        if limit is None or limit.at < earliest:
             return None
         return self.rate(target, born)
 
     def pace(self, target: str, born: int) -> Pace | None:
         """Returns this VM's rate limiter for a target, None without a limit."""
-        known = self._named.get(target)
-        if known is None or known.born != born:
+        limit = self._limits.get(target)
+        if limit is None or limit.born != born:
             return None
-        return known.pace
+        return limit.pace
 
     def hear(
         self,
@@ -233,16 +241,16 @@
         Returns:
             Whether this changes the limit.
         """
-        known = self._named.get(target)
-        if known is None:
+        current = self._limits.get(target)
+        if current is None:
             return rate is not None and self._set(target, born, rate, now, now)
-        if born < known.born:
+        if born < current.born:
             return False
-        if born == known.born and rate == known.rate:
-            known.at = now
+        if born == current.born and rate == current.rate:
+            current.at = now
             return False
-        early = sent_at < known.since
-        if born == known.born and early and _lifts(rate, known.rate):
+        early = sent_at < current.since
+        if born == current.born and early and _lifts(rate, current.rate):
             return False
         return self._set(target, born, rate, now, now)
 
@@ -258,16 +266,16 @@
             Whether this changes the limit.
         """
         at = now - news.age
-        known = self._named.get(target)
-        if known is not None:
-            if news.born < known.born:
+        current = self._limits.get(target)
+        if current is not None:
+            if news.born < current.born:
                 return False
-            if news.born == known.born:
-                if news.rate == known.rate:
-                    known.at = max(known.at, at)
+            if news.born == current.born:
+                if news.rate == current.rate:
+                    current.at = max(current.at, at)
                     return False
-                lifts = _lifts(news.rate, known.rate)
-                if at <= known.at + (_LIFT_SECONDS if lifts else 0.0):
+                lifts = _lifts(news.rate, current.rate)
+                if at <= current.at + (_LIFT_MARGIN_SECONDS if lifts else 0.0):
                     return False
         elif news.rate is None:
             return False
@@ -282,44 +290,53 @@
         at: float,
     ) -> bool:
         """Stores an incarnation's limit; returns whether a limit changed."""
-        former = self._named.get(target)
-        made = self._named[target] = _Named(born, rate, now, at)
+        previous = self._limits.get(target)
+        updated = self._limits[target] = _TargetLimit(born, rate, now, at)
         if rate is not None:
-            made.pace = former.pace if former and former.born == born else None
-            if made.pace is None:
-                lot = zlib.crc32(f"{self._here}/{target}".encode()) / _LOTS
-                made.pace = Pace(rate, lot, now)
-            made.pace.set_rate(rate, now)
-        self._limited = sum(n.rate is not None for n in self._named.values())
-        return rate is not None or bool(former and former.rate is not None)
+            updated.pace = (
+                previous.pace if previous and previous.born == born else None
+            )
+            if updated.pace is None:
+                offset = (
+                    zlib.crc32(f"{self._here}/{target}".encode()) / _HASH_RANGE
+                )
+                updated.pace = Pace(rate, offset, now)
+            updated.pace.set_rate(rate, now)
+        self._limited_count = sum(
+            n.rate is not None for n in self._limits.values()
+        )
+        return rate is not None or bool(previous and previous.rate is not None)
 
     def news(self, now: float) -> dict[str, LimitNews]:
         """Returns the limits that a leader sends to all VMs."""
         return {
-            name: _news(known, now)
-            for name, known in self._named.items()
-            if known.rate is not None or now - known.at < _LIFTED_SECONDS
+            name: _update(limit, now)
+            for name, limit in self._limits.items()
+            if limit.rate is not None or now - limit.at < _REPORT_LIFTED_SECONDS
         }
 
     def take_told(self, told: Mapping[str, LimitNews], now: float) -> None:
         """Records the leader's limits, including those known here."""
-        self._told = dict(told)
-        self._known_at = now
+        self._leader_limits = dict(told)
+        self._leader_limits_at = now
 
     def unknown_to_leader(self, now: float) -> dict[str, LimitNews]:
         """Returns the limits that the leader lacks, for this VM's report."""
         return {
-            name: _news(known, now)
-            for name, known in self._named.items()
-            if self._is_unknown(name, known)
+            name: _update(limit, now)
+            for name, limit in self._limits.items()
+            if self._is_unknown(name, limit)
         }
 
-    def _is_unknown(self, target: str, known: _Named) -> bool:
-        told = self._told.get(target)
-        if told is None or told.born != known.born:
-            return known.rate is not None
-        at = self._known_at - told.age
-        return told.rate != known.rate or known.at > at + _AGAIN_SECONDS
+    def _is_unknown(self, target: str, limit: _TargetLimit) -> bool:
+        leader_limit = self._leader_limits.get(target)
+        if leader_limit is None or leader_limit.born != limit.born:
+            return limit.rate is not None
+        sent_at = self._leader_limits_at - leader_limit.age
+        return (
+            leader_limit.rate != limit.rate
+            or limit.at > sent_at + _CONFIRM_SECONDS
+        )
 
     def forget_except(self, targets: Mapping[str, int]) -> None:
         """Drops targets that no longer exist and ended incarnations.
@@ -327,28 +344,30 @@
         Args:
             targets: Present incarnations by target.
         """
-        self._named = {
-            name: known
-            for name, known in self._named.items()
-            if known.born >= targets.get(name, known.born + 1)
+        self._limits = {
+            name: limit
+            for name, limit in self._limits.items()
+            if limit.born >= targets.get(name, limit.born + 1)
         }
-        self._limited = sum(n.rate is not None for n in self._named.values())
+        self._limited_count = sum(
+            n.rate is not None for n in self._limits.values()
+        )
 
     def dump(self) -> dict[str, float]:
         """Returns the limits in force by target."""
         return {
-            name: known.rate
-            for name, known in self._named.items()
-            if known.rate is not None
+            name: limit.rate
+            for name, limit in self._limits.items()
+            if limit.rate is not None
         }
 
 
-def _lifts(rate: float | None, known: float | None) -> bool:
+def _lifts(rate: float | None, current: float | None) -> bool:
     """Whether a rate allows more than the recorded one."""
-    if known is None:
+    if current is None:
         return False
-    return rate is None or rate > known
+    return rate is None or rate > current
 
 
-def _news(known: _Named, now: float) -> LimitNews:
-    return LimitNews(known.born, known.rate, round(max(now - known.at, 0), 3))
+def _update(limit: _TargetLimit, now: float) -> LimitNews:
+    return LimitNews(limit.born, limit.rate, round(max(now - limit.at, 0), 3))
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/patience.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/patience.py
@@ -6,10 +6,10 @@
 attempt has just begun.
 """
 
-_DECAY = 0.002
+_DECAY_SHARE = 0.002
 """Share by which each request lowers the recorded longest deadline. The record
 follows a change of callers within some hundred requests."""
-_SPREAD = 0.25
+_SPREAD_SHARE = 0.25
 """Share by which deadlines of first attempts may differ: not all callers wait
 equally long."""
 
@@ -17,10 +17,10 @@
 class Patience:
     """The deadlines of one route's callers."""
 
-    __slots__ = ("_longest",)
+    __slots__ = ("_longest_deadline",)
 
     def __init__(self) -> None:
-        self._longest = 0.0
+        self._longest_deadline = 0.0
 
     def tried_for(self, deadline: float) -> float:
         """Records a request's deadline and estimates the retry time.
@@ -32,6 +32,8 @@
             Least number of seconds for which the caller has been retrying; 0
             for an apparent first attempt.
         """
-        self._longest = max(self._longest * (1 - _DECAY), deadline)
-        usual = self._longest * (1 - _SPREAD)
+        self._longest_deadline = max(
+            self._longest_deadline * (1 - _DECAY_SHARE), deadline
+        )
+        usual = self._longest_deadline * (1 - _SPREAD_SHARE)
         return max(usual - deadline, 0.0)
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/rests.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/rests.py
@@ -2,14 +2,14 @@
 
 import msgspec
 
-_LONG_SECONDS = 2.0
+_MIN_MOVE_SECONDS = 2.0
 """Least length of a backoff for which keys should move: a move takes about a
 second."""
-_LEFT_SECONDS = 0.5
+_MIN_LEFT_SECONDS = 0.5
 """With less than this left of a backoff, it is too late to move keys."""
 
 
-class _Rest(msgspec.Struct, frozen=True):
+class _Backoff(msgspec.Struct, frozen=True):
     """The backoff that one incarnation of a target has asked for.
 
     Attributes:
@@ -30,16 +30,16 @@
     most.
     """
 
-    __slots__ = ("_rests",)
+    __slots__ = ("_backoffs",)
 
     def __init__(self) -> None:
         """Makes a record without backoffs."""
-        self._rests: dict[str, _Rest] = {}
+        self._backoffs: dict[str, _Backoff] = {}
 
     @property
     def any(self) -> bool:
         """Whether a backoff of any target may be in force."""
-        return bool(self._rests)
+        return bool(self._backoffs)
 
     def ask(self, target: str, born: int, seconds: float, now: float) -> None:
         """Records a backoff; the one that ends last applies.
@@ -52,27 +52,29 @@
         """
         ends = now + seconds
         if self.left(target, born, now) < seconds:
-            self._rests[target] = _Rest(born, now, ends)
+            self._backoffs[target] = _Backoff(born, now, ends)
 
     def left(self, target: str, born: int, now: float) -> float:
         """Returns the seconds for which an incarnation gets no requests."""
-        rest = self._rests.get(target)
-        if rest is None or rest.born != born:
+        backoff = self._backoffs.get(target)
+        if backoff is None or backoff.born != born:
             return 0.0
-        if now >= rest.ends:
-            del self._rests[target]
+        if now >= backoff.ends:
+            del self._backoffs[target]
             return 0.0
-        return rest.ends - now
+        return backoff.ends - now
 
     def long(self, now: float) -> dict[str, float]:
         """Returns the seconds left of backoffs for which keys should move.
 
         Ended backoffs are dropped.
         """
-        self._rests = {n: r for n, r in self._rests.items() if r.ends > now}
+        self._backoffs = {
+            n: r for n, r in self._backoffs.items() if r.ends > now
+        }
         return {
-            name: round(rest.ends - now, 2)
-            for name, rest in self._rests.items()
-            if rest.ends - rest.began >= _LONG_SECONDS
-            and rest.ends - now > _LEFT_SECONDS
+            name: round(backoff.ends - now, 2)
+            for name, backoff in self._backoffs.items()
+            if backoff.ends - backoff.began >= _MIN_MOVE_SECONDS
+            and backoff.ends - now > _MIN_LEFT_SECONDS
         }
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/room.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/room.py
@@ -15,43 +15,43 @@
 from mimosastile_core.gateway import directory
 from mimosastile_core.gateway import reported
 
-_SMOOTHING = 0.15
+_SMOOTHING_WEIGHT = 0.15
 """Weight of one response in the mean: the mean follows a change within about
 seven responses."""
 _FACTOR_BOUNDS = (0.2, 20.0)
-_TROUBLE_HALF_LIFE = 2.0
+_FAILURE_HALF_LIFE_SECONDS = 2.0
 """Half-life, in seconds, of the recorded failure share."""
-_TROUBLE_WEIGHT = 4.0
+_FAILURE_WEIGHT = 4.0
 """A target that always fails counts as five times as slow."""
-_REST_SECONDS = 0.5
-_REST_MOST_SECONDS = 4.0
+_FIRST_BACKOFF_SECONDS = 0.5
+_MAX_BACKOFF_SECONDS = 4.0
 """Longest backoff after a target could not be reached. The backoff starts at
-`_REST_SECONDS` and doubles with each failure."""
-_EVEN_SHARE = 2.0
+`_FIRST_BACKOFF_SECONDS` and doubles with each failure."""
+_EVEN_SHARE_FACTOR = 2.0
 """A VM may have this many times its even share of the requests at a target
 without an admission gate."""
-_TURN_RUNS = 2.0
+_SLOT_WAIT_SERVICE_TIMES = 2.0
 """Number of service times, divided by the slots, after which one of this VM's
 requests may expect a slot at a full target without a gate. What other VMs have
 waiting there is unknown."""
-_GATE_REST = 1.0
+_GATE_BACKOFF_SECONDS = 1.0
 """Backoff, in seconds, after an admission gate did not respond."""
 _ON_TIME_SHARE = 0.75
 """Share of the remaining on-time budget that the estimated response time may
 take. The margin covers the variance of service times."""
-_LATE_WAITING = 1
+_MAX_WAITING_IF_LATE = 1
 """A request that will be late is sent to a target only if at most this many
 requests wait there."""
-_DISTANCE_STEP = 0.1
+_DISTANCE_STEP_SECONDS = 0.1
 """Size, in seconds of handicap, of one distance rank."""
-_SILENT_REST = 0.3
+_SILENT_BACKOFF_SECONDS = 0.3
 """Backoff, in seconds, after a target did not report its load in time. A full
 target answers no new request until one of its requests ends."""
-_OTHERS_FRESH_SECONDS = 1.5
+_COUNTS_VALID_SECONDS = 1.5
 """Oldest age at which the counts of other VMs are used."""
 
 
-_ALIKE = 0.5
+_SAME_CHOICE_SHARE = 0.5
 """Estimated share of other VMs that choose the same target as this one. They
 are located elsewhere, and their callers' requests come at other times."""
 
@@ -106,9 +106,9 @@
     """The load and health of one target as recorded by this VM."""
 
     __slots__ = (
-        "_rests",
-        "_trouble",
-        "_trouble_at",
+        "_failure_share",
+        "_failure_share_at",
+        "_unreachable_count",
         "factor",
         "others",
         "others_at",
@@ -128,14 +128,14 @@
         self.sent = 0
         self.rest_until = -math.inf
         self.said: reported.TargetLoad | None = None
-        self._trouble = 0.0
-        self._trouble_at = 0.0
-        self._rests = 0
+        self._failure_share = 0.0
+        self._failure_share_at = 0.0
+        self._unreachable_count = 0
 
     def under_way(self, now: float) -> int:
         """Returns the number of requests in progress there, of all VMs."""
-        fresh = now - self.others_at < _OTHERS_FRESH_SECONDS
-        return self.own + (self.others if fresh else 0)
+        valid = now - self.others_at < _COUNTS_VALID_SECONDS
+        return self.own + (self.others if valid else 0)
 
     def begin(self) -> None:
         """Records that a request is sent to the target."""
@@ -166,13 +166,15 @@
             vms: Number of VMs.
             now: The time.
         """
-        unseen = _ALIKE * (self.sent - least_sent) * (vms - 1)
-        return self.under_way(now) + min(unseen, slots)
+        uncounted = _SAME_CHOICE_SHARE * (self.sent - least_sent) * (vms - 1)
+        return self.under_way(now) + min(uncounted, slots)
 
     def trouble(self, now: float) -> float:
         """Returns the recent share of failures, 0 to 1."""
-        age = max(now - self._trouble_at, 0.0)
-        return self._trouble * math.exp2(-age / _TROUBLE_HALF_LIFE)
+        age = max(now - self._failure_share_at, 0.0)
+        return self._failure_share * math.exp2(
+            -age / _FAILURE_HALF_LIFE_SECONDS
+        )
 
     def answered(self, seconds: float, work: float, now: float) -> None:
         """Records a response and its service time.
@@ -186,7 +188,7 @@
         ratio = min(max(seconds / max(work, 1e-3), low), high)
         # One request in a hundred takes several times as long. A few of them do
         # not make a target slow.
-        step = max(_SMOOTHING, 1 / (self.samples + 1))
+        step = max(_SMOOTHING_WEIGHT, 1 / (self.samples + 1))
         ratio = min(ratio, 3 * self.factor)
         self.factor += (ratio - self.factor) * step
         self.samples += 1
@@ -194,28 +196,31 @@
 
     def well(self, now: float) -> None:
         """Records that the target responded, with any service time."""
-        self._note(0.0, now)
-        self._rests = 0
+        self._update_failure_share(0.0, now)
+        self._unreachable_count = 0
 
     def failed(self, now: float) -> None:
         """Records a failure or a rejection."""
-        self._note(1.0, now)
+        self._update_failure_share(1.0, now)
 
     def unreachable(self, now: float) -> None:
         """Records that the target could not be reached, and backs off."""
-        self._note(1.0, now)
-        rest = min(_REST_SECONDS * 2**self._rests, _REST_MOST_SECONDS)
-        self.rest_until = now + rest
-        self._rests = min(self._rests + 1, 8)
+        self._update_failure_share(1.0, now)
+        backoff = min(
+            _FIRST_BACKOFF_SECONDS * 2**self._unreachable_count,
+            _MAX_BACKOFF_SECONDS,
+        )
+        self.rest_until = now + backoff
+        self._unreachable_count = min(self._unreachable_count + 1, 8)
 
     def silent(self, now: float) -> None:
         """Records that the target did not report its load in time."""
-        self.rest_until = max(self.rest_until, now + _SILENT_REST)
+        self.rest_until = max(self.rest_until, now + _SILENT_BACKOFF_SECONDS)
 
-    def _note(self, value: float, now: float) -> None:
-        trouble = self.trouble(now)
-        self._trouble = trouble + (value - trouble) * 0.2
-        self._trouble_at = now
+    def _update_failure_share(self, value: float, now: float) -> None:
+        share = self.trouble(now)
+        self._failure_share = share + (value - share) * 0.2
+        self._failure_share_at = now
 
 
 class Choice(msgspec.Struct, frozen=True):
@@ -239,14 +244,14 @@
 
     __slots__ = (
         "_gates",
-        "_gates_at",
+        "_gates_updated_at",
         "_here",
         "_loads",
         "_policy",
         "_regions",
-        "_reporting",
-        "_silent_gates",
-        "_work",
+        "_reporting_services",
+        "_route_means",
+        "_silent_gates_until",
     )
 
     def __init__(
@@ -263,18 +268,18 @@
         self._regions = regions
         self._policy = policy
         self._loads: dict[str, Load] = {}
-        self._reporting: set[str] = set()
-        self._work: dict[str, tuple[float, float]] = {}
+        self._reporting_services: set[str] = set()
+        self._route_means: dict[str, tuple[float, float]] = {}
         self._gates: dict[str, str] = {}
-        self._gates_at = -math.inf
-        self._silent_gates: dict[str, float] = {}
+        self._gates_updated_at = -math.inf
+        self._silent_gates_until: dict[str, float] = {}
 
     def load(self, target: str) -> Load:
         """Returns the recorded load of a target."""
-        found = self._loads.get(target)
-        if found is None:
-            found = self._loads[target] = Load()
-        return found
+        load = self._loads.get(target)
+        if load is None:
+            load = self._loads[target] = Load()
+        return load
 
     def forget_except(self, targets: Iterable[str]) -> None:
         """Drops targets that no longer exist and have no own requests."""
@@ -287,7 +292,9 @@
 
     def own(self) -> dict[str, int]:
         """Returns this VM's requests in progress by target."""
-        return {name: x.own for name, x in self._loads.items() if x.own}
+        return {
+            name: load.own for name, load in self._loads.items() if load.own
+        }
 
     def factors(self) -> dict[str, float]:
         """Returns each target's service time relative to the mean.
@@ -307,7 +314,7 @@
 
     def reports_load(self, service: str) -> bool:
         """Whether any target of a service has reported its load."""
-        return service in self._reporting
+        return service in self._reporting_services
 
     def learn_load(
         self,
@@ -321,7 +328,7 @@
             said: Its load.
         """
         load = self.load(target.id)
-        self._reporting.add(target.service)
+        self._reporting_services.add(target.service)
         load.said = said
 
     def distance(
@@ -335,8 +342,8 @@
                 other zones more distant.
             latency: Time in seconds within which a response is on time.
         """
-        away = self._handicap(target, self.size(route), latency)
-        return int(away / _DISTANCE_STEP)
+        handicap = self._handicap(target, self.size(route), latency)
+        return int(handicap / _DISTANCE_STEP_SECONDS)
 
     def compare(
         self,
@@ -366,7 +373,7 @@
             latency: Time in seconds within which a response is on time.
         """
         best: tuple[float, Choice] | None = None
-        soonest = math.inf
+        shortest_wait = math.inf
         size = self.size(route)
         for target in targets:
             load = self.load(target.id)
@@ -378,18 +385,20 @@
                 work *= 2
             seconds = said.seconds(work)
             in_time = seconds < on_time * _ON_TIME_SHARE or (
-                said.waiting <= _LATE_WAITING and seconds < left
+                said.waiting <= _MAX_WAITING_IF_LATE and seconds < left
             )
             full = said.waiting >= self._policy.queue or load.own >= most_own
             if full or not in_time:
-                soonest = min(soonest, work / said.slots)
+                shortest_wait = min(shortest_wait, work / said.slots)
                 continue
-            seconds *= 1 + _TROUBLE_WEIGHT * load.trouble(now)
-            rest = max(load.rest_until - now, 0.0)
-            cost = seconds + self._handicap(target, size, latency) + 10 * rest
+            seconds *= 1 + _FAILURE_WEIGHT * load.trouble(now)
+            backoff = max(load.rest_until - now, 0.0)
+            cost = (
+                seconds + self._handicap(target, size, latency) + 10 * backoff
+            )
             if best is None or cost < best[0]:
                 best = (cost, Choice(target, seconds, said.runs))
-        return best[1] if best else Choice(None, soonest)
+        return best[1] if best else Choice(None, shortest_wait)
 
     def learn_others(self, totals: dict[str, int], now: float) -> None:
         """Records the other VMs' counts; unnamed targets have 0."""
@@ -406,7 +415,7 @@
     def learn_gates(self, gates: dict[str, str], now: float) -> None:
         """Records the addresses of all contended targets' admission gates."""
         self._gates = gates
-        self._gates_at = now
+        self._gates_updated_at = now
 
     def learn_new_gates(self, gates: dict[str, str]) -> None:
         """Adds the gates of targets that have just become contended."""
@@ -414,16 +423,16 @@
 
     def gate(self, target: str, now: float) -> str | None:
         """Returns the address of a target's gate, None without a usable one."""
-        if now - self._gates_at > _OTHERS_FRESH_SECONDS:
+        if now - self._gates_updated_at > _COUNTS_VALID_SECONDS:
             return None
-        found = self._gates.get(target)
-        if found is None or self._silent_gates.get(found, -math.inf) > now:
+        gate = self._gates.get(target)
+        if gate is None or self._silent_gates_until.get(gate, -math.inf) > now:
             return None
-        return found
+        return gate
 
     def gate_silent(self, gate: str, now: float) -> None:
         """Records that a gate did not respond."""
-        self._silent_gates[gate] = now + _GATE_REST
+        self._silent_gates_until[gate] = now + _GATE_BACKOFF_SECONDS
 
     def turn_seconds(
         self, target: directory.Target, route: str, guess: float
@@ -436,15 +445,15 @@
             guess: Service time in seconds to assume if none was measured yet.
         """
         work = self.work(route, guess) * self.load(target.id).factor
-        return _TURN_RUNS * work / target.slots
+        return _SLOT_WAIT_SERVICE_TIMES * work / target.slots
 
     def work(self, route: str, guess: float) -> float:
         """Returns the mean service time in seconds of a route's requests."""
-        return self._work.get(route, (guess, 0.0))[0]
+        return self._route_means.get(route, (guess, 0.0))[0]
 
     def size(self, route: str) -> float:
         """Returns the mean bytes of a route's requests and responses."""
-        return self._work.get(route, (0.0, 0.0))[1]
+        return self._route_means.get(route, (0.0, 0.0))[1]
 
     def answered(
         self,
@@ -467,15 +476,15 @@
             waited: Whether the request may have been queued at the target. Its
                 time then says nothing about the target's speed.
         """
-        mean, bytes_mean = self._work.get(route, (seconds, float(size)))
+        mean, bytes_mean = self._route_means.get(route, (seconds, float(size)))
         load = self.load(target)
         if waited:
             load.well(now)
             return
         clamped = min(seconds, 5 * mean)
-        mean += (clamped - mean) * _SMOOTHING / 5
-        bytes_mean += (size - bytes_mean) * _SMOOTHING / 5
-        self._work[route] = (mean, bytes_mean)
+        mean += (clamped - mean) * _SMOOTHING_WEIGHT / 5
+        bytes_mean += (size - bytes_mean) * _SMOOTHING_WEIGHT / 5
+        self._route_means[route] = (mean, bytes_mean)
         load.answered(seconds, mean, now)
 
     def expected(
@@ -492,10 +501,10 @@
         work = self.work(route, guess) * load.factor
         if now < target.warm_at and load.samples < 5:
             work *= 2
-        reckoned = load.reckoned(least_sent, target.slots, vms, now)
-        ahead = reckoned + 1 - target.slots
+        under_way = load.reckoned(least_sent, target.slots, vms, now)
+        ahead = under_way + 1 - target.slots
         wait = max(ahead, 0) / target.slots * work
-        return (work + wait) * (1 + _TROUBLE_WEIGHT * load.trouble(now))
+        return (work + wait) * (1 + _FAILURE_WEIGHT * load.trouble(now))
 
     def full(self, target: directory.Target, most_own: int, now: float) -> bool:
         """Whether a target should get no further request at the moment."""
@@ -523,8 +532,8 @@
             # A slot is free according to the current counts.
             return False
         limit = target.slots + self._policy.queue
-        even = max(1, round(_EVEN_SHARE * limit / vms))
-        return load.own >= even or load.under_way(now) >= limit
+        even_share = max(1, round(_EVEN_SHARE_FACTOR * limit / vms))
+        return load.own >= even_share or load.under_way(now) >= limit
 
     def choose(
         self,
@@ -550,36 +559,38 @@
             latency: Time in seconds within which a response is on time.
         """
         best: tuple[float, float, directory.Target] | None = None
-        soonest = math.inf
+        shortest_wait = math.inf
         size = self.size(route)
         targets = list(targets)
-        least = self._least_sent(targets)
+        least_sent = self._least_sent(targets)
         for index, target in enumerate(targets):
             seconds = self.expected(
-                target, route, guess, least[target.zone], vms, now
+                target, route, guess, least_sent[target.zone], vms, now
             )
             if self.full(target, most_own, now):
-                soonest = min(soonest, seconds / target.slots)
+                shortest_wait = min(shortest_wait, seconds / target.slots)
                 continue
-            rest = max(self.load(target.id).rest_until - now, 0.0)
+            backoff = max(self.load(target.id).rest_until - now, 0.0)
             noise = 1 + 0.1 * ((index * 0.618 + jitter) % 1)
-            away = self._handicap(target, size, latency)
-            cost = seconds * noise + away + 10 * rest
+            handicap = self._handicap(target, size, latency)
+            cost = seconds * noise + handicap + 10 * backoff
             if best is None or cost < best[0]:
                 best = (cost, seconds, target)
         if best is None:
-            return Choice(None, soonest)
+            return Choice(None, shortest_wait)
         return Choice(best[2], best[1])
 
     def _least_sent(
         self, targets: Iterable[directory.Target]
     ) -> dict[str, int]:
         """Returns the fewest requests sent to any target, by zone."""
-        least: dict[str, int] = {}
+        least_sent: dict[str, int] = {}
         for target in targets:
             sent = self.load(target.id).sent
-            least[target.zone] = min(least.get(target.zone, sent), sent)
-        return least
+            least_sent[target.zone] = min(
+                least_sent.get(target.zone, sent), sent
+            )
+        return least_sent
 
     def _handicap(
         self, target: directory.Target, size: float, latency: float
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/routes.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/routes.py
@@ -168,16 +168,18 @@
         parts = route.parts
         if len(parts) == 1:
             return parts[0].service
-        dealt = self._credits.setdefault(
+        credits = self._credits.setdefault(
             (route.name, parts), [0.0] * len(parts)
         )
         for index, part in enumerate(parts):
-            dealt[index] += part.weight
-        best = max(range(len(parts)), key=dealt.__getitem__)
-        dealt[best] -= sum(part.weight for part in parts)
-        return parts[best].service
+            credits[index] += part.weight
+        winner = max(range(len(parts)), key=credits.__getitem__)
+        credits[winner] -= sum(part.weight for part in parts)
+        return parts[winner].service
 
     def keep(self, routes: tuple[Route, ...]) -> None:
         """Drops the state of routes that are no longer configured."""
-        known = {(route.name, route.parts) for route in routes}
-        self._credits = {k: v for k, v in self._credits.items() if k in known}
+        configured = {(route.name, route.parts) for route in routes}
+        self._credits = {
+            k: v for k, v in self._credits.items() if k in configured
+        }
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/sampling.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/sampling.py
@@ -19,7 +19,7 @@
 
 from mimosastile_core.gateway import directory
 
-_SUBSET = 8
+_SUBSET_SIZE = 8
 """Number of targets at each distance that a VM draws from."""
 
 
@@ -52,7 +52,7 @@
         key=lambda t: (distance(t), zlib.crc32(f"{vm}/{t.id}".encode())),
     )
     rings = [
-        tuple(itertools.islice(ring, _SUBSET))
+        tuple(itertools.islice(ring, _SUBSET_SIZE))
         for _, ring in itertools.groupby(ordered, key=distance)
     ]
     return Pool(rings[0] if rings else (), tuple(itertools.chain(*rings)))
@@ -72,12 +72,14 @@
         random: Returns a number from 0 to 1.
         excluded: Whether a target is left out.
     """
-    near = _draw([t for t in drawn.nearest if not excluded(t)], count, random)
-    missing = count - len(near)
+    nearest = _draw(
+        [t for t in drawn.nearest if not excluded(t)], count, random
+    )
+    missing = count - len(nearest)
     if not missing:
-        return near
-    rest = [t for t in drawn.all if not excluded(t) and t not in near]
-    return near + _draw(rest, missing, random)
+        return nearest
+    others = [t for t in drawn.all if not excluded(t) and t not in nearest]
+    return nearest + _draw(others, missing, random)
 
 
 def _draw(
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/warmup.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/warmup.py
@@ -11,7 +11,7 @@
 
 WINDOW_SECONDS = 1.0
 """Window over which requests to a cold target are counted."""
-_KEPT_TARGETS = 128
+_MAX_TARGETS = 128
 """Above this number of targets, those without recent requests are dropped."""
 
 
@@ -35,24 +35,24 @@
         Returns:
             0 if it may get one now; infinity if it may never get any.
         """
-        most = math.floor(rate)
-        if most < 1:
+        capacity = math.floor(rate)
+        if capacity < 1:
             return math.inf
         sent = self._sent.get(target, ())
-        if len(sent) < most:
+        if len(sent) < capacity:
             return 0.0
-        return max(sent[-most] + WINDOW_SECONDS - now, 0.0)
+        return max(sent[-capacity] + WINDOW_SECONDS - now, 0.0)
 
     def note(self, target: str, now: float) -> None:
         """Records a request that is sent to a cold target."""
-        if len(self._sent) >= _KEPT_TARGETS:
-            self._forget(now)
+        if len(self._sent) >= _MAX_TARGETS:
+            self._drop_idle(now)
         sent = self._sent.setdefault(target, collections.deque())
         sent.append(now)
         while now - sent[0] >= WINDOW_SECONDS:
             sent.popleft()
 
-    def _forget(self, now: float) -> None:
+    def _drop_idle(self, now: float) -> None:
         self._sent = {
             target: sent
             for target, sent in self._sent.items()
--- a/packages/mimosastile-core/src/mimosastile_core/limits.py
+++ b/packages/mimosastile-core/src/mimosastile_core/limits.py
@@ -209,8 +209,8 @@
     __slots__ = (
         "_arrivals",
         "_arrivals_since",
-        "_full_until",
         "_concurrency",
+        "_full_until",
         "_offered",
         "_rate",
         "_refilled_at",
