--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission.py
@@ -10,8 +10,8 @@
 from mimosastile_core.gateway import admission
 from mimosastile_core.gateway import limits
 
-SLOTS, BEYOND, WORK = 4, 3, 0.12
-AIM, DEADLINE = 0.4, 1.5
+SLOTS, TARGET_QUEUE, WORK = 4, 3, 0.12
+TARGET_LATENCY, DEADLINE = 0.4, 1.5
 
 
 class Model:
@@ -19,56 +19,58 @@
 
     def __init__(self, seed=1, work=WORK):
         self.random = random.Random(seed)
-        self.queue = admission.Queue(SLOTS, BEYOND)
+        self.queue = admission.Queue(SLOTS, TARGET_QUEUE)
         self.work = work
         self.now = 0.0
-        self.on_time = self.late = self.refused = self.most = 0
-        self.held_in_vain = 0.0
+        self.on_time = self.late = self.refused = self.most_at_target = 0
+        self.seconds_until_refused = 0.0
         self.busy_seconds = 0.0
-        self.first_admitted = []
+        self.admitted = []
         self._events = []
         self._at_target = []
         self._running = 0
         self._arrived = {}
         self._number = 0
 
-    def offer(self, at, vm="vm", priority=2, known_work=WORK):
+    def offer(self, at, vm="vm", priority=2, assumed_work=WORK):
         """Schedules a request."""
-        self._push(at, self._ask, vm, priority, known_work)
+        self._schedule(at, self._ask, vm, priority, assumed_work)
 
     def play(self):
         """Processes all events."""
         while self._events:
-            self.now, _, act, args = heapq.heappop(self._events)
-            act(*args)
-            self.most = max(self.most, len(self._at_target) + self._running)
+            self.now, _, action, args = heapq.heappop(self._events)
+            action(*args)
+            self.most_at_target = max(
+                self.most_at_target, len(self._at_target) + self._running
+            )
 
-    def _push(self, at, act, *args):
+    def _schedule(self, at, action, *args):
         self._number += 1
-        heapq.heappush(self._events, (at, self._number, act, args))
+        heapq.heappush(self._events, (at, self._number, action, args))
 
-    def _ask(self, vm, priority, known_work):
+    def _ask(self, vm, priority, assumed_work):
         self._number += 1
         ask = admission.Ask(
             vm,
             self._number,
             priority,
-            AIM,
+            TARGET_LATENCY,
             DEADLINE,
-            known_work,
+            assumed_work,
         )
         self._arrived[ask.id] = self.now
-        self._take([self.queue.ask(ask, self.now)])
+        self._apply([self.queue.ask(ask, self.now)])
 
-    def _take(self, decisions):
+    def _apply(self, decisions):
         for decision in decisions:
             ask = decision.ask
             if decision.verdict is admission.Verdict.ADMITTED:
-                self.first_admitted.append(ask)
+                self.admitted.append(ask)
                 self._at_target.append(ask)
             elif decision.verdict is admission.Verdict.REFUSED:
                 self.refused += 1
-                self.held_in_vain += self.now - self._arrived[ask.id]
+                self.seconds_until_refused += self.now - self._arrived[ask.id]
         self._start()
 
     def _start(self):
@@ -77,15 +79,15 @@
             self._running += 1
             seconds = self.work * self.random.uniform(0.7, 1.3)
             self.busy_seconds += seconds
-            self._push(self.now + seconds, self._end, ask)
+            self._schedule(self.now + seconds, self._end, ask)
 
     def _end(self, ask):
         self._running -= 1
         took = self.now - self._arrived[ask.id]
-        self.on_time += took <= AIM
-        self.late += AIM < took <= DEADLINE
+        self.on_time += took <= TARGET_LATENCY
+        self.late += TARGET_LATENCY < took <= DEADLINE
         self._start()
-        self._take(self.queue.done(ask.vm, ask.number, self.now))
+        self._apply(self.queue.done(ask.vm, ask.number, self.now))
 
 
 def _poisson(model, rate, seconds, vms, began=0.0):
@@ -97,12 +99,12 @@
 CAPACITY = SLOTS / WORK
 
 
-class TestSizes:
+class TestNumberOfVms:
     """Throughput is independent of the number of VMs."""
 
     @pytest.mark.parametrize("vms", [12, 67, 300, 1000])
     @pytest.mark.parametrize("load", [0.7, 0.95])
-    def test_nobody_is_refused_beside_free_slots(self, vms, load):
+    def test_no_refusals_beside_free_slots(self, vms, load):
         """Guards against refusals beside free slots.
 
         Many VMs send a request now and then, and the target keeps up. If its
@@ -116,14 +118,14 @@
         total = model.on_time + model.late + model.refused
         assert model.refused <= (0.01 if load < 0.8 else 0.1) * total
         assert model.on_time >= (0.99 if load < 0.8 else 0.9) * total
-        assert model.most <= SLOTS + BEYOND
+        assert model.most_at_target <= SLOTS + TARGET_QUEUE
 
 
 class TestOverload:
     """Load above the capacity of a target."""
 
     @pytest.mark.parametrize("times", [1.5, 2.0, 4.0])
-    def test_slots_answer_on_time(self, times):
+    def test_slots_run_requests_that_can_be_on_time(self, times):
         """Guards against queueing that makes every response late.
 
         One key gets more requests than its owner can answer, for a long time.
@@ -136,7 +138,7 @@
         possible = 30 * CAPACITY
         assert model.busy_seconds >= 0.95 * 30 * SLOTS
         assert model.on_time >= 0.9 * possible
-        assert model.held_in_vain / model.refused < AIM
+        assert model.seconds_until_refused / model.refused < TARGET_LATENCY
 
     def test_burst_is_absorbed(self):
         """Twice the capacity for half a second: all are served in time."""
@@ -146,14 +148,14 @@
         assert model.refused == 0
         assert model.late + model.on_time > 0
 
-    def test_urgent_ones_go_first(self):
+    def test_urgent_requests_go_first(self):
         """Urgent requests for a hot key get permits before the others."""
         model = Model()
         _poisson(model, 1.5 * CAPACITY, 20, 67)
         for n in range(int(20 * CAPACITY * 0.3)):
             model.offer(n / (CAPACITY * 0.3), "urgent", priority=1)
         model.play()
-        urgent = [a for a in model.first_admitted if a.priority == 1]
+        urgent = [a for a in model.admitted if a.priority == 1]
         assert len(urgent) >= 0.98 * int(20 * CAPACITY * 0.3)
 
     def test_slow_target(self):
@@ -167,14 +169,19 @@
         model.play()
         served = model.on_time + model.late
         assert served >= 0.85 * 30 * CAPACITY / 4
-        assert model.held_in_vain / model.refused < 0.5 * DEADLINE
+        assert model.seconds_until_refused / model.refused < 0.5 * DEADLINE
 
 
-class TestPlaces:
+class TestPermits:
     """Permits in use."""
 
     def _ask(self, number, **changes):
-        fields = {"priority": 2, "on_time": AIM, "left": DEADLINE, "work": WORK}
+        fields = {
+            "priority": 2,
+            "on_time": TARGET_LATENCY,
+            "left": DEADLINE,
+            "work": WORK,
+        }
         return admission.Ask("vm", number, **(fields | changes))
 
     @hypothesis.given(
@@ -188,15 +195,15 @@
         )
     )
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=100)
-    def test_never_more_than_there_are(self, steps):
+    def test_permits_stay_bounded(self, steps):
         """Permits stay bounded through any series of requests and losses."""
         queue, now = admission.Queue(2, 1), 0.0
-        for number, (what, which, pause) in enumerate(steps):
-            if what == "ask":
+        for number, (step, which, pause) in enumerate(steps):
+            if step == "ask":
                 queue.ask(self._ask(number), now)
-            elif what == "again":
+            elif step == "again":
                 queue.ask(self._ask(which), now)
-            elif what == "done":
+            elif step == "done":
                 queue.done("vm", which, now, answered=which % 2 == 0)
             else:
                 queue.turn(now)
@@ -211,20 +218,20 @@
         """
         queue = admission.Queue(1, 0)
         queue.ask(self._ask(1), 0.0)
-        waits = queue.ask(self._ask(2), 0.0)
-        assert waits.verdict is admission.Verdict.WAITS
+        waiting = queue.ask(self._ask(2), 0.0)
+        assert waiting.verdict is admission.Verdict.WAITS
         assert queue.turn(0.5) == []
         (decided,) = queue.turn(1.0)
         assert decided.verdict is admission.Verdict.ADMITTED
 
-    def test_what_a_vm_holds_without_a_place_counts(self):
+    def test_requests_without_a_permit_count(self):
         """A new gate is informed of the requests already in progress."""
         queue = admission.Queue(4, 0)
         first = queue.ask(self._ask(1, held=4), 0.0)
         assert first.verdict is admission.Verdict.WAITS
         assert [d.ask.number for d in queue.turn(WORK + 0.01)] == [1]
 
-    def test_withdrawn(self):
+    def test_withdrawn_request(self):
         """A caller disconnects; its permit goes to the next request."""
         queue = admission.Queue(1, 0)
         for number in (1, 2, 3):
@@ -249,17 +256,17 @@
             now += 0.2
         assert queue._interval == pytest.approx(WORK, rel=0.01)
 
-    def test_refusal_says_when_to_come_back(self):
+    def test_refusal_gives_the_retry_time(self):
         """The retry time follows from the queue and is not a constant."""
         queue = admission.Queue(1, 0)
         for number in range(1, 12):
             queue.ask(self._ask(number, left=9.0, on_time=9.0), 0.0)
-        told = queue.ask(self._ask(12), 0.0)
-        assert told.verdict is admission.Verdict.REFUSED
-        assert told.seconds >= 11 * WORK
+        refused = queue.ask(self._ask(12), 0.0)
+        assert refused.verdict is admission.Verdict.REFUSED
+        assert refused.seconds >= 11 * WORK
 
 
-class TestLimited:
+class TestRateLimit:
     """A steady load above the rate limit that the target has set."""
 
     def test_admits_at_the_limit_and_refuses_the_rest(self):
@@ -268,14 +275,16 @@
         A request that cannot be admitted in time is refused at once with the
         expected time of admission.
         """
-        queue = admission.Queue(SLOTS, BEYOND)
+        queue = admission.Queue(SLOTS, TARGET_QUEUE)
         queue.pace = limits.Pace(6.1, 0.0, 0.0)
         admitted, refused = [], []
         decisions = []
         for step in range(1000):
             now = step * 0.01
             if step % 3 == 0:
-                ask = admission.Ask("vm", step, 2, AIM, DEADLINE, WORK)
+                ask = admission.Ask(
+                    "vm", step, 2, TARGET_LATENCY, DEADLINE, WORK
+                )
                 decisions = [queue.ask(ask, now)]
             decisions += queue.turn(now)
             for decision in decisions:
--- a/tests/gateway/test_allowance.py
+++ b/tests/gateway/test_allowance.py
@@ -7,7 +7,7 @@
 RATIO, WINDOW, FIXED = 0.2, 10.0, 60.0
 
 
-def _most_repeats(vms, requests_per_second, seconds=30):
+def _most_retries(vms, requests_per_second, seconds=30):
     """Returns the retries in the worst window if VMs use all they may."""
     parts = [
         allowance.RetryAllowance(RATIO, WINDOW, FIXED / vms) for _ in range(vms)
@@ -31,7 +31,7 @@
     """All VMs together stay within the budget."""
 
     @pytest.mark.parametrize(("vms", "rate"), [(1, 200), (10, 400), (10, 0)])
-    def test_every_vm_repeats_all_it_may(self, vms, rate):
+    def test_vms_that_retry_all_they_may(self, vms, rate):
         """Guards against retry storms.
 
         All targets of a service reject everything for half a minute. Without a
@@ -40,9 +40,9 @@
         """
         allowed = RATIO * rate * WINDOW + FIXED
         # A caller's requests may be counted in the previous window.
-        assert _most_repeats(vms, rate) <= allowed * 1.1 + vms
+        assert _most_retries(vms, rate) <= allowed * 1.1 + vms
 
-    def test_tokens_come_back(self):
+    def test_retries_become_available_again(self):
         """Retries used in one window are available again in a later one."""
         left = allowance.RetryAllowance(RATIO, WINDOW, 2.0)
         assert left.take(0.0)
@@ -50,7 +50,7 @@
         assert not left.take(1.0)
         assert left.take(11.5)
 
-    def test_part_follows_the_number_of_vms(self):
+    def test_share_follows_the_number_of_vms(self):
         """With fewer VMs each may retry more."""
         left = allowance.RetryAllowance(RATIO, WINDOW, 0.0)
         assert not left.take(0.0)
--- a/tests/gateway/test_bounded_targets.py
+++ b/tests/gateway/test_bounded_targets.py
@@ -9,29 +9,30 @@
 from tests.gateway import fakes
 from tests.gateway import fleet
 
-CONTACT_SECONDS = 3.0
+PROPAGATION_SECONDS = 3.0
 """Time from the first statement of a limit until all VMs keep to it."""
 WINDOW_SECONDS = 4.0
-TOLD_SECONDS = 0.5
+RESPONSE_DELAY_SECONDS = 0.5
 """A VM's requests count from this time after it passed on a response that
 states the limit."""
 
 
-def most_beyond(target, since):
+def highest_excess(target, since):
     """Returns the most requests by which any window exceeds the bound.
 
     Args:
         target: The target.
         since: When it first stated a limit.
     """
-    told = {}
-    for at, vm, said in target.passed:
-        if b"server-limit" in said:
-            told.setdefault(vm, at)
+    informed_at = {}
+    for at, vm, headers in target.passed:
+        if b"server-limit" in headers:
+            informed_at.setdefault(vm, at)
     counted = [
         arrival.at
         for arrival in target.arrivals
-        if arrival.vm in told and arrival.at >= told[arrival.vm] + TOLD_SECONDS
+        if arrival.vm in informed_at
+        and arrival.at >= informed_at[arrival.vm] + RESPONSE_DELAY_SECONDS
     ]
     rate = float(target.says["server-limit"])
     allowed = 1.5 * rate * WINDOW_SECONDS + 5
@@ -39,7 +40,7 @@
         (
             sum(end - WINDOW_SECONDS < at <= end for at in counted) - allowed
             for end in counted
-            if end >= since + CONTACT_SECONDS
+            if end >= since + PROPAGATION_SECONDS
         ),
         default=-allowed,
     )
@@ -55,19 +56,19 @@
     virtual.run(main())
 
 
-def _limit(target, rate):
+def _set_limit(target, rate):
     """Makes a target state a limit; returns the time."""
     target.says["server-limit"] = str(rate)
     return virtual.now()
 
 
-def _share(target, since, until):
+def _request_rate(target, since, until):
     """Returns the requests a second that a target got."""
     got = sum(since <= a.at < until for a in target.arrivals)
     return got / (until - since)
 
 
-class TestAllVmsTogether:
+class TestSumOverAllVms:
     """A limit applies to the sum over all VMs."""
 
     @pytest.mark.parametrize("vms", [10, 88, 300])
@@ -78,9 +79,9 @@
         async def scenario(made):
             await made.call(2.0, 120.0, "/s", fleet.any_key)
             target = made.owner()
-            named = _limit(target, rate)
+            set_at = _set_limit(target, rate)
             await made.call(12.0, 120.0, "/s", fleet.any_key)
-            assert most_beyond(target, named) <= 0
+            assert highest_excess(target, set_at) <= 0
 
         _play(scenario, vms)
 
@@ -92,9 +93,9 @@
         async def scenario(made):
             await made.call(2.0, 120.0, "/p")
             target = made.targets["p0"]
-            named = _limit(target, rate)
+            set_at = _set_limit(target, rate)
             await made.call(12.0, 120.0, "/p")
-            assert most_beyond(target, named) <= 0
+            assert highest_excess(target, set_at) <= 0
             assert made.statuses == {200: sum(made.statuses.values())}
 
         _play(scenario, vms)
@@ -105,12 +106,12 @@
         async def scenario(made):
             await made.call(2.0, 60.0, "/s", fleet.any_key)
             target = made.owner()
-            named = _limit(target, 6.1)
+            set_at = _set_limit(target, 6.1)
             await asyncio.gather(
                 made.call(12.0, 60.0, "/s", fleet.any_key),
                 made.call(12.0, 60.0, "/s"),
             )
-            assert most_beyond(target, named) <= 0
+            assert highest_excess(target, set_at) <= 0
 
         _play(scenario, 10)
 
@@ -120,20 +121,20 @@
         async def scenario(made):
             await made.call(2.0, 40.0, "/p")
             target = made.targets["p0"]
-            named = _limit(target, 6.1)
+            set_at = _set_limit(target, 6.1)
             await made.call(12.0, 40.0, "/p")
-            assert most_beyond(target, named) <= 0
-            assert _share(target, named + 4.0, named + 12.0) > 3.0
+            assert highest_excess(target, set_at) <= 0
+            assert _request_rate(target, set_at + 4.0, set_at + 12.0) > 3.0
             assert made.statuses.keys() == {200, 503}
             assert min(made.refusals) > 0
 
         _play(scenario, 10, plain=1)
 
     @pytest.mark.parametrize("seed", [1, 2, 3, 4, 5, 6])
-    def test_vms_that_hear_nobody(self, seed):
+    def test_cut_off_vms(self, seed):
         """Guards against cut-off VMs that each use the whole limit.
 
-        Their leader stays in office for a while after the others have a new
+        Their leader remains a leader for a while after the others have a new
         one.
         """
 
@@ -141,19 +142,19 @@
             await made.call(2.0, 120.0, "/s", fleet.any_key)
             target = made.owner()
             made.isolate(*list(made.vms)[:15])
-            named = _limit(target, 6.1)
+            set_at = _set_limit(target, 6.1)
             await made.call(12.0, 200.0, "/s", fleet.any_key)
-            assert most_beyond(target, named) <= 0
+            assert highest_excess(target, set_at) <= 0
 
         _play(scenario, 20, seed=seed)
 
-    def test_gate_and_leader_are_lost(self):
+    def test_lost_gate_and_leader(self):
         """Guards against an old and a new sender that both send."""
 
         async def scenario(made):
             await made.call(2.0, 120.0, "/s", fleet.any_key)
             target = made.owner()
-            named = _limit(target, 6.1)
+            set_at = _set_limit(target, 6.1)
             calling = asyncio.create_task(
                 made.call(16.0, 120.0, "/s", fleet.any_key)
             )
@@ -164,17 +165,17 @@
                 for lost in {made.leader(), gate or made.leader()}:
                     made.vms.pop(lost.name).end()
             await calling
-            assert most_beyond(target, named) <= 0
+            assert highest_excess(target, set_at) <= 0
 
         _play(scenario, 12)
 
-    def test_vms_that_start(self):
+    def test_new_vms(self):
         """Guards against new VMs that ignore a limit in force."""
 
         async def scenario(made):
             await made.call(2.0, 120.0, "/s", fleet.any_key)
             target = made.owner()
-            named = _limit(target, 3.1)
+            set_at = _set_limit(target, 3.1)
             calling = asyncio.create_task(
                 made.call(14.0, 120.0, "/s", fleet.any_key)
             )
@@ -182,16 +183,16 @@
                 await asyncio.sleep(1.0)
                 made.add_vm(f"vm-9{number}")
             await calling
-            assert most_beyond(target, named) <= 0
+            assert highest_excess(target, set_at) <= 0
 
         _play(scenario, 5)
 
 
-class TestDisorder:
+class TestFaults:
     """Limits while VMs fail, are cut off and start, and the store fails."""
 
     @pytest.mark.parametrize("seed", [1, 5, 13])
-    def test_series(self, seed):
+    def test_series_of_faults(self, seed):
         """Guards against series of faults in which the sum is exceeded."""
 
         async def scenario(made):
@@ -204,30 +205,35 @@
                 asyncio.create_task(made.call(14.0, 15.0, "/s")),
             ]
             limited = [
-                (target, _limit(target, made.chance.choice((0.4, 2.6, 6.1))))
+                (
+                    target,
+                    _set_limit(target, made.chance.choice((0.4, 2.6, 6.1))),
+                )
                 for target in made.chance.sample(list(made.targets.values()), 3)
             ]
             for number in range(9):
                 await asyncio.sleep(made.chance.uniform(0.3, 1.5))
-                self._disturb(made, number)
+                self._inject_fault(made, number)
             self._heal(made)
             await asyncio.gather(*calling)
-            assert [b for t, s in limited if (b := most_beyond(t, s)) > 0] == []
+            assert [
+                b for t, s in limited if (b := highest_excess(t, s)) > 0
+            ] == []
 
         _play(scenario, 12, seed=seed)
 
-    def _disturb(self, made, number):
+    def _inject_fault(self, made, number):
         alive = sorted(made.vms)
-        what = made.chance.choice(("kill", "cut", "heal", "start", "store"))
-        if what == "kill" and len(alive) > 6:
+        fault = made.chance.choice(("kill", "cut", "heal", "start", "store"))
+        if fault == "kill" and len(alive) > 6:
             made.vms.pop(made.chance.choice(alive)).end()
-        elif what == "cut":
+        elif fault == "cut":
             made.isolate(*made.chance.sample(alive, len(alive) // 3))
-        elif what == "heal":
+        elif fault == "heal":
             self._heal(made)
-        elif what == "start":
+        elif fault == "start":
             made.add_vm(f"vm-9{number}")
-        elif what == "store":
+        elif fault == "store":
             made.store.failing = fakes.UNKNOWN
 
     def _heal(self, made):
@@ -237,10 +243,10 @@
             vm.store.failing = None
 
 
-class TestOtherAnswers:
+class TestOtherResponses:
     """A limit that no response to a caller's request has stated yet."""
 
-    def test_answer_to_an_order(self):
+    def test_response_to_an_order(self):
         """Guards against a leader that ignores limits in order responses."""
 
         async def scenario(made):
@@ -249,8 +255,8 @@
                 limit=3.1, names_limit=True
             )
             await asyncio.sleep(2.0)
-            known = [vm.beliefs.limits.dump() for vm in made.vms.values()]
-            assert all(limits == {target.id: 3.1} for limits in known)
+            recorded = [vm.beliefs.limits.dump() for vm in made.vms.values()]
+            assert all(limits == {target.id: 3.1} for limits in recorded)
 
         _play(scenario, 10)
 
@@ -258,19 +264,19 @@
 class TestUse:
     """A limited target gets up to its limit, and full load afterwards."""
 
-    def test_keys_move_until_the_rest_fits(self):
+    def test_keys_move_until_the_load_fits(self):
         """Guards against refusals while other targets have capacity."""
 
         async def scenario(made):
             await made.call(3.0, 120.0, "/s", fleet.any_key)
             target = made.owner()
-            named = _limit(target, 6.1)
+            set_at = _set_limit(target, 6.1)
             await made.call(8.0, 120.0, "/s", fleet.any_key)
             made.statuses.clear()
             await made.call(6.0, 120.0, "/s", fleet.any_key)
-            asked = sum(made.statuses.values())
-            assert made.statuses[200] > 0.97 * asked
-            assert _share(target, named + 8.0, named + 14.0) > 1.0
+            requested = sum(made.statuses.values())
+            assert made.statuses[200] > 0.97 * requested
+            assert _request_rate(target, set_at + 8.0, set_at + 14.0) > 1.0
 
         _play(scenario, 10)
 
@@ -282,55 +288,57 @@
             key = fleet.any_key if path == "/s" else None
             await made.call(2.0, 120.0, path, key)
             target = made.owner() if key else made.targets["p0"]
-            _limit(target, 6.1)
+            _set_limit(target, 6.1)
             await made.call(6.0, 120.0, path, key)
             del target.says["server-limit"]
-            lifted = virtual.now()
+            lifted_at = virtual.now()
             await made.call(20.0, 120.0, path, key)
-            assert _share(target, lifted + 12.0, lifted + 20.0) > 10.0
-            known = [vm.beliefs.limits.dump() for vm in made.vms.values()]
-            assert not any(known)
+            assert (
+                _request_rate(target, lifted_at + 12.0, lifted_at + 20.0) > 10.0
+            )
+            recorded = [vm.beliefs.limits.dump() for vm in made.vms.values()]
+            assert not any(recorded)
 
         _play(scenario, 10)
 
-    def test_new_run_at_the_same_address(self):
+    def test_new_incarnation_at_the_same_address(self):
         """Guards against the limit of an ended incarnation."""
 
         async def scenario(made):
             await made.call(2.0, 120.0, "/p")
             target = made.targets["p0"]
-            _limit(target, 0.4)
+            _set_limit(target, 0.4)
             await made.call(5.0, 120.0, "/p")
             del target.says["server-limit"]
             target.born = 2
             made.take_target(target.registration)
             began = virtual.now()
             await made.call(4.0, 120.0, "/p")
-            assert _share(target, began, began + 4.0) > 10.0
+            assert _request_rate(target, began, began + 4.0) > 10.0
 
         _play(scenario, 10)
 
     @pytest.mark.parametrize("rate", ["-3", "many", "1e99", ""])
-    def test_limit_that_makes_no_sense(self, rate):
+    def test_invalid_limit(self, rate):
         """Guards against a target without requests due to an invalid limit."""
 
         async def scenario(made):
             target = made.targets["p0"]
-            named = _limit(target, rate)
+            set_at = _set_limit(target, rate)
             await made.call(6.0, 120.0, "/p")
-            assert _share(target, named, named + 6.0) > 15.0
+            assert _request_rate(target, set_at, set_at + 6.0) > 15.0
 
         _play(scenario, 10)
 
-    def test_no_requests_at_all(self):
+    def test_limit_of_zero(self):
         """A limit of 0 applies; callers are refused at once."""
 
         async def scenario(made):
             await made.call(2.0, 60.0, "/p")
             target = made.targets["p0"]
-            named = _limit(target, 0)
+            set_at = _set_limit(target, 0)
             asked = await made.call(12.0, 60.0, "/p")
-            assert most_beyond(target, named) <= 0
+            assert highest_excess(target, set_at) <= 0
             assert all(task.done() for task in asked)
 
         _play(scenario, 10, plain=1)
--- a/tests/gateway/test_demand.py
+++ b/tests/gateway/test_demand.py
@@ -27,17 +27,17 @@
     """The counts of other VMs that a VM receives."""
 
     @pytest.mark.parametrize(
-        ("count", "told"),
+        ("count", "expected"),
         [(0, {}), (1, {"x": 1}), (2, {"x": 2, "z": 2})],
     )
-    def test_near_and_far(self, count, told):
+    def test_near_and_far(self, count, expected):
         """In a VM's own zone half of the slots matter, elsewhere all."""
         sums = demand.Demand(1.5)
         sums.take("vm-1", {"x": 9}, {}, 0.0)
         sums.take("vm-2", {"x": count, "z": count}, {}, 0.0)
-        assert sums.busy("vm-1", "a", _targets()) == told
+        assert sums.busy("vm-1", "a", _targets()) == expected
 
-    def test_gone_vm(self):
+    def test_failed_vm(self):
         """Guards against the counts of a failed VM staying in the sums."""
         sums = demand.Demand(1.5)
         sums.take("vm-1", {"x": 5}, {"y": 9}, 0.0)
@@ -68,7 +68,7 @@
             ((("one:1", "a"),), "one:1"),
         ],
     )
-    def test_near_the_target(self, vms, expected):
+    def test_nearest_vm(self, vms, expected):
         """VMs in the target's zone go first, then those of its region."""
         sums = demand.Demand(1.5)
         sums.take("vm-1", {"z": 9}, {}, 0.0)
@@ -80,7 +80,7 @@
         sums.take("vm-1", {"x": 9}, {}, 0.0)
         assert sums.gates(VMS, REGIONS, (), _targets()) == {}
 
-    def test_counts_are_not_told_besides(self):
+    def test_gates_replace_counts(self):
         """A target has either counts or a gate, which bounds the responses."""
         sums = demand.Demand(1.5)
         sums.take("vm-1", {"x": 9}, {}, 0.0)
@@ -94,14 +94,14 @@
         sums.take("vm-1", {"x": 9}, {}, 0.0)
         assert sums.gates((), REGIONS, {"s"}, _targets()) == {}
 
-    def test_does_not_flap(self):
+    def test_gate_does_not_flap(self):
         """Demand varies around a target's slots; its gate stays."""
         sums = demand.Demand(1.5)
-        told = []
+        contended = []
         for count in (2, 3, 2, 3, 2, 1):
             sums.take("vm-1", {"x": count}, {}, 0.0)
-            told.append(bool(sums.gates(VMS, REGIONS, {"s"}, _targets())))
-        assert told == [False, True, True, True, True, False]
+            contended.append(bool(sums.gates(VMS, REGIONS, {"s"}, _targets())))
+        assert contended == [False, True, True, True, True, False]
 
     @hypothesis.given(
         reports=st.lists(
@@ -109,7 +109,7 @@
         )
     )
     @hypothesis.settings(derandomize=True, deadline=None)
-    def test_as_if_added_up(self, reports):
+    def test_sums_equal_those_of_the_last_reports(self, reports):
         """After any series of reports only the last of each VM counts."""
         sums = demand.Demand(1.5)
         last = {}
--- a/tests/gateway/test_heat.py
+++ b/tests/gateway/test_heat.py
@@ -25,14 +25,14 @@
             counts.add([3, 3], step / 100)
         assert counts.counts(40.0)[3] == pytest.approx(400, rel=0.02)
 
-    def test_long_run_stays_bounded(self):
+    def test_bounded_over_days(self):
         """After days without a restart neither numbers nor memory grow."""
         counts = heat.KeyHeat(1.0, 0.0)
         for step in range(2000):
             counts.add([step], step * 10.0)
         assert len(counts.counts(20_000.0)) < 10
 
-    def test_clock_that_stands_still_or_goes_back(self):
+    def test_clock_that_stops_or_goes_back(self):
         """A late report does not make counts grow."""
         counts = heat.KeyHeat(1.0, 10.0)
         counts.add([1], 9.0)
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -10,7 +10,7 @@
 from tests.gateway import fakes
 
 
-class TestHeard:
+class TestResponses:
     """Limits from the responses of a target."""
 
     @pytest.mark.parametrize(
@@ -29,14 +29,14 @@
             ([(0.0, 0.0, 1.0)], 0.0),
         ],
     )
-    def test_order_of_answers(self, answers, expected):
+    def test_order_of_responses(self, answers, expected):
         """Guards against an older response that lifts a newer limit."""
         made = limits.Limits("vm-1")
         for rate, sent_at, now in answers:
             made.hear("t", 1, rate, sent_at, now)
         assert made.rate("t", 1) == expected
 
-    def test_new_run(self):
+    def test_new_incarnation(self):
         """Guards against a limit that outlives its incarnation."""
         made = limits.Limits("vm-1")
         made.hear("t", 1, 6.1, 0.0, 1.0)
@@ -62,7 +62,7 @@
         virtual.run(main())
 
 
-class TestLearned:
+class TestUpdates:
     """Limits that VMs report to each other."""
 
     @pytest.mark.parametrize(
@@ -78,7 +78,7 @@
             ((3.0, 4.0), (6.1, 5.0), 6.1),
         ],
     )
-    def test_newer_word_counts(self, heard, told, expected):
+    def test_newer_update_applies(self, heard, told, expected):
         """Guards against an older update that lifts a newer limit."""
         made = limits.Limits("vm-1")
         made.hear("t", 1, heard[0], 0.0, heard[1])
@@ -105,7 +105,7 @@
         one.take_told({}, 10.0)
         assert list(one.unknown_to_leader(10.0)) == ["t"]
 
-    def test_targets_that_are_gone_are_forgotten(self):
+    def test_ended_targets_are_dropped(self):
         """Memory does not grow with the targets that ever set a limit."""
         made = limits.Limits("vm-1")
         for number in range(50):
@@ -124,7 +124,7 @@
         st.lists(st.floats(4.0, 20.0), max_size=3),
         st.sampled_from([10, 88, 300]),
     )
-    def test_senders_that_are_replaced(self, rate, gaps, replaced, vms):
+    def test_replaced_senders(self, rate, gaps, replaced, vms):
         """Guards against an old and a new sender in one window.
 
         The old sender continues until its last update from its peers expires,
@@ -155,7 +155,7 @@
         assert most <= 1.5 * rate * 4.0 + 5
 
     @pytest.mark.parametrize("vms", [10, 88, 300])
-    def test_own_turns_are_not_saved(self, vms):
+    def test_time_slots_do_not_accumulate(self, vms):
         """Guards against accumulated slots that all VMs use at one moment."""
         rate = 6.1
         paces = [limits.Pace(rate, n / vms, 0.0) for n in range(vms)]
@@ -167,7 +167,7 @@
 
     @pytest.mark.parametrize("vms", [10, 88, 300])
     @pytest.mark.parametrize("rate", [0.4, 6.1, 40.0])
-    def test_vms_that_hear_nobody(self, vms, rate):
+    def test_cut_off_vms(self, vms, rate):
         """Guards against cut-off VMs that each use the whole limit."""
         paces = [limits.Pace(rate, (n * 0.618) % 1, 0.0) for n in range(vms)]
         sent = []
@@ -181,7 +181,7 @@
         assert most <= rate * 4.0 + 2
         assert len(sent) > 0.3 * rate * 40.0 - 2
 
-    def test_sender_saves_little(self):
+    def test_sender_accumulates_few_tokens(self):
         """Guards against a burst after an idle period."""
         pace = limits.Pace(6.1, 0.0, 0.0)
         sent = 0
@@ -190,7 +190,7 @@
             sent += 1
         assert sent == 1
 
-    def test_no_requests_at_all(self):
+    def test_limit_of_zero(self):
         """Guards against a limit of 0 that the target can never raise."""
         pace = limits.Pace(0.0, 0.0, 0.0)
         assert 1.0 < pace.wait(0.0) < 20.0
--- a/tests/gateway/test_patience.py
+++ b/tests/gateway/test_patience.py
@@ -5,7 +5,7 @@
 from mimosastile_core.gateway import patience
 
 
-def _known(deadlines):
+def _with_deadlines(deadlines):
     made = patience.Patience()
     for deadline in deadlines:
         made.tried_for(deadline)
@@ -24,20 +24,20 @@
             pytest.param(0.0, 1.125, id="no time left"),
         ],
     )
-    def test_known_route(self, deadline, expected):
+    def test_route_with_recorded_deadlines(self, deadline, expected):
         """Guards against late retries that make other requests late too.
 
         Callers retry in a burst, and their responses are late already. Serving
         them first would make first attempts late.
         """
-        made = _known([1.5, 1.3, 1.4, 1.5])
+        made = _with_deadlines([1.5, 1.3, 1.4, 1.5])
         assert made.tried_for(deadline) == pytest.approx(expected, abs=0.01)
 
     def test_first_request(self):
         """Without any recorded deadline no caller counts as retrying."""
         assert patience.Patience().tried_for(0.2) == 0.0
 
-    def test_follows_callers_that_change(self):
+    def test_follows_a_change_of_callers(self):
         """One caller with a 60 s deadline does not make others look late."""
-        made = _known([60.0] + [1.5] * 3000)
+        made = _with_deadlines([60.0] + [1.5] * 3000)
         assert made.tried_for(1.5) == 0.0
--- a/tests/gateway/test_rests.py
+++ b/tests/gateway/test_rests.py
@@ -19,14 +19,14 @@
             ([(0.0, 2.5), (3.0, 1.0)], 3.5, 0.5),
         ],
     )
-    def test_longest_word_counts(self, asked, now, left):
+    def test_longest_backoff_applies(self, asked, now, left):
         """Guards against a response that shortens a backoff in force."""
         made = rests.Rests()
         for at, seconds in asked:
             made.ask("t", 1, seconds, at)
         assert made.left("t", 1, now) == left
 
-    def test_next_run(self):
+    def test_next_incarnation(self):
         """Guards against the backoff of an ended incarnation."""
         made = rests.Rests()
         made.ask("t", 1, 7200.0, 0.0)
@@ -34,7 +34,7 @@
         made.ask("t", 2, 1.0, 1.0)
         assert made.left("t", 2, 1.5) == 0.5
 
-    def test_reported(self):
+    def test_only_long_backoffs_move_keys(self):
         """Guards against moves of keys for a short backoff."""
         made = rests.Rests()
         made.ask("short", 1, 1.5, 0.0)
--- a/tests/gateway/test_room.py
+++ b/tests/gateway/test_room.py
@@ -29,7 +29,7 @@
 class TestChoose:
     """The choice of a target."""
 
-    def test_near_before_far(self):
+    def test_nearest_first(self):
         """With equal load, the own zone goes first, then the own region."""
         targets = [_target("x", "b1"), _target("y", "a2"), _target("z", "a1")]
         assert _choose(_rooms(), targets).target.id == "z"
@@ -62,14 +62,14 @@
         choice = rooms.choose(targets, "r", 0.1, 100, 1, 10.0, 0.0, latency=0.2)
         assert choice.target.id == chosen
 
-    def test_free_before_busy(self):
+    def test_free_target_before_busy_one(self):
         """A target without a free slot loses to one in the next zone."""
         rooms = _rooms()
         rooms.load("x").own = 8
         targets = [_target("x"), _target("y", "a2")]
         assert _choose(rooms, targets).target.id == "y"
 
-    def test_others_requests_count(self):
+    def test_requests_of_other_vms_count(self):
         """Requests of other VMs fill a target as well."""
         rooms = _rooms()
         rooms.learn_others({"x": 9}, 10.0)
@@ -87,7 +87,7 @@
         targets = [_target("x"), _target("y", "a2")]
         assert _choose(rooms, targets).target.id == "y"
 
-    def test_failing_target_gets_less_and_comes_back(self):
+    def test_failing_target_gets_less_until_it_recovers(self):
         """A target sheds half of its requests though its health checks pass."""
         rooms = _rooms()
         for _ in range(10):
@@ -96,7 +96,7 @@
         assert _choose(rooms, targets).target.id == "y"
         assert _choose(rooms, targets, now=25.0).target.id == "x"
 
-    def test_unreachable_target_rests(self):
+    def test_unreachable_target_is_backed_off_from(self):
         """A target that cannot be reached is backed off from, not dropped."""
         rooms = _rooms()
         rooms.load("x").unreachable(10.0)
@@ -104,7 +104,7 @@
         assert _choose(rooms, targets).target.id == "y"
         assert _choose(rooms, targets[:1]).target.id == "x"
 
-    def test_full_targets_get_nothing(self):
+    def test_full_targets_get_no_requests(self):
         """Guards against overfilling targets that never answer such requests.
 
         A request beyond the target's queue would hang with its connection.
@@ -134,7 +134,7 @@
         load.answered(3.0, 0.1, 1.0)
         assert load.factor < 1.5
 
-    def test_rest_grows_and_ends(self):
+    def test_backoff_grows_up_to_a_bound(self):
         """Repeated connection failures lengthen the backoff up to a bound."""
         load = room.Load()
         load.unreachable(0.0)
@@ -145,7 +145,7 @@
             load.unreachable(20.0)
         assert load.rest_until <= 24.0
 
-    def test_forgets_targets_that_are_gone(self):
+    def test_drops_ended_targets(self):
         """Guards against a leak: targets come and go all day."""
         rooms = _rooms()
         rooms.load("x").own = 1
@@ -157,10 +157,10 @@
         assert rooms.factors() == {}
 
 
-class TestOldCounts:
+class TestOutdatedCounts:
     """Counts of other VMs that are some tenths of a second old."""
 
-    def _most(self, vms, reckons_for):
+    def _most_at_one_target(self, vms, assumed_vms):
         """Simulates a burst; returns the most that one of 8 targets got."""
         targets = [_target(f"t{n}") for n in range(8)]
         got = collections.Counter()
@@ -172,7 +172,7 @@
             for n in range(3):
                 jitter = ((vm * 3 + n) * 0.37) % 1
                 choice = rooms.choose(
-                    targets, "r", 0.1, 100, reckons_for, 10.0, jitter
+                    targets, "r", 0.1, 100, assumed_vms, 10.0, jitter
                 )
                 rooms.load(choice.target.id).begin()
                 got[choice.target.id] += 1
@@ -184,7 +184,9 @@
         It would get what all VMs send between two counts, and reset what it
         cannot queue.
         """
-        assert self._most(12, reckons_for=12) < 0.6 * self._most(12, 1)
+        assert self._most_at_one_target(
+            12, assumed_vms=12
+        ) < 0.6 * self._most_at_one_target(12, 1)
 
     def test_far_targets_do_not_seem_emptier(self):
         """Guards against crossing into another region on estimated counts.
@@ -206,7 +208,7 @@
     """A target that many VMs send to before it has an admission gate."""
 
     @pytest.mark.parametrize(("vms", "own"), [(1, 10), (10, 2), (75, 1)])
-    def test_each_vm_keeps_to_its_part(self, vms, own):
+    def test_each_vm_keeps_to_its_share(self, vms, own):
         """Guards against a target flooded when a key becomes hot within 0.1 s.
 
         A hundred VMs see free capacity and all send at once. The target would
@@ -230,14 +232,14 @@
 class TestGates:
     """The admission gates of targets."""
 
-    def test_named_by_the_leader(self):
+    def test_assigned_by_the_leader(self):
         """A contended target has a gate, any other has none."""
         rooms = _rooms()
         rooms.learn_gates({"x": "vm-2:1"}, 10.0)
         assert rooms.gate("x", 10.1) == "vm-2:1"
         assert rooms.gate("y", 10.1) is None
 
-    def test_old_word_of_a_lost_leader(self):
+    def test_outdated_update_of_a_lost_leader(self):
         """The leader is silent; gates may have changed since its update."""
         rooms = _rooms()
         rooms.learn_gates({"x": "vm-2:1"}, 10.0)
@@ -289,7 +291,7 @@
         ("on_time", "waiting", "taken"),
         [(1.0, 3, True), (0.5, 3, False), (-1.0, 1, True), (-1.0, 2, False)],
     )
-    def test_late_ones_get_what_is_left(self, on_time, waiting, taken):
+    def test_late_requests_need_a_short_queue(self, on_time, waiting, taken):
         """Guards against late requests that make others late."""
         found = self._compare({"x": (2, waiting, 2)}, on_time)
         assert (found.target is not None) is taken
@@ -298,7 +300,7 @@
         ("said", "runs"),
         [((0, 0, 2), 1.0), ((2, 0, 2), 1.5), ((2, 3, 2), 3.0)],
     )
-    def test_runs_before_it(self, said, runs):
+    def test_service_times_ahead(self, said, runs):
         """Guards against full targets whose service times go unmeasured."""
         assert self._compare({"x": said}).runs == runs
 
@@ -306,7 +308,7 @@
         """Guards against sending a request that cannot be answered in time."""
         assert self._compare({"x": (2, 0, 2)}, -1.0, 0.2).target is None
 
-    def test_work_is_learned_while_targets_are_full(self):
+    def test_service_time_is_measured_while_targets_are_full(self):
         """Guards against refusals despite capacity after a restart under load.
 
         The initial guess of a route's service time is too long, and every
--- a/tests/gateway/test_routes.py
+++ b/tests/gateway/test_routes.py
@@ -65,10 +65,10 @@
         for number in range(1, 200):
             got[shares.next(route)] += 1
             for part in parts:
-                fair = number * part.weight / sum(weights)
-                assert abs(got[part.service] - fair) < 1.01
+                expected = number * part.weight / sum(weights)
+                assert abs(got[part.service] - expected) < 1.01
 
-    def test_new_weights_begin_anew(self):
+    def test_new_weights_start_without_credits(self):
         """Credits of former weights have no effect."""
         shares = routes.WeightedShares()
         old = _route("/", parts=(routes.Part("a", 1), routes.Part("b", 1)))
--- a/tests/gateway/test_sampling.py
+++ b/tests/gateway/test_sampling.py
@@ -37,7 +37,7 @@
     """A VM's subset of the targets."""
 
     @pytest.mark.parametrize(("count", "kept"), [(3, 3), (8, 8), (40, 8)])
-    def test_part_of_each_distance(self, count, kept):
+    def test_subset_of_each_distance(self, count, kept):
         """Guards against a connection from every VM to every target."""
         made = _pool(_targets(count))
         assert {t.zone for t in made.nearest} == {"near"}
@@ -51,7 +51,7 @@
         counts = [used.count(t.id) for t in targets]
         assert min(counts) > 88 * 8 / 40 / 2.5
 
-    def test_none(self):
+    def test_no_targets(self):
         """A service without targets has an empty pool."""
         assert _pool([]) == sampling.Pool((), ())
 
@@ -60,7 +60,7 @@
     """A sample for one request."""
 
     @pytest.mark.parametrize("count", [1, 2, 3, 8])
-    def test_different_and_near_ones_first(self, count):
+    def test_nearest_targets_first(self, count):
         """Guards against a sample without the nearest targets."""
         made = _pool(_targets(6))
         drawn = sampling.sample(
@@ -70,7 +70,7 @@
         assert sum(t.zone == "near" for t in drawn) == min(count, 6)
 
     @pytest.mark.parametrize("left", [0, 1, 2])
-    def test_excluded_ones(self, left):
+    def test_excluded_targets(self, left):
         """Guards against targets that were already tried or found full."""
         targets = _targets(3, ("near",))
         excluded = {t.id for t in targets[left:]}
--- a/tests/gateway/test_warmup.py
+++ b/tests/gateway/test_warmup.py
@@ -49,7 +49,7 @@
             made.note("t", at)
         assert made.wait("t", rate, now) == pytest.approx(expected)
 
-    def test_targets_that_are_warm_are_forgotten(self):
+    def test_warm_targets_are_dropped(self):
         """Memory does not grow with the targets that were ever cold."""
         made = warmup.SendRate()
         for number in range(10_000):
@@ -61,17 +61,17 @@
     """A leader names one sender for each cold target."""
 
     @pytest.mark.parametrize("vms", [12, 88, 600])
-    def test_one_vm_for_a_cold_target(self, vms):
+    def test_one_sender_for_a_cold_target(self, vms):
         """Guards against a rate that adds up over all VMs."""
         known = directory.Directory(1.0, 0.3)
         known.put(
             fakes.target("t"),
             0.0,
         )
-        able = [(f"vm-{n}", "z" if n % 4 else "y") for n in range(vms)]
-        named = demand.Demand(1.5).gates(able, {}, (), known, ["t"])
-        assert list(named) == ["t"]
-        assert named["t"] in {vm for vm, zone in able if zone == "z"}
+        candidates = [(f"vm-{n}", "z" if n % 4 else "y") for n in range(vms)]
+        gates = demand.Demand(1.5).gates(candidates, {}, (), known, ["t"])
+        assert list(gates) == ["t"]
+        assert gates["t"] in {vm for vm, zone in candidates if zone == "z"}
 
     @hypothesis.settings(max_examples=200, deadline=None)
     @hypothesis.given(
@@ -88,7 +88,7 @@
         wanted=[(2.0, 0)] * 3 + [(1.5, 0), (1.5, 0), (1.5, 3)],
         replaced=[0.0, 2.0],
     )
-    def test_senders_that_are_replaced(self, wanted, replaced):
+    def test_replaced_senders(self, wanted, replaced):
         """Guards against two senders that exceed the bound in one second.
 
         A VM fails with requests in transit, or continues as the sender until
@@ -134,7 +134,9 @@
             (2.0, 3.0, 3.0, 4.0, 0.0),
         ],
     )
-    def test_latest_word_counts(self, registered, said, zone, now, expected):
+    def test_latest_end_of_warm_up_applies(
+        self, registered, said, zone, now, expected
+    ):
         """Guards against a cold target that one of three sources calls warm."""
         known = directory.Directory(1.0, 0.3)
         target = fakes.target("t", warm_at=registered)
@@ -145,7 +147,7 @@
         known.take_for_cold("z", {"other": 99.0}, 0.0)
         assert known.warm_in("t", now) == expected
 
-    def test_it_becomes_cold_again(self):
+    def test_cold_again_without_a_restart(self):
         """Guards against a target that becomes cold without a restart."""
         known = directory.Directory(1.0, 0.3)
         for revision, warm_at in enumerate(itertools.chain([0.0], [9.0]), 1):
