--- a/tests/gateway/test_allowance.py
+++ b/tests/gateway/test_allowance.py
@@ -44,15 +44,15 @@
 
     def test_retries_become_available_again(self):
         """Retries used in one window are available again in a later one."""
-        left = allowance.RetryAllowance(RATIO, WINDOW, 2.0)
-        assert left.take(0.0)
-        assert left.take(0.0)
-        assert not left.take(1.0)
-        assert left.take(11.5)
+        budget = allowance.RetryAllowance(RATIO, WINDOW, 2.0)
+        assert budget.take(0.0)
+        assert budget.take(0.0)
+        assert not budget.take(1.0)
+        assert budget.take(11.5)
 
     def test_share_follows_the_number_of_vms(self):
         """With fewer VMs each may retry more."""
-        left = allowance.RetryAllowance(RATIO, WINDOW, 0.0)
-        assert not left.take(0.0)
-        left.set_fixed(3.0)
-        assert left.take(0.0)
+        budget = allowance.RetryAllowance(RATIO, WINDOW, 0.0)
+        assert not budget.take(0.0)
+        budget.set_fixed(3.0)
+        assert budget.take(0.0)
--- a/tests/gateway/test_bounded_targets.py
+++ b/tests/gateway/test_bounded_targets.py
@@ -48,10 +48,10 @@
 
 def _play(scenario, vms, **sizes):
     async def main():
-        made = fleet.Fleet(vms, **sizes)
-        await made.ready()
-        await scenario(made)
-        made.end()
+        cluster = fleet.Fleet(vms, **sizes)
+        await cluster.ready()
+        await scenario(cluster)
+        cluster.end()
 
     virtual.run(main())
 
@@ -76,11 +76,11 @@
     def test_owner_of_keys(self, vms, rate):
         """Guards against VMs that each send the whole limit."""
 
-        async def scenario(made):
-            await made.call(2.0, 120.0, "/s", fleet.any_key)
-            target = made.owner()
+        async def scenario(cluster):
+            await cluster.call(2.0, 120.0, "/s", fleet.any_key)
+            target = cluster.owner()
             set_at = _set_limit(target, rate)
-            await made.call(12.0, 120.0, "/s", fleet.any_key)
+            await cluster.call(12.0, 120.0, "/s", fleet.any_key)
             assert highest_excess(target, set_at) <= 0
 
         _play(scenario, vms)
@@ -90,26 +90,26 @@
     def test_target_without_keys(self, vms, rate):
         """Guards against the same where any target may run a request."""
 
-        async def scenario(made):
-            await made.call(2.0, 120.0, "/p")
-            target = made.targets["p0"]
+        async def scenario(cluster):
+            await cluster.call(2.0, 120.0, "/p")
+            target = cluster.targets["p0"]
             set_at = _set_limit(target, rate)
-            await made.call(12.0, 120.0, "/p")
+            await cluster.call(12.0, 120.0, "/p")
             assert highest_excess(target, set_at) <= 0
-            assert made.statuses == {200: sum(made.statuses.values())}
+            assert cluster.statuses == {200: sum(cluster.statuses.values())}
 
         _play(scenario, vms)
 
     def test_requests_without_a_key_to_an_owner_of_keys(self):
         """Guards against requests without a key that bypass the limit."""
 
-        async def scenario(made):
-            await made.call(2.0, 60.0, "/s", fleet.any_key)
-            target = made.owner()
+        async def scenario(cluster):
+            await cluster.call(2.0, 60.0, "/s", fleet.any_key)
+            target = cluster.owner()
             set_at = _set_limit(target, 6.1)
             await asyncio.gather(
-                made.call(12.0, 60.0, "/s", fleet.any_key),
-                made.call(12.0, 60.0, "/s"),
+                cluster.call(12.0, 60.0, "/s", fleet.any_key),
+                cluster.call(12.0, 60.0, "/s"),
             )
             assert highest_excess(target, set_at) <= 0
 
@@ -118,15 +118,15 @@
     def test_only_target_of_a_service(self):
         """Guards against a limit that is ignored for a sole target."""
 
-        async def scenario(made):
-            await made.call(2.0, 40.0, "/p")
-            target = made.targets["p0"]
+        async def scenario(cluster):
+            await cluster.call(2.0, 40.0, "/p")
+            target = cluster.targets["p0"]
             set_at = _set_limit(target, 6.1)
-            await made.call(12.0, 40.0, "/p")
+            await cluster.call(12.0, 40.0, "/p")
             assert highest_excess(target, set_at) <= 0
             assert _request_rate(target, set_at + 4.0, set_at + 12.0) > 3.0
-            assert made.statuses.keys() == {200, 503}
-            assert min(made.refusals) > 0
+            assert cluster.statuses.keys() == {200, 503}
+            assert min(cluster.refusals) > 0
 
         _play(scenario, 10, plain=1)
 
@@ -138,12 +138,12 @@
         one.
         """
 
-        async def scenario(made):
-            await made.call(2.0, 120.0, "/s", fleet.any_key)
-            target = made.owner()
-            made.isolate(*list(made.vms)[:15])
+        async def scenario(cluster):
+            await cluster.call(2.0, 120.0, "/s", fleet.any_key)
+            target = cluster.owner()
+            cluster.isolate(*list(cluster.vms)[:15])
             set_at = _set_limit(target, 6.1)
-            await made.call(12.0, 200.0, "/s", fleet.any_key)
+            await cluster.call(12.0, 200.0, "/s", fleet.any_key)
             assert highest_excess(target, set_at) <= 0
 
         _play(scenario, 20, seed=seed)
@@ -151,19 +151,19 @@
     def test_lost_gate_and_leader(self):
         """Guards against an old and a new sender that both send."""
 
-        async def scenario(made):
-            await made.call(2.0, 120.0, "/s", fleet.any_key)
-            target = made.owner()
+        async def scenario(cluster):
+            await cluster.call(2.0, 120.0, "/s", fleet.any_key)
+            target = cluster.owner()
             set_at = _set_limit(target, 6.1)
             calling = asyncio.create_task(
-                made.call(16.0, 120.0, "/s", fleet.any_key)
+                cluster.call(16.0, 120.0, "/s", fleet.any_key)
             )
             for _ in range(3):
                 await asyncio.sleep(4.0)
-                gates = made.leader().rooms._gates
-                gate = made.vms.get(gates.get(target.id))
-                for lost in {made.leader(), gate or made.leader()}:
-                    made.vms.pop(lost.name).end()
+                gates = cluster.leader().rooms._gates
+                gate = cluster.vms.get(gates.get(target.id))
+                for lost in {cluster.leader(), gate or cluster.leader()}:
+                    cluster.vms.pop(lost.name).end()
             await calling
             assert highest_excess(target, set_at) <= 0
 
@@ -172,16 +172,16 @@
     def test_new_vms(self):
         """Guards against new VMs that ignore a limit in force."""
 
-        async def scenario(made):
-            await made.call(2.0, 120.0, "/s", fleet.any_key)
-            target = made.owner()
+        async def scenario(cluster):
+            await cluster.call(2.0, 120.0, "/s", fleet.any_key)
+            target = cluster.owner()
             set_at = _set_limit(target, 3.1)
             calling = asyncio.create_task(
-                made.call(14.0, 120.0, "/s", fleet.any_key)
+                cluster.call(14.0, 120.0, "/s", fleet.any_key)
             )
             for number in range(10):
                 await asyncio.sleep(1.0)
-                made.add_vm(f"vm-9{number}")
+                cluster.add_vm(f"vm-9{number}")
             await calling
             assert highest_excess(target, set_at) <= 0
 
@@ -195,26 +195,28 @@
     def test_series_of_faults(self, seed):
         """Guards against series of faults in which the sum is exceeded."""
 
-        async def scenario(made):
-            await made.call(2.0, 150.0, "/s", fleet.any_key)
+        async def scenario(cluster):
+            await cluster.call(2.0, 150.0, "/s", fleet.any_key)
             calling = [
                 asyncio.create_task(
-                    made.call(14.0, 120.0, "/s", fleet.any_key)
+                    cluster.call(14.0, 120.0, "/s", fleet.any_key)
                 ),
-                asyncio.create_task(made.call(14.0, 60.0, "/p")),
-                asyncio.create_task(made.call(14.0, 15.0, "/s")),
+                asyncio.create_task(cluster.call(14.0, 60.0, "/p")),
+                asyncio.create_task(cluster.call(14.0, 15.0, "/s")),
             ]
             limited = [
                 (
                     target,
-                    _set_limit(target, made.chance.choice((0.4, 2.6, 6.1))),
+                    _set_limit(target, cluster.chance.choice((0.4, 2.6, 6.1))),
+                )
+                for target in cluster.chance.sample(
+                    list(cluster.targets.values()), 3
                 )
-                for target in made.chance.sample(list(made.targets.values()), 3)
             ]
             for number in range(9):
-                await asyncio.sleep(made.chance.uniform(0.3, 1.5))
-                self._inject_fault(made, number)
-            self._heal(made)
+                await asyncio.sleep(cluster.chance.uniform(0.3, 1.5))
+                self._inject_fault(cluster, number)
+            self._heal(cluster)
             await asyncio.gather(*calling)
             assert [
                 b for t, s in limited if (b := highest_excess(t, s)) > 0
@@ -222,24 +224,24 @@
 
         _play(scenario, 12, seed=seed)
 
-    def _inject_fault(self, made, number):
-        alive = sorted(made.vms)
-        fault = made.chance.choice(("kill", "cut", "heal", "start", "store"))
+    def _inject_fault(self, cluster, number):
+        alive = sorted(cluster.vms)
+        fault = cluster.chance.choice(("kill", "cut", "heal", "start", "store"))
         if fault == "kill" and len(alive) > 6:
-            made.vms.pop(made.chance.choice(alive)).end()
+            cluster.vms.pop(cluster.chance.choice(alive)).end()
         elif fault == "cut":
-            made.isolate(*made.chance.sample(alive, len(alive) // 3))
+            cluster.isolate(*cluster.chance.sample(alive, len(alive) // 3))
         elif fault == "heal":
-            self._heal(made)
+            self._heal(cluster)
         elif fault == "start":
-            made.add_vm(f"vm-9{number}")
+            cluster.add_vm(f"vm-9{number}")
         elif fault == "store":
-            made.store.failing = fakes.UNKNOWN
+            cluster.store.failing = fakes.UNKNOWN
 
-    def _heal(self, made):
-        made.cut.clear()
-        made.store.failing = None
-        for vm in made.vms.values():
+    def _heal(self, cluster):
+        cluster.cut.clear()
+        cluster.store.failing = None
+        for vm in cluster.vms.values():
             vm.store.failing = None
 
 
@@ -249,13 +251,13 @@
     def test_response_to_an_order(self):
         """Guards against a leader that ignores limits in order responses."""
 
-        async def scenario(made):
-            target = made.owner()
-            made.orders.notices[target.id] = reported.Notice(
+        async def scenario(cluster):
+            target = cluster.owner()
+            cluster.orders.notices[target.id] = reported.Notice(
                 limit=3.1, names_limit=True
             )
             await asyncio.sleep(2.0)
-            recorded = [vm.beliefs.limits.dump() for vm in made.vms.values()]
+            recorded = [vm.beliefs.limits.dump() for vm in cluster.vms.values()]
             assert all(limits == {target.id: 3.1} for limits in recorded)
 
         _play(scenario, 10)
@@ -267,15 +269,15 @@
     def test_keys_move_until_the_load_fits(self):
         """Guards against refusals while other targets have capacity."""
 
-        async def scenario(made):
-            await made.call(3.0, 120.0, "/s", fleet.any_key)
-            target = made.owner()
+        async def scenario(cluster):
+            await cluster.call(3.0, 120.0, "/s", fleet.any_key)
+            target = cluster.owner()
             set_at = _set_limit(target, 6.1)
-            await made.call(8.0, 120.0, "/s", fleet.any_key)
-            made.statuses.clear()
-            await made.call(6.0, 120.0, "/s", fleet.any_key)
-            requested = sum(made.statuses.values())
-            assert made.statuses[200] > 0.97 * requested
+            await cluster.call(8.0, 120.0, "/s", fleet.any_key)
+            cluster.statuses.clear()
+            await cluster.call(6.0, 120.0, "/s", fleet.any_key)
+            requested = sum(cluster.statuses.values())
+            assert cluster.statuses[200] > 0.97 * requested
             assert _request_rate(target, set_at + 8.0, set_at + 14.0) > 1.0
 
         _play(scenario, 10)
@@ -284,19 +286,19 @@
     def test_limit_is_lifted(self, path):
         """Guards against a limit that outlives its last statement."""
 
-        async def scenario(made):
+        async def scenario(cluster):
             key = fleet.any_key if path == "/s" else None
-            await made.call(2.0, 120.0, path, key)
-            target = made.owner() if key else made.targets["p0"]
+            await cluster.call(2.0, 120.0, path, key)
+            target = cluster.owner() if key else cluster.targets["p0"]
             _set_limit(target, 6.1)
-            await made.call(6.0, 120.0, path, key)
+            await cluster.call(6.0, 120.0, path, key)
             del target.says["server-limit"]
             lifted_at = virtual.now()
-            await made.call(20.0, 120.0, path, key)
+            await cluster.call(20.0, 120.0, path, key)
             assert (
                 _request_rate(target, lifted_at + 12.0, lifted_at + 20.0) > 10.0
             )
-            recorded = [vm.beliefs.limits.dump() for vm in made.vms.values()]
+            recorded = [vm.beliefs.limits.dump() for vm in cluster.vms.values()]
             assert not any(recorded)
 
         _play(scenario, 10)
@@ -304,16 +306,16 @@
     def test_new_incarnation_at_the_same_address(self):
         """Guards against the limit of an ended incarnation."""
 
-        async def scenario(made):
-            await made.call(2.0, 120.0, "/p")
-            target = made.targets["p0"]
+        async def scenario(cluster):
+            await cluster.call(2.0, 120.0, "/p")
+            target = cluster.targets["p0"]
             _set_limit(target, 0.4)
-            await made.call(5.0, 120.0, "/p")
+            await cluster.call(5.0, 120.0, "/p")
             del target.says["server-limit"]
             target.born = 2
-            made.take_target(target.registration)
+            cluster.take_target(target.registration)
             began = virtual.now()
-            await made.call(4.0, 120.0, "/p")
+            await cluster.call(4.0, 120.0, "/p")
             assert _request_rate(target, began, began + 4.0) > 10.0
 
         _play(scenario, 10)
@@ -322,10 +324,10 @@
     def test_invalid_limit(self, rate):
         """Guards against a target without requests due to an invalid limit."""
 
-        async def scenario(made):
-            target = made.targets["p0"]
+        async def scenario(cluster):
+            target = cluster.targets["p0"]
             set_at = _set_limit(target, rate)
-            await made.call(6.0, 120.0, "/p")
+            await cluster.call(6.0, 120.0, "/p")
             assert _request_rate(target, set_at, set_at + 6.0) > 15.0
 
         _play(scenario, 10)
@@ -333,11 +335,11 @@
     def test_limit_of_zero(self):
         """A limit of 0 applies; callers are refused at once."""
 
-        async def scenario(made):
-            await made.call(2.0, 60.0, "/p")
-            target = made.targets["p0"]
+        async def scenario(cluster):
+            await cluster.call(2.0, 60.0, "/p")
+            target = cluster.targets["p0"]
             set_at = _set_limit(target, 0)
-            asked = await made.call(12.0, 60.0, "/p")
+            asked = await cluster.call(12.0, 60.0, "/p")
             assert highest_excess(target, set_at) <= 0
             assert all(task.done() for task in asked)
 
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -31,19 +31,22 @@
     )
     def test_order_of_responses(self, answers, expected):
         """Guards against an older response that lifts a newer limit."""
-        made = limits.Limits("vm-1")
+        target_limits = limits.Limits("vm-1")
         for rate, sent_at, now in answers:
-            made.hear("t", 1, rate, sent_at, now)
-        assert made.rate("t", 1) == expected
+            target_limits.hear("t", 1, rate, sent_at, now)
+        assert target_limits.rate("t", 1) == expected
 
     def test_new_incarnation(self):
         """Guards against a limit that outlives its incarnation."""
-        made = limits.Limits("vm-1")
-        made.hear("t", 1, 6.1, 0.0, 1.0)
-        assert made.rate("t", 2) is None
-        made.hear("t", 2, 3.0, 0.5, 1.2)
-        assert not made.hear("t", 1, 9.0, 1.5, 2.0)
-        assert (made.rate("t", 1), made.rate("t", 2)) == (None, 3.0)
+        target_limits = limits.Limits("vm-1")
+        target_limits.hear("t", 1, 6.1, 0.0, 1.0)
+        assert target_limits.rate("t", 2) is None
+        target_limits.hear("t", 2, 3.0, 0.5, 1.2)
+        assert not target_limits.hear("t", 1, 9.0, 1.5, 2.0)
+        assert (target_limits.rate("t", 1), target_limits.rate("t", 2)) == (
+            None,
+            3.0,
+        )
 
     def test_log(self):
         """A limit is logged when it is set, changed and lifted."""
@@ -66,7 +69,7 @@
     """Limits that VMs report to each other."""
 
     @pytest.mark.parametrize(
-        ("heard", "told", "expected"),
+        ("own", "peer", "expected"),
         [
             # Rate and time of the own response; rate and time of the peer's.
             ((None, 0.0), (6.1, 5.0), 6.1),
@@ -78,13 +81,15 @@
             ((3.0, 4.0), (6.1, 5.0), 6.1),
         ],
     )
-    def test_newer_update_applies(self, heard, told, expected):
+    def test_newer_update_applies(self, own, peer, expected):
         """Guards against an older update that lifts a newer limit."""
-        made = limits.Limits("vm-1")
-        made.hear("t", 1, heard[0], 0.0, heard[1])
+        target_limits = limits.Limits("vm-1")
+        target_limits.hear("t", 1, own[0], 0.0, own[1])
         now = 10.0
-        made.learn("t", limits.LimitNews(1, told[0], now - told[1]), now)
-        assert made.rate("t", 1) == expected
+        target_limits.learn(
+            "t", limits.LimitNews(1, peer[0], now - peer[1]), now
+        )
+        assert target_limits.rate("t", 1) == expected
 
     def test_report(self):
         """Guards against reporting the same limits to a leader repeatedly."""
@@ -107,11 +112,11 @@
 
     def test_ended_targets_are_dropped(self):
         """Memory does not grow with the targets that ever set a limit."""
-        made = limits.Limits("vm-1")
+        target_limits = limits.Limits("vm-1")
         for number in range(50):
-            made.hear(f"t{number}", 1, 6.1, 0.0, 1.0)
-        made.forget_except({"t1": 1, "t2": 2})
-        assert list(made.dump()) == ["t1"]
+            target_limits.hear(f"t{number}", 1, 6.1, 0.0, 1.0)
+        target_limits.forget_except({"t1": 1, "t2": 2})
+        assert list(target_limits.dump()) == ["t1"]
 
 
 class TestPace:
@@ -148,11 +153,11 @@
             if not other.own_wait(vms, now):
                 other.take_own(vms, now)
                 sent.append(now)
-        most = max(
+        highest = max(
             (sum(end - 4.0 < at <= end for at in sent) for end in sent),
             default=0,
         )
-        assert most <= 1.5 * rate * 4.0 + 5
+        assert highest <= 1.5 * rate * 4.0 + 5
 
     @pytest.mark.parametrize("vms", [10, 88, 300])
     def test_time_slots_do_not_accumulate(self, vms):
@@ -177,8 +182,8 @@
                 if not pace.own_wait(vms, now, alone=True):
                     pace.take_own(vms, now, alone=True)
                     sent.append(now)
-        most = max(sum(end - 4.0 < at <= end for at in sent) for end in sent)
-        assert most <= rate * 4.0 + 2
+        highest = max(sum(end - 4.0 < at <= end for at in sent) for end in sent)
+        assert highest <= rate * 4.0 + 2
         assert len(sent) > 0.3 * rate * 40.0 - 2
 
     def test_sender_accumulates_few_tokens(self):
--- a/tests/gateway/test_patience.py
+++ b/tests/gateway/test_patience.py
@@ -6,10 +6,10 @@
 
 
 def _with_deadlines(deadlines):
-    made = patience.Patience()
+    estimator = patience.Patience()
     for deadline in deadlines:
-        made.tried_for(deadline)
-    return made
+        estimator.tried_for(deadline)
+    return estimator
 
 
 class TestTriedFor:
@@ -30,8 +30,10 @@
         Callers retry in a burst, and their responses are late already. Serving
         them first would make first attempts late.
         """
-        made = _with_deadlines([1.5, 1.3, 1.4, 1.5])
-        assert made.tried_for(deadline) == pytest.approx(expected, abs=0.01)
+        estimator = _with_deadlines([1.5, 1.3, 1.4, 1.5])
+        assert estimator.tried_for(deadline) == pytest.approx(
+            expected, abs=0.01
+        )
 
     def test_first_request(self):
         """Without any recorded deadline no caller counts as retrying."""
@@ -39,5 +41,5 @@
 
     def test_follows_a_change_of_callers(self):
         """One caller with a 60 s deadline does not make others look late."""
-        made = _with_deadlines([60.0] + [1.5] * 3000)
-        assert made.tried_for(1.5) == 0.0
+        estimator = _with_deadlines([60.0] + [1.5] * 3000)
+        assert estimator.tried_for(1.5) == 0.0
--- a/tests/gateway/test_rests.py
+++ b/tests/gateway/test_rests.py
@@ -9,7 +9,7 @@
     """The backoffs of one VM."""
 
     @pytest.mark.parametrize(
-        ("asked", "now", "left"),
+        ("requested", "now", "left"),
         [
             ([], 1.0, 0.0),
             ([(0.0, 2.5)], 1.0, 1.5),
@@ -19,25 +19,25 @@
             ([(0.0, 2.5), (3.0, 1.0)], 3.5, 0.5),
         ],
     )
-    def test_longest_backoff_applies(self, asked, now, left):
+    def test_longest_backoff_applies(self, requested, now, left):
         """Guards against a response that shortens a backoff in force."""
-        made = rests.Rests()
-        for at, seconds in asked:
-            made.ask("t", 1, seconds, at)
-        assert made.left("t", 1, now) == left
+        backoffs = rests.Rests()
+        for at, seconds in requested:
+            backoffs.ask("t", 1, seconds, at)
+        assert backoffs.left("t", 1, now) == left
 
     def test_next_incarnation(self):
         """Guards against the backoff of an ended incarnation."""
-        made = rests.Rests()
-        made.ask("t", 1, 7200.0, 0.0)
-        assert made.left("t", 2, 1.0) == 0.0
-        made.ask("t", 2, 1.0, 1.0)
-        assert made.left("t", 2, 1.5) == 0.5
+        backoffs = rests.Rests()
+        backoffs.ask("t", 1, 7200.0, 0.0)
+        assert backoffs.left("t", 2, 1.0) == 0.0
+        backoffs.ask("t", 2, 1.0, 1.0)
+        assert backoffs.left("t", 2, 1.5) == 0.5
 
     def test_only_long_backoffs_move_keys(self):
         """Guards against moves of keys for a short backoff."""
-        made = rests.Rests()
-        made.ask("short", 1, 1.5, 0.0)
-        made.ask("long", 1, 4.0, 0.0)
-        assert made.long(0.5) == {"long": 3.5}
-        assert made.long(3.6) == {}
+        backoffs = rests.Rests()
+        backoffs.ask("short", 1, 1.5, 0.0)
+        backoffs.ask("long", 1, 4.0, 0.0)
+        assert backoffs.long(0.5) == {"long": 3.5}
+        assert backoffs.long(3.6) == {}
--- a/tests/gateway/test_room.py
+++ b/tests/gateway/test_room.py
@@ -163,7 +163,7 @@
     def _most_at_one_target(self, vms, assumed_vms):
         """Simulates a burst; returns the most that one of 8 targets got."""
         targets = [_target(f"t{n}") for n in range(8)]
-        got = collections.Counter()
+        received = collections.Counter()
         for vm in range(vms):
             rooms = _rooms()
             # All VMs got the same counts: one target is empty.
@@ -175,8 +175,8 @@
                     targets, "r", 0.1, 100, assumed_vms, 10.0, jitter
                 )
                 rooms.load(choice.target.id).begin()
-                got[choice.target.id] += 1
-        return max(got.values())
+                received[choice.target.id] += 1
+        return max(received.values())
 
     def test_burst_does_not_fall_on_one_target(self):
         """Guards against a burst that all VMs send to the same empty target.
@@ -283,9 +283,9 @@
     )
     def test_earliest_answer(self, loads, chosen):
         """Guards against sending to targets that are full or slow now."""
-        found = self._compare(loads)
-        assert (found.target.id if found.target else None) == chosen
-        assert found.seconds < 10.0
+        choice = self._compare(loads)
+        assert (choice.target.id if choice.target else None) == chosen
+        assert choice.seconds < 10.0
 
     @pytest.mark.parametrize(
         ("on_time", "waiting", "taken"),
@@ -293,8 +293,8 @@
     )
     def test_late_requests_need_a_short_queue(self, on_time, waiting, taken):
         """Guards against late requests that make others late."""
-        found = self._compare({"x": (2, waiting, 2)}, on_time)
-        assert (found.target is not None) is taken
+        choice = self._compare({"x": (2, waiting, 2)}, on_time)
+        assert (choice.target is not None) is taken
 
     @pytest.mark.parametrize(
         ("said", "runs"),
@@ -321,10 +321,10 @@
         loads = itertools.cycle([(2, 0, 2), (2, 1, 2)])
         for said in itertools.islice(loads, 200):
             rooms.learn_load(target, reported.TargetLoad(*said))
-            found = rooms.compare([target], "r", guess, 100, 10.0, 5.0, 5.0)
-            seconds = work * found.runs
-            rooms.answered("r", "x", seconds / found.runs, 100, 10.0)
+            choice = rooms.compare([target], "r", guess, 100, 10.0, 5.0, 5.0)
+            seconds = work * choice.runs
+            rooms.answered("r", "x", seconds / choice.runs, 100, 10.0)
         assert rooms.work("r", guess) == pytest.approx(work)
         rooms.learn_load(target, reported.TargetLoad(2, 3, 2))
-        found = rooms.compare([target], "r", guess, 100, 10.0, 1.0, 2.0)
-        assert found.target is target
+        choice = rooms.compare([target], "r", guess, 100, 10.0, 1.0, 2.0)
+        assert choice.target is target
--- a/tests/gateway/test_sampling.py
+++ b/tests/gateway/test_sampling.py
@@ -39,10 +39,10 @@
     @pytest.mark.parametrize(("count", "kept"), [(3, 3), (8, 8), (40, 8)])
     def test_subset_of_each_distance(self, count, kept):
         """Guards against a connection from every VM to every target."""
-        made = _pool(_targets(count))
-        assert {t.zone for t in made.nearest} == {"near"}
+        pool = _pool(_targets(count))
+        assert {t.zone for t in pool.nearest} == {"near"}
         for zone in ZONES:
-            assert sum(t.zone == zone for t in made.all) == kept
+            assert sum(t.zone == zone for t in pool.all) == kept
 
     def test_subsets_cover_all_targets(self):
         """Guards against targets that no VM ever draws."""
@@ -62,9 +62,9 @@
     @pytest.mark.parametrize("count", [1, 2, 3, 8])
     def test_nearest_targets_first(self, count):
         """Guards against a sample without the nearest targets."""
-        made = _pool(_targets(6))
+        pool = _pool(_targets(6))
         drawn = sampling.sample(
-            made, count, random.Random(3).random, lambda _: False
+            pool, count, random.Random(3).random, lambda _: False
         )
         assert len({t.id for t in drawn}) == count
         assert sum(t.zone == "near" for t in drawn) == min(count, 6)
--- a/tests/gateway/test_warmup.py
+++ b/tests/gateway/test_warmup.py
@@ -44,17 +44,17 @@
     )
     def test_wait(self, rate, sent, now, expected):
         """Guards against a higher rate than a cold target tolerates."""
-        made = warmup.SendRate()
+        send_rate = warmup.SendRate()
         for at in sent:
-            made.note("t", at)
-        assert made.wait("t", rate, now) == pytest.approx(expected)
+            send_rate.note("t", at)
+        assert send_rate.wait("t", rate, now) == pytest.approx(expected)
 
     def test_warm_targets_are_dropped(self):
         """Memory does not grow with the targets that were ever cold."""
-        made = warmup.SendRate()
+        send_rate = warmup.SendRate()
         for number in range(10_000):
-            made.note(f"t{number}", number * 0.1)
-        assert len(made._sent) <= 128
+            send_rate.note(f"t{number}", number * 0.1)
+        assert len(send_rate._sent) <= 128
 
 
 class TestOnlySender:
@@ -124,7 +124,7 @@
     """Whether a target is cold."""
 
     @pytest.mark.parametrize(
-        ("registered", "said", "zone", "now", "expected"),
+        ("registered", "reported", "zone", "now", "expected"),
         [
             (0.0, 0.0, 0.0, 1.0, 0.0),
             (4.0, 0.0, 0.0, 1.0, 3.0),
@@ -135,13 +135,13 @@
         ],
     )
     def test_latest_end_of_warm_up_applies(
-        self, registered, said, zone, now, expected
+        self, registered, reported, zone, now, expected
     ):
         """Guards against a cold target that one of three sources calls warm."""
         known = directory.Directory(1.0, 0.3)
         target = fakes.target("t", warm_at=registered)
         known.put(target, 0.0)
-        known.note_cold("t", said, 0.0)
+        known.note_cold("t", reported, 0.0)
         known.take_for_cold("z", {"s": zone}, 0.0)
         known.take_for_cold("y", {"s": 99.0}, 0.0)
         known.take_for_cold("z", {"other": 99.0}, 0.0)
