--- a/packages/mimosastile-core/src/mimosastile_core/gateway/admission.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/admission.py
@@ -117,14 +117,23 @@
 
 
 class _Permit:
-    """A permit: an admitted request."""
+    """A permit of an admitted request.
 
-    __slots__ = ("at", "busy", "until", "work")
+    Attributes:
+        work: Mean service time, in seconds, of such requests.
+        admitted_at: When the request was admitted.
+        expires_at: When the permit is reclaimed if it is not returned.
+        busy: Number of requests at the target then, this one included.
+    """
+
+    __slots__ = ("admitted_at", "busy", "expires_at", "work")
 
-    def __init__(self, work: float, at: float, until: float, busy: int) -> None:
+    def __init__(
+        self, work: float, admitted_at: float, expires_at: float, busy: int
+    ) -> None:
         self.work = work
-        self.at = at
-        self.until = until
+        self.admitted_at = admitted_at
+        self.expires_at = expires_at
         self.busy = busy
 
 
@@ -276,10 +285,12 @@
         expected = (
             self._work_factor * entry.ask.work * max(busy / self._slots, 1.0)
         )
-        until = now + _LOST_EXTRA_SECONDS + _LOST_FACTOR * expected
+        expires_at = now + _LOST_EXTRA_SECONDS + _LOST_FACTOR * expected
         if self.pace is not None:
             self.pace.take(now)
-        self._permits[entry.ask.id] = _Permit(entry.ask.work, now, until, busy)
+        self._permits[entry.ask.id] = _Permit(
+            entry.ask.work, now, expires_at, busy
+        )
         return Decision(entry.ask, Verdict.ADMITTED)
 
     def _free(self, now: float) -> bool:
@@ -325,7 +336,9 @@
 
     def _update_factor(self, permit: _Permit, now: float) -> None:
         """Updates the mean service time at the target, without queueing."""
-        service_time = (now - permit.at) / max(permit.busy / self._slots, 1.0)
+        service_time = (now - permit.admitted_at) / max(
+            permit.busy / self._slots, 1.0
+        )
         low, high = _SAMPLE_BOUNDS
         ratio = service_time / max(permit.work, 1e-3)
         ratio = min(
@@ -347,7 +360,7 @@
         lost = [
             request_id
             for request_id, p in self._permits.items()
-            if now > p.until
+            if now > p.expires_at
         ]
         for request_id in lost:
             del self._permits[request_id]
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/limits.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/limits.py
@@ -24,7 +24,8 @@
 """The same for VMs without a known sender. If only some VMs are cut off, their
 part of this is added to the requests of the sender."""
 _BURST_SECONDS = 0.1
-"""The sender may send the requests of this time at once, plus one."""
+"""Capacity of the sender's token bucket, as a time of the limit's rate, beside
+one request."""
 _SLOT_SECONDS = 0.5
 """Longest time slot. Unused slots expire: if they accumulated, all VMs would
 use theirs at once when the sender is lost."""
@@ -35,9 +36,9 @@
 """How much newer a peer's update must be to lift or raise a limit that this VM
 received itself: the age in an update leaves out its time in transit."""
 _CONFIRM_SECONDS = 5.0
-"""Interval of the reports that a limit still holds."""
+"""Interval at which VMs report again that a limit still holds."""
 _REPORT_LIFTED_SECONDS = 30.0
-"""For this time a leader reports that a limit has been lifted."""
+"""Time for which a leader reports that a limit has been lifted."""
 _HASH_RANGE = 1 << 32
 
 
@@ -62,7 +63,7 @@
     slot in each period, at an offset of its own.
     """
 
-    __slots__ = ("_at", "_offset", "_rate", "_tokens", "_used_period")
+    __slots__ = ("_offset", "_rate", "_refilled_at", "_tokens", "_used_period")
 
     def __init__(self, rate: float, offset: float, now: float) -> None:
         """Makes a rate limiter without tokens.
@@ -75,7 +76,7 @@
         self._rate = max(rate, _MIN_RATE)
         self._offset = offset
         self._tokens = 0.0
-        self._at = now
+        self._refilled_at = now
         self._used_period = -1
 
     @property
@@ -129,9 +130,9 @@
 
     def _refill(self, now: float) -> None:
         capacity = 1.0 + self.rate * _BURST_SECONDS
-        tokens = self._tokens + (now - self._at) * self.rate
+        tokens = self._tokens + (now - self._refilled_at) * self.rate
         self._tokens = min(tokens, capacity)
-        self._at = now
+        self._refilled_at = now
 
 
 class _TargetLimit:
@@ -140,20 +141,24 @@
     Attributes:
         born: The incarnation.
         rate: Its limit, None for none.
-        since: When this VM first recorded this limit.
-        at: When the target stated it last.
+        recorded_at: When this VM first recorded this limit.
+        stated_at: When the target stated it last.
         pace: Rate limiter of this VM for the target, None without a limit.
     """
 
-    __slots__ = ("at", "born", "pace", "rate", "since")
+    __slots__ = ("born", "pace", "rate", "recorded_at", "stated_at")
 
     def __init__(
-        self, born: int, rate: float | None, since: float, at: float
+        self,
+        born: int,
+        rate: float | None,
+        recorded_at: float,
+        stated_at: float,
     ) -> None:
         self.born = born
         self.rate = rate
-        self.since = since
-        self.at = at
+        self.recorded_at = recorded_at
+        self.stated_at = stated_at
         self.pace: Pace | None = None
 
 
@@ -206,7 +211,7 @@
     ) -> float | None:
         """Returns a limit if the target stated it at `earliest` or later."""
         limit = self._limits.get(target)
-        if limit is None or limit.at < earliest:
+        if limit is None or limit.stated_at < earliest:
             return None
         return self.rate(target, born)
 
@@ -247,9 +252,9 @@
         if born < current.born:
             return False
         if born == current.born and rate == current.rate:
-            current.at = now
+            current.stated_at = now
             return False
-        early = sent_at < current.since
+        early = sent_at < current.recorded_at
         if born == current.born and early and _lifts(rate, current.rate):
             return False
         return self._set(target, born, rate, now, now)
@@ -265,21 +270,23 @@
         Returns:
             Whether this changes the limit.
         """
-        at = now - news.age
+        stated_at = now - news.age
         current = self._limits.get(target)
         if current is not None:
             if news.born < current.born:
                 return False
             if news.born == current.born:
                 if news.rate == current.rate:
-                    current.at = max(current.at, at)
+                    current.stated_at = max(current.stated_at, stated_at)
                     return False
                 lifts = _lifts(news.rate, current.rate)
-                if at <= current.at + (_LIFT_MARGIN_SECONDS if lifts else 0.0):
+                if stated_at <= current.stated_at + (
+                    _LIFT_MARGIN_SECONDS if lifts else 0.0
+                ):
                     return False
         elif news.rate is None:
             return False
-        return self._set(target, news.born, news.rate, now, at)
+        return self._set(target, news.born, news.rate, now, stated_at)
 
     def _set(
         self,
@@ -287,11 +294,13 @@
         born: int,
         rate: float | None,
         now: float,
-        at: float,
+        stated_at: float,
     ) -> bool:
         """Stores an incarnation's limit; returns whether a limit changed."""
         previous = self._limits.get(target)
-        updated = self._limits[target] = _TargetLimit(born, rate, now, at)
+        updated = self._limits[target] = _TargetLimit(
+            born, rate, now, stated_at
+        )
         if rate is not None:
             updated.pace = (
                 previous.pace if previous and previous.born == born else None
@@ -312,11 +321,12 @@
         return {
             name: _update(limit, now)
             for name, limit in self._limits.items()
-            if limit.rate is not None or now - limit.at < _REPORT_LIFTED_SECONDS
+            if limit.rate is not None
+            or now - limit.stated_at < _REPORT_LIFTED_SECONDS
         }
 
     def take_told(self, told: Mapping[str, LimitNews], now: float) -> None:
-        """Records the leader's limits, including those known here."""
+        """Records the limits that the leader has, whether new here or not."""
         self._leader_limits = dict(told)
         self._leader_limits_at = now
 
@@ -332,10 +342,10 @@
         leader_limit = self._leader_limits.get(target)
         if leader_limit is None or leader_limit.born != limit.born:
             return limit.rate is not None
-        sent_at = self._leader_limits_at - leader_limit.age
+        leader_stated_at = self._leader_limits_at - leader_limit.age
         return (
             leader_limit.rate != limit.rate
-            or limit.at > sent_at + _CONFIRM_SECONDS
+            or limit.stated_at > leader_stated_at + _CONFIRM_SECONDS
         )
 
     def forget_except(self, targets: Mapping[str, int]) -> None:
@@ -370,4 +380,6 @@
 
 
 def _update(limit: _TargetLimit, now: float) -> LimitNews:
-    return LimitNews(limit.born, limit.rate, round(max(now - limit.at, 0), 3))
+    return LimitNews(
+        limit.born, limit.rate, round(max(now - limit.stated_at, 0), 3)
+    )
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/room.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/room.py
@@ -20,7 +20,7 @@
 seven responses."""
 _FACTOR_BOUNDS = (0.2, 20.0)
 _FAILURE_HALF_LIFE_SECONDS = 2.0
-"""Half-life, in seconds, of the recorded failure share."""
+"""Half-life of the recorded failure share."""
 _FAILURE_WEIGHT = 4.0
 """A target that always fails counts as five times as slow."""
 _FIRST_BACKOFF_SECONDS = 0.5
@@ -35,7 +35,7 @@
 requests may expect a slot at a full target without a gate. What other VMs have
 waiting there is unknown."""
 _GATE_BACKOFF_SECONDS = 1.0
-"""Backoff, in seconds, after an admission gate did not respond."""
+"""Backoff after an admission gate did not respond."""
 _ON_TIME_SHARE = 0.75
 """Share of the remaining on-time budget that the estimated response time may
 take. The margin covers the variance of service times."""
@@ -45,8 +45,8 @@
 _DISTANCE_STEP_SECONDS = 0.1
 """Size, in seconds of handicap, of one distance rank."""
 _SILENT_BACKOFF_SECONDS = 0.3
-"""Backoff, in seconds, after a target did not report its load in time. A full
-target answers no new request until one of its requests ends."""
+"""Backoff after a target did not report its load in time. A full target answers
+no new request until one of its requests ends."""
 _COUNTS_VALID_SECONDS = 1.5
 """Oldest age at which the counts of other VMs are used."""
 
