--- a/packages/mimosastile-core/src/mimosastile_core/gateway/admission.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/admission.py
@@ -57,7 +57,7 @@
 """Least share of a target's rate that late requests are assumed to get."""
 
 
-class Ask(msgspec.Struct, frozen=True):
+class PermitRequest(msgspec.Struct, frozen=True):
     """A request that needs a permit for a target.
 
     Attributes:
@@ -101,7 +101,7 @@
         seconds: Expected time until it is admitted.
     """
 
-    ask: Ask
+    ask: PermitRequest
     verdict: Verdict
     seconds: float = 0.0
 
@@ -142,13 +142,13 @@
 
     __slots__ = ("arrived", "ask", "number")
 
-    def __init__(self, ask: Ask, number: int, now: float) -> None:
+    def __init__(self, ask: PermitRequest, number: int, now: float) -> None:
         self.ask = ask
         self.number = number
         self.arrived = now
 
 
-class Queue:
+class AdmissionQueue:
     """Permits of one target, and the requests that wait for one.
 
     Attributes:
@@ -189,7 +189,7 @@
         self._next_number = 0
         self._on_time_count = 0.0
         self._on_time_count_at = 0.0
-        self.pace: limits.Pace | None = None
+        self.pace: limits.RateLimiter | None = None
 
     @property
     def idle(self) -> bool:
@@ -206,7 +206,7 @@
         held = sum(count for count, until in self._held.values() if now < until)
         return len(self._permits) + held
 
-    def ask(self, ask: Ask, now: float) -> Decision:
+    def ask(self, ask: PermitRequest, now: float) -> Decision:
         """Decides on a request; a repeated one keeps its position."""
         if ask.id in self._permits:
             return Decision(ask, Verdict.ADMITTED)
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/rests.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/backoffs.py
@@ -23,7 +23,7 @@
     ends: float
 
 
-class Rests:
+class Backoffs:
     """The current backoff of this VM for each target.
 
     A backoff applies to one VM only: a target may reject just the VM that sends
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/patience.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/caller_retries.py
@@ -14,7 +14,7 @@
 equally long."""
 
 
-class Patience:
+class RetryAge:
     """The deadlines of one route's callers."""
 
     __slots__ = ("_longest_deadline",)
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/heat.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/key_rates.py
@@ -4,7 +4,7 @@
 import math
 
 
-class KeyHeat:
+class KeyRates:
     """Exponentially decaying request counts by key.
 
     A count is close to the number of requests in the last `seconds`, with the
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/limits.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/limits.py
@@ -42,7 +42,7 @@
 _HASH_RANGE = 1 << 32
 
 
-class LimitNews(msgspec.Struct, frozen=True, array_like=True):
+class LimitUpdate(msgspec.Struct, frozen=True, array_like=True):
     """A target's limit as VMs report it to each other.
 
     Attributes:
@@ -56,7 +56,7 @@
     age: float
 
 
-class Pace:
+class RateLimiter:
     """Rate limiter of this VM for a target that has set a limit.
 
     The sender uses a token bucket of small capacity. Any other VM has one time
@@ -159,10 +159,10 @@
         self.rate = rate
         self.recorded_at = recorded_at
         self.stated_at = stated_at
-        self.pace: Pace | None = None
+        self.pace: RateLimiter | None = None
 
 
-class Limits:
+class TargetLimits:
     """The current rate limit of each target."""
 
     __slots__ = (
@@ -182,7 +182,7 @@
         self._here = here
         self._limits: dict[str, _TargetLimit] = {}
         self._limited_count = 0
-        self._leader_limits: dict[str, LimitNews] = {}
+        self._leader_limits: dict[str, LimitUpdate] = {}
         self._leader_limits_at = 0.0
 
     @property
@@ -215,7 +215,7 @@
             return None
         return self.rate(target, born)
 
-    def pace(self, target: str, born: int) -> Pace | None:
+    def pace(self, target: str, born: int) -> RateLimiter | None:
         """Returns this VM's rate limiter for a target, None without a limit."""
         limit = self._limits.get(target)
         if limit is None or limit.born != born:
@@ -259,7 +259,7 @@
             return False
         return self._set(target, born, rate, now, now)
 
-    def learn(self, target: str, news: LimitNews, now: float) -> bool:
+    def learn(self, target: str, news: LimitUpdate, now: float) -> bool:
         """Records a limit that another VM received.
 
         Args:
@@ -309,14 +309,14 @@
                 offset = (
                     zlib.crc32(f"{self._here}/{target}".encode()) / _HASH_RANGE
                 )
-                updated.pace = Pace(rate, offset, now)
+                updated.pace = RateLimiter(rate, offset, now)
             updated.pace.set_rate(rate, now)
         self._limited_count = sum(
             n.rate is not None for n in self._limits.values()
         )
         return rate is not None or bool(previous and previous.rate is not None)
 
-    def news(self, now: float) -> dict[str, LimitNews]:
+    def news(self, now: float) -> dict[str, LimitUpdate]:
         """Returns the limits that a leader sends to all VMs."""
         return {
             name: _update(limit, now)
@@ -325,12 +325,12 @@
             or now - limit.stated_at < _REPORT_LIFTED_SECONDS
         }
 
-    def take_told(self, told: Mapping[str, LimitNews], now: float) -> None:
+    def take_told(self, told: Mapping[str, LimitUpdate], now: float) -> None:
         """Records the limits that the leader has, whether new here or not."""
         self._leader_limits = dict(told)
         self._leader_limits_at = now
 
-    def unknown_to_leader(self, now: float) -> dict[str, LimitNews]:
+    def unknown_to_leader(self, now: float) -> dict[str, LimitUpdate]:
         """Returns the limits that the leader lacks, for this VM's report."""
         return {
             name: _update(limit, now)
@@ -379,7 +379,7 @@
     return rate is None or rate > current
 
 
-def _update(limit: _TargetLimit, now: float) -> LimitNews:
-    return LimitNews(
+def _update(limit: _TargetLimit, now: float) -> LimitUpdate:
+    return LimitUpdate(
         limit.born, limit.rate, round(max(now - limit.stated_at, 0), 3)
     )
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/room.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/load_balancing.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from mimosastile_core.gateway import directory
-from mimosastile_core.gateway import reported
+from mimosastile_core.gateway import target_feedback
 
 _SMOOTHING_WEIGHT = 0.15
 """Weight of one response in the mean: the mean follows a change within about
@@ -95,14 +95,14 @@
     probes: int = 2
 
 
-class Place(msgspec.Struct, frozen=True):
+class Location(msgspec.Struct, frozen=True):
     """A location."""
 
     zone: str
     region: str
 
 
-class Load:
+class TargetStats:
     """The load and health of one target as recorded by this VM."""
 
     __slots__ = (
@@ -127,7 +127,7 @@
         self.samples = 0
         self.sent = 0
         self.rest_until = -math.inf
-        self.said: reported.TargetLoad | None = None
+        self.said: target_feedback.TargetLoad | None = None
         self._failure_share = 0.0
         self._failure_share_at = 0.0
         self._unreachable_count = 0
@@ -239,7 +239,7 @@
     runs: float = 0.0
 
 
-class Rooms:
+class LoadBalancer:
     """Load balancer: the loads of all targets, and the choice among them."""
 
     __slots__ = (
@@ -255,7 +255,7 @@
     )
 
     def __init__(
-        self, here: Place, regions: dict[str, str], policy: Policy
+        self, here: Location, regions: dict[str, str], policy: Policy
     ) -> None:
         """Makes a balancer without any recorded load.
 
@@ -267,18 +267,18 @@
         self._here = here
         self._regions = regions
         self._policy = policy
-        self._loads: dict[str, Load] = {}
+        self._loads: dict[str, TargetStats] = {}
         self._reporting_services: set[str] = set()
         self._route_means: dict[str, tuple[float, float]] = {}
         self._gates: dict[str, str] = {}
         self._gates_updated_at = -math.inf
         self._silent_gates_until: dict[str, float] = {}
 
-    def load(self, target: str) -> Load:
+    def load(self, target: str) -> TargetStats:
         """Returns the recorded load of a target."""
         load = self._loads.get(target)
         if load is None:
-            load = self._loads[target] = Load()
+            load = self._loads[target] = TargetStats()
         return load
 
     def forget_except(self, targets: Iterable[str]) -> None:
@@ -319,7 +319,7 @@
     def learn_load(
         self,
         target: directory.Target,
-        said: reported.TargetLoad,
+        said: target_feedback.TargetLoad,
     ) -> None:
         """Records the load that a target reported.
 
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/allowance.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/retry_budget.py
@@ -3,7 +3,7 @@
 import collections
 
 
-class RetryAllowance:
+class RetryBudget:
     """One VM's part of the retry budget of a service.
 
     The budget applies to all VMs together: a ratio of the requests in a window
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/reported.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/target_feedback.py
@@ -44,7 +44,7 @@
         return usual + max(min(slowed, lost), 0.0)
 
 
-class Notice(msgspec.Struct, frozen=True):
+class TargetFeedback(msgspec.Struct, frozen=True):
     """Target feedback: statements of a response beyond its own request.
 
     Attributes:
@@ -74,5 +74,5 @@
         cold_seconds: For how long the target stays cold, None if not stated.
     """
 
-    notice: Notice = Notice()
+    notice: TargetFeedback = TargetFeedback()
     cold_seconds: float | None = None
--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission.py
@@ -19,7 +19,7 @@
 
     def __init__(self, seed=1, work=WORK):
         self.random = random.Random(seed)
-        self.queue = admission.Queue(SLOTS, TARGET_QUEUE)
+        self.queue = admission.AdmissionQueue(SLOTS, TARGET_QUEUE)
         self.work = work
         self.now = 0.0
         self.on_time = self.late = self.refused = self.most_at_target = 0
@@ -51,7 +51,7 @@
 
     def _ask(self, vm, priority, assumed_work):
         self._number += 1
-        ask = admission.Ask(
+        ask = admission.PermitRequest(
             vm,
             self._number,
             priority,
@@ -182,7 +182,7 @@
             "left": DEADLINE,
             "work": WORK,
         }
-        return admission.Ask("vm", number, **(fields | changes))
+        return admission.PermitRequest("vm", number, **(fields | changes))
 
     @hypothesis.given(
         steps=st.lists(
@@ -197,7 +197,7 @@
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=100)
     def test_permits_stay_bounded(self, steps):
         """Permits stay bounded through any series of requests and losses."""
-        queue, now = admission.Queue(2, 1), 0.0
+        queue, now = admission.AdmissionQueue(2, 1), 0.0
         for number, (step, which, pause) in enumerate(steps):
             if step == "ask":
                 queue.ask(self._ask(number), now)
@@ -216,7 +216,7 @@
 
         The permits are reclaimed once such requests should have ended.
         """
-        queue = admission.Queue(1, 0)
+        queue = admission.AdmissionQueue(1, 0)
         queue.ask(self._ask(1), 0.0)
         waiting = queue.ask(self._ask(2), 0.0)
         assert waiting.verdict is admission.Verdict.WAITS
@@ -226,14 +226,14 @@
 
     def test_requests_without_a_permit_count(self):
         """A new gate is informed of the requests already in progress."""
-        queue = admission.Queue(4, 0)
+        queue = admission.AdmissionQueue(4, 0)
         first = queue.ask(self._ask(1, held=4), 0.0)
         assert first.verdict is admission.Verdict.WAITS
         assert [d.ask.number for d in queue.turn(WORK + 0.01)] == [1]
 
     def test_withdrawn_request(self):
         """A caller disconnects; its permit goes to the next request."""
-        queue = admission.Queue(1, 0)
+        queue = admission.AdmissionQueue(1, 0)
         for number in (1, 2, 3):
             queue.ask(self._ask(number), 0.0)
         assert queue.done("vm", 2, 0.01) == []
@@ -246,7 +246,7 @@
         A target rejects every other request at once. Counting these as
         responses would keep requests waiting that it cannot serve in time.
         """
-        queue = admission.Queue(1, 0)
+        queue = admission.AdmissionQueue(1, 0)
         now = 0.0
         for number in range(0, 200, 2):
             queue.ask(self._ask(number), now)
@@ -258,7 +258,7 @@
 
     def test_refusal_gives_the_retry_time(self):
         """The retry time follows from the queue and is not a constant."""
-        queue = admission.Queue(1, 0)
+        queue = admission.AdmissionQueue(1, 0)
         for number in range(1, 12):
             queue.ask(self._ask(number, left=9.0, on_time=9.0), 0.0)
         refused = queue.ask(self._ask(12), 0.0)
@@ -275,14 +275,14 @@
         A request that cannot be admitted in time is refused at once with the
         expected time of admission.
         """
-        queue = admission.Queue(SLOTS, TARGET_QUEUE)
-        queue.pace = limits.Pace(6.1, 0.0, 0.0)
+        queue = admission.AdmissionQueue(SLOTS, TARGET_QUEUE)
+        queue.pace = limits.RateLimiter(6.1, 0.0, 0.0)
         admitted, refused = [], []
         decisions = []
         for step in range(1000):
             now = step * 0.01
             if step % 3 == 0:
-                ask = admission.Ask(
+                ask = admission.PermitRequest(
                     "vm", step, 2, TARGET_LATENCY, DEADLINE, WORK
                 )
                 decisions = [queue.ask(ask, now)]
--- a/tests/gateway/test_rests.py
+++ b/tests/gateway/test_backoffs.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from mimosastile_core.gateway import rests
+from mimosastile_core.gateway import backoffs
 
 
 class TestRests:
@@ -21,23 +21,23 @@
     )
     def test_longest_backoff_applies(self, requested, now, left):
         """Guards against a response that shortens a backoff in force."""
-        backoffs = rests.Rests()
+        record = backoffs.Backoffs()
         for at, seconds in requested:
-            backoffs.ask("t", 1, seconds, at)
-        assert backoffs.left("t", 1, now) == left
+            record.ask("t", 1, seconds, at)
+        assert record.left("t", 1, now) == left
 
     def test_next_incarnation(self):
         """Guards against the backoff of an ended incarnation."""
-        backoffs = rests.Rests()
-        backoffs.ask("t", 1, 7200.0, 0.0)
-        assert backoffs.left("t", 2, 1.0) == 0.0
-        backoffs.ask("t", 2, 1.0, 1.0)
-        assert backoffs.left("t", 2, 1.5) == 0.5
+        record = backoffs.Backoffs()
+        record.ask("t", 1, 7200.0, 0.0)
+        assert record.left("t", 2, 1.0) == 0.0
+        record.ask("t", 2, 1.0, 1.0)
+        assert record.left("t", 2, 1.5) == 0.5
 
     def test_only_long_backoffs_move_keys(self):
         """Guards against moves of keys for a short backoff."""
-        backoffs = rests.Rests()
-        backoffs.ask("short", 1, 1.5, 0.0)
-        backoffs.ask("long", 1, 4.0, 0.0)
-        assert backoffs.long(0.5) == {"long": 3.5}
-        assert backoffs.long(3.6) == {}
+        record = backoffs.Backoffs()
+        record.ask("short", 1, 1.5, 0.0)
+        record.ask("long", 1, 4.0, 0.0)
+        assert record.long(0.5) == {"long": 3.5}
+        assert record.long(3.6) == {}
--- a/tests/gateway/test_bounded_targets.py
+++ b/tests/gateway/test_bounded_targets.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from mimosastile_core.gateway import reported
+from mimosastile_core.gateway import target_feedback
 from mimosastile_standins import virtual
 from tests.gateway import fakes
 from tests.gateway import fleet
@@ -253,7 +253,7 @@
 
         async def scenario(cluster):
             target = cluster.owner()
-            cluster.orders.notices[target.id] = reported.Notice(
+            cluster.orders.notices[target.id] = target_feedback.TargetFeedback(
                 limit=3.1, names_limit=True
             )
             await asyncio.sleep(2.0)
--- a/tests/gateway/test_patience.py
+++ b/tests/gateway/test_caller_retries.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from mimosastile_core.gateway import patience
+from mimosastile_core.gateway import caller_retries
 
 
 def _with_deadlines(deadlines):
-    estimator = patience.Patience()
+    estimator = caller_retries.RetryAge()
     for deadline in deadlines:
         estimator.tried_for(deadline)
     return estimator
@@ -37,7 +37,7 @@
 
     def test_first_request(self):
         """Without any recorded deadline no caller counts as retrying."""
-        assert patience.Patience().tried_for(0.2) == 0.0
+        assert caller_retries.RetryAge().tried_for(0.2) == 0.0
 
     def test_follows_a_change_of_callers(self):
         """One caller with a 60 s deadline does not make others look late."""
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -5,7 +5,7 @@
 import pytest
 
 from mimosastile_core.gateway import limits
-from mimosastile_gateway import beliefs
+from mimosastile_gateway import cluster_state
 from mimosastile_standins import virtual
 from tests.gateway import fakes
 
@@ -31,14 +31,14 @@
     )
     def test_order_of_responses(self, answers, expected):
         """Guards against an older response that lifts a newer limit."""
-        target_limits = limits.Limits("vm-1")
+        target_limits = limits.TargetLimits("vm-1")
         for rate, sent_at, now in answers:
             target_limits.hear("t", 1, rate, sent_at, now)
         assert target_limits.rate("t", 1) == expected
 
     def test_new_incarnation(self):
         """Guards against a limit that outlives its incarnation."""
-        target_limits = limits.Limits("vm-1")
+        target_limits = limits.TargetLimits("vm-1")
         target_limits.hear("t", 1, 6.1, 0.0, 1.0)
         assert target_limits.rate("t", 2) is None
         target_limits.hear("t", 2, 3.0, 0.5, 1.2)
@@ -53,7 +53,7 @@
 
         async def main():
             log, timer = fakes.Lines(), fakes.VirtualClock()
-            known = beliefs.Beliefs(fakes.configured(), timer, log)
+            known = cluster_state.ClusterState(fakes.configured(), timer, log)
             target = fakes.target("a")
             for rate in (6.1, 6.1, 3.0, None, None):
                 known.hear_limit(target, rate, virtual.now())
@@ -83,17 +83,17 @@
     )
     def test_newer_update_applies(self, own, peer, expected):
         """Guards against an older update that lifts a newer limit."""
-        target_limits = limits.Limits("vm-1")
+        target_limits = limits.TargetLimits("vm-1")
         target_limits.hear("t", 1, own[0], 0.0, own[1])
         now = 10.0
         target_limits.learn(
-            "t", limits.LimitNews(1, peer[0], now - peer[1]), now
+            "t", limits.LimitUpdate(1, peer[0], now - peer[1]), now
         )
         assert target_limits.rate("t", 1) == expected
 
     def test_report(self):
         """Guards against reporting the same limits to a leader repeatedly."""
-        one, leader = limits.Limits("vm-1"), limits.Limits("vm-2")
+        one, leader = limits.TargetLimits("vm-1"), limits.TargetLimits("vm-2")
         one.hear("t", 1, 6.1, 0.0, 1.0)
         for name, news in one.unknown_to_leader(1.0).items():
             assert leader.learn(name, news, 1.1)
@@ -112,7 +112,7 @@
 
     def test_ended_targets_are_dropped(self):
         """Memory does not grow with the targets that ever set a limit."""
-        target_limits = limits.Limits("vm-1")
+        target_limits = limits.TargetLimits("vm-1")
         for number in range(50):
             target_limits.hear(f"t{number}", 1, 6.1, 0.0, 1.0)
         target_limits.forget_except({"t1": 1, "t2": 2})
@@ -136,8 +136,11 @@
         and every other VM uses its own time slots.
         """
         changes = sorted(replaced)
-        paces = [limits.Pace(rate, n / 4, 0.0) for n in range(len(changes) + 1)]
-        others = [limits.Pace(rate, n / vms, 0.0) for n in range(vms)]
+        paces = [
+            limits.RateLimiter(rate, n / 4, 0.0)
+            for n in range(len(changes) + 1)
+        ]
+        others = [limits.RateLimiter(rate, n / vms, 0.0) for n in range(vms)]
         now, sent = 0.0, []
         for number, gap in enumerate(gaps):
             now += gap
@@ -163,7 +166,7 @@
     def test_time_slots_do_not_accumulate(self, vms):
         """Guards against accumulated slots that all VMs use at one moment."""
         rate = 6.1
-        paces = [limits.Pace(rate, n / vms, 0.0) for n in range(vms)]
+        paces = [limits.RateLimiter(rate, n / vms, 0.0) for n in range(vms)]
         for alone in (False, True):
             at_once = sum(
                 not pace.own_wait(vms, 1000.0, alone=alone) for pace in paces
@@ -174,7 +177,9 @@
     @pytest.mark.parametrize("rate", [0.4, 6.1, 40.0])
     def test_cut_off_vms(self, vms, rate):
         """Guards against cut-off VMs that each use the whole limit."""
-        paces = [limits.Pace(rate, (n * 0.618) % 1, 0.0) for n in range(vms)]
+        paces = [
+            limits.RateLimiter(rate, (n * 0.618) % 1, 0.0) for n in range(vms)
+        ]
         sent = []
         for step in range(1000):
             now = step * 0.04
@@ -188,7 +193,7 @@
 
     def test_sender_accumulates_few_tokens(self):
         """Guards against a burst after an idle period."""
-        pace = limits.Pace(6.1, 0.0, 0.0)
+        pace = limits.RateLimiter(6.1, 0.0, 0.0)
         sent = 0
         while not pace.wait(1000.0):
             pace.take(1000.0)
@@ -197,5 +202,5 @@
 
     def test_limit_of_zero(self):
         """Guards against a limit of 0 that the target can never raise."""
-        pace = limits.Pace(0.0, 0.0, 0.0)
+        pace = limits.RateLimiter(0.0, 0.0, 0.0)
         assert 1.0 < pace.wait(0.0) < 20.0
--- a/tests/gateway/test_room.py
+++ b/tests/gateway/test_load_balancing.py
@@ -6,8 +6,8 @@
 import pytest
 
 from mimosastile_core.gateway import directory
-from mimosastile_core.gateway import reported
-from mimosastile_core.gateway import room
+from mimosastile_core.gateway import load_balancing
+from mimosastile_core.gateway import target_feedback
 
 REGIONS = {"a1": "a", "a2": "a", "b1": "b"}
 
@@ -19,7 +19,9 @@
 
 
 def _rooms():
-    return room.Rooms(room.Place("a1", "a"), REGIONS, room.Policy())
+    return load_balancing.LoadBalancer(
+        load_balancing.Location("a1", "a"), REGIONS, load_balancing.Policy()
+    )
 
 
 def _choose(rooms, targets, now=10.0):
@@ -128,7 +130,7 @@
 
     def test_one_long_request_does_not_make_it_slow(self):
         """One request in a hundred takes several times as long."""
-        load = room.Load()
+        load = load_balancing.TargetStats()
         for _ in range(30):
             load.answered(0.1, 0.1, 1.0)
         load.answered(3.0, 0.1, 1.0)
@@ -136,7 +138,7 @@
 
     def test_backoff_grows_up_to_a_bound(self):
         """Repeated connection failures lengthen the backoff up to a bound."""
-        load = room.Load()
+        load = load_balancing.TargetStats()
         load.unreachable(0.0)
         first = load.rest_until
         load.unreachable(10.0)
@@ -267,7 +269,7 @@
         targets = []
         for name, said in loads.items():
             targets.append(_target(name, slots=2))
-            rooms.learn_load(targets[-1], reported.TargetLoad(*said))
+            rooms.learn_load(targets[-1], target_feedback.TargetLoad(*said))
         return rooms.compare(targets, "r", 0.2, 100, 10.0, on_time, left)
 
     @pytest.mark.parametrize(
@@ -320,11 +322,11 @@
         guess, work = 0.5, 0.2
         loads = itertools.cycle([(2, 0, 2), (2, 1, 2)])
         for said in itertools.islice(loads, 200):
-            rooms.learn_load(target, reported.TargetLoad(*said))
+            rooms.learn_load(target, target_feedback.TargetLoad(*said))
             choice = rooms.compare([target], "r", guess, 100, 10.0, 5.0, 5.0)
             seconds = work * choice.runs
             rooms.answered("r", "x", seconds / choice.runs, 100, 10.0)
         assert rooms.work("r", guess) == pytest.approx(work)
-        rooms.learn_load(target, reported.TargetLoad(2, 3, 2))
+        rooms.learn_load(target, target_feedback.TargetLoad(2, 3, 2))
         choice = rooms.compare([target], "r", guess, 100, 10.0, 1.0, 2.0)
         assert choice.target is target
--- a/tests/gateway/test_allowance.py
+++ b/tests/gateway/test_retry_budget.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from mimosastile_core.gateway import allowance
+from mimosastile_core.gateway import retry_budget
 
 RATIO, WINDOW, FIXED = 0.2, 10.0, 60.0
 
@@ -10,7 +10,7 @@
 def _most_retries(vms, requests_per_second, seconds=30):
     """Returns the retries in the worst window if VMs use all they may."""
     parts = [
-        allowance.RetryAllowance(RATIO, WINDOW, FIXED / vms) for _ in range(vms)
+        retry_budget.RetryBudget(RATIO, WINDOW, FIXED / vms) for _ in range(vms)
     ]
     taken = []
     steps = 20
@@ -44,7 +44,7 @@
 
     def test_retries_become_available_again(self):
         """Retries used in one window are available again in a later one."""
-        budget = allowance.RetryAllowance(RATIO, WINDOW, 2.0)
+        budget = retry_budget.RetryBudget(RATIO, WINDOW, 2.0)
         assert budget.take(0.0)
         assert budget.take(0.0)
         assert not budget.take(1.0)
@@ -52,7 +52,7 @@
 
     def test_share_follows_the_number_of_vms(self):
         """With fewer VMs each may retry more."""
-        budget = allowance.RetryAllowance(RATIO, WINDOW, 0.0)
+        budget = retry_budget.RetryBudget(RATIO, WINDOW, 0.0)
         assert not budget.take(0.0)
         budget.set_fixed(3.0)
         assert budget.take(0.0)
