--- a/packages/mimosastile-core/src/mimosastile_core/gateway/admission.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/admission.py
@@ -96,12 +96,12 @@
     """An admission decision on one request.
 
     Attributes:
-        ask: The request.
+        request: The request.
         verdict: The outcome.
         seconds: Expected time until it is admitted.
     """
 
-    ask: PermitRequest
+    request: PermitRequest
     verdict: Verdict
     seconds: float = 0.0
 
@@ -140,10 +140,10 @@
 class _Waiting:
     """A waiting request."""
 
-    __slots__ = ("arrived", "ask", "number")
+    __slots__ = ("arrived", "number", "request")
 
-    def __init__(self, ask: PermitRequest, number: int, now: float) -> None:
-        self.ask = ask
+    def __init__(self, request: PermitRequest, number: int, now: float) -> None:
+        self.request = request
         self.number = number
         self.arrived = now
 
@@ -152,8 +152,8 @@
     """Permits of one target, and the requests that wait for one.
 
     Attributes:
-        pace: Rate limiter for the limit that the target has set; None without
-            such a limit.
+        limiter: Rate limiter for the limit that the target has set; None
+            without such a limit.
     """
 
     __slots__ = (
@@ -167,20 +167,20 @@
         "_target_queue",
         "_waiting",
         "_work_factor",
-        "pace",
+        "limiter",
     )
 
-    def __init__(self, slots: int, beyond: int) -> None:
+    def __init__(self, slots: int, target_queue: int) -> None:
         """Makes a queue with all permits free.
 
         Args:
             slots: Number of requests that the target runs at a time.
-            beyond: Number of requests that may wait at the target itself. They
-                keep its slots busy while a returned permit is on its way to the
-                next request.
+            target_queue: Number of requests that may wait at the target itself.
+                They keep its slots busy while a returned permit is on its way
+                to the next request.
         """
         self._slots = slots
-        self._target_queue = beyond
+        self._target_queue = target_queue
         self._mean_work = 0.0
         self._work_factor = 1.0
         self._permits: dict[tuple[str, int], _Permit] = {}
@@ -189,7 +189,7 @@
         self._next_number = 0
         self._on_time_count = 0.0
         self._on_time_count_at = 0.0
-        self.pace: limits.RateLimiter | None = None
+        self.limiter: limits.RateLimiter | None = None
 
     @property
     def idle(self) -> bool:
@@ -206,17 +206,17 @@
         held = sum(count for count, until in self._held.values() if now < until)
         return len(self._permits) + held
 
-    def ask(self, ask: PermitRequest, now: float) -> Decision:
+    def decide(self, request: PermitRequest, now: float) -> Decision:
         """Decides on a request; a repeated one keeps its position."""
-        if ask.id in self._permits:
-            return Decision(ask, Verdict.ADMITTED)
-        if any(w.ask.id == ask.id for w in self._waiting):
-            return Decision(ask, Verdict.WAITS)
-        self._mean_work = self._mean_work or ask.work
-        self._mean_work += (ask.work - self._mean_work) * _SMOOTHING_WEIGHT
-        self._held[ask.vm] = (ask.held, now + ask.work)
+        if request.id in self._permits:
+            return Decision(request, Verdict.ADMITTED)
+        if any(w.request.id == request.id for w in self._waiting):
+            return Decision(request, Verdict.WAITS)
+        self._mean_work = self._mean_work or request.work
+        self._mean_work += (request.work - self._mean_work) * _SMOOTHING_WEIGHT
+        self._held[request.vm] = (request.held, now + request.work)
         self._reclaim_lost(now)
-        entry = _Waiting(ask, self._next_number, now)
+        entry = _Waiting(request, self._next_number, now)
         self._next_number += 1
         position = self._position(entry, now)
         ahead = sum(self._position(w, now) < position for w in self._waiting)
@@ -226,11 +226,11 @@
         wait = self._expected_wait(ahead, now, late=late)
         full = len(self._waiting) >= _MAX_WAITING
         if wait > self._time_to_start(entry, now) or full:
-            return Decision(ask, Verdict.REFUSED, wait)
+            return Decision(request, Verdict.REFUSED, wait)
         self._waiting.append(entry)
-        return Decision(ask, Verdict.WAITS, wait)
+        return Decision(request, Verdict.WAITS, wait)
 
-    def done(
+    def finish(
         self, vm: str, number: int, now: float, *, answered: bool = True
     ) -> list[Decision]:
         """Ends an admitted or waiting request; returns the resulting decisions.
@@ -247,11 +247,11 @@
             self._update_factor(permit, now)
         if permit is None:
             self._waiting = [
-                w for w in self._waiting if w.ask.id != (vm, number)
+                w for w in self._waiting if w.request.id != (vm, number)
             ]
-        return self.turn(now)
+        return self.decide_waiting(now)
 
-    def turn(self, now: float) -> list[Decision]:
+    def decide_waiting(self, now: float) -> list[Decision]:
         """Decides on waiting requests: which to admit and which to refuse."""
         self._reclaim_lost(now)
         return [*self._admitted(now), *self._refused(now)]
@@ -261,7 +261,7 @@
             first = min(self._waiting, key=lambda w: self._position(w, now))
             self._waiting.remove(first)
             if self._time_to_start(first, now) < 0:
-                yield Decision(first.ask, Verdict.REFUSED, self._interval)
+                yield Decision(first.request, Verdict.REFUSED, self._interval)
             else:
                 yield self._admit(first, now)
 
@@ -273,7 +273,7 @@
             late = self._is_late(entry, now, len(kept))
             wait = self._expected_wait(len(kept), now, late=late)
             if wait > self._time_to_start(entry, now) * _REFUSAL_TOLERANCE:
-                yield Decision(entry.ask, Verdict.REFUSED, wait)
+                yield Decision(entry.request, Verdict.REFUSED, wait)
             else:
                 kept.append(entry)
         self._waiting = kept
@@ -283,18 +283,20 @@
             self._count_on_time(now)
         busy = self.busy(now) + 1
         expected = (
-            self._work_factor * entry.ask.work * max(busy / self._slots, 1.0)
+            self._work_factor
+            * entry.request.work
+            * max(busy / self._slots, 1.0)
         )
         expires_at = now + _LOST_EXTRA_SECONDS + _LOST_FACTOR * expected
-        if self.pace is not None:
-            self.pace.take(now)
-        self._permits[entry.ask.id] = _Permit(
-            entry.ask.work, now, expires_at, busy
+        if self.limiter is not None:
+            self.limiter.take(now)
+        self._permits[entry.request.id] = _Permit(
+            entry.request.work, now, expires_at, busy
         )
-        return Decision(entry.ask, Verdict.ADMITTED)
+        return Decision(entry.request, Verdict.ADMITTED)
 
     def _free(self, now: float) -> bool:
-        if self.pace is not None and self.pace.wait(now) > 0:
+        if self.limiter is not None and self.limiter.wait(now) > 0:
             return False
         return self.busy(now) < self._slots + self._target_queue
 
@@ -314,25 +316,25 @@
 
     def _limiter_wait(self, ahead: int, now: float) -> float:
         """Returns the wait that the target's rate limit imposes."""
-        if self.pace is None:
+        if self.limiter is None:
             return 0.0
-        return self.pace.wait(now) + ahead / self.pace.rate
+        return self.limiter.wait(now) + ahead / self.limiter.rate
 
     def _time_to_start(self, entry: _Waiting, now: float) -> float:
         """Returns the seconds for which starting the request is worthwhile."""
-        needed = self._work_factor * entry.ask.work * _MIN_TIME_LEFT_FACTOR
-        return entry.ask.left - (now - entry.arrived) - needed
+        needed = self._work_factor * entry.request.work * _MIN_TIME_LEFT_FACTOR
+        return entry.request.left - (now - entry.arrived) - needed
 
     def _is_late(self, entry: _Waiting, now: float, ahead: int) -> bool:
         """Whether the response would be late behind `ahead` requests."""
-        work = self._work_factor * entry.ask.work * (1 + _LATE_MARGIN_SHARE)
-        left = entry.ask.on_time - (now - entry.arrived) - work
+        work = self._work_factor * entry.request.work * (1 + _LATE_MARGIN_SHARE)
+        left = entry.request.on_time - (now - entry.arrived) - work
         wait = (ahead + self._target_queue) * self._interval
         return max(wait, self._limiter_wait(ahead, now)) > left
 
     def _position(self, entry: _Waiting, now: float) -> tuple[bool, int, int]:
         late = self._is_late(entry, now, 0)
-        return late, entry.ask.priority, entry.number
+        return late, entry.request.priority, entry.number
 
     def _update_factor(self, permit: _Permit, now: float) -> None:
         """Updates the mean service time at the target, without queueing."""
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/backoffs.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/backoffs.py
@@ -41,7 +41,9 @@
         """Whether a backoff of any target may be in force."""
         return bool(self._backoffs)
 
-    def ask(self, target: str, born: int, seconds: float, now: float) -> None:
+    def record(
+        self, target: str, born: int, seconds: float, now: float
+    ) -> None:
         """Records a backoff; the one that ends last applies.
 
         Args:
@@ -51,10 +53,10 @@
             now: The time.
         """
         ends = now + seconds
-        if self.left(target, born, now) < seconds:
+        if self.seconds_left(target, born, now) < seconds:
             self._backoffs[target] = _Backoff(born, now, ends)
 
-    def left(self, target: str, born: int, now: float) -> float:
+    def seconds_left(self, target: str, born: int, now: float) -> float:
         """Returns the seconds for which an incarnation gets no requests."""
         backoff = self._backoffs.get(target)
         if backoff is None or backoff.born != born:
@@ -64,7 +66,7 @@
             return 0.0
         return backoff.ends - now
 
-    def long(self, now: float) -> dict[str, float]:
+    def long_backoffs(self, now: float) -> dict[str, float]:
         """Returns the seconds left of backoffs for which keys should move.
 
         Ended backoffs are dropped.
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/caller_retries.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/caller_retries.py
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         self._longest_deadline = 0.0
 
-    def tried_for(self, deadline: float) -> float:
+    def estimate(self, deadline: float) -> float:
         """Records a request's deadline and estimates the retry time.
 
         Args:
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/limits.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/limits.py
@@ -99,30 +99,36 @@
         self._refill(now)
         self._tokens -= 1.0
 
-    def own_wait(self, vms: int, now: float, *, alone: bool = False) -> float:
+    def own_slot_wait(
+        self, vms: int, now: float, *, without_sender: bool = False
+    ) -> float:
         """Returns the seconds until this VM, not the sender, may send.
 
         Args:
             vms: Number of VMs.
             now: The time.
-            alone: Whether this VM knows of no sender.
+            without_sender: Whether this VM knows of no sender.
         """
-        period_number, elapsed, period = self._current_period(vms, now, alone)
+        period_number, elapsed, period = self._current_period(
+            vms, now, without_sender
+        )
         if period_number != self._used_period and elapsed < min(
             _SLOT_SECONDS, period / 2
         ):
             return 0.0
         return period - elapsed
 
-    def take_own(self, vms: int, now: float, *, alone: bool = False) -> None:
+    def take_own_slot(
+        self, vms: int, now: float, *, without_sender: bool = False
+    ) -> None:
         """Records a request that this VM sends without being the sender."""
-        self._used_period, _, _ = self._current_period(vms, now, alone)
+        self._used_period, _, _ = self._current_period(vms, now, without_sender)
 
     def _current_period(
-        self, vms: int, now: float, alone: bool
+        self, vms: int, now: float, without_sender: bool
     ) -> tuple[int, float, float]:
         """Returns the number, age and length of the current period."""
-        share = _NO_SENDER_SHARE if alone else _OWN_SHARE
+        share = _NO_SENDER_SHARE if without_sender else _OWN_SHARE
         period = vms / (self._rate * share)
         periods = now / period + self._offset
         period_number = int(periods)
@@ -143,10 +149,10 @@
         rate: Its limit, None for none.
         recorded_at: When this VM first recorded this limit.
         stated_at: When the target stated it last.
-        pace: Rate limiter of this VM for the target, None without a limit.
+        limiter: Rate limiter of this VM for the target, None without a limit.
     """
 
-    __slots__ = ("born", "pace", "rate", "recorded_at", "stated_at")
+    __slots__ = ("born", "limiter", "rate", "recorded_at", "stated_at")
 
     def __init__(
         self,
@@ -159,7 +165,7 @@
         self.rate = rate
         self.recorded_at = recorded_at
         self.stated_at = stated_at
-        self.pace: RateLimiter | None = None
+        self.limiter: RateLimiter | None = None
 
 
 class TargetLimits:
@@ -192,7 +198,7 @@
 
     def limited(self) -> list[str]:
         """Returns the targets that have a limit."""
-        return [n for n, limit in self._limits.items() if limit.pace]
+        return [n for n, limit in self._limits.items() if limit.limiter]
 
     def rate(self, target: str, born: int) -> float | None:
         """Returns the limit of a target in requests a second, None for none.
@@ -215,14 +221,14 @@
             return None
         return self.rate(target, born)
 
-    def pace(self, target: str, born: int) -> RateLimiter | None:
+    def limiter(self, target: str, born: int) -> RateLimiter | None:
         """Returns this VM's rate limiter for a target, None without a limit."""
         limit = self._limits.get(target)
         if limit is None or limit.born != born:
             return None
-        return limit.pace
+        return limit.limiter
 
-    def hear(
+    def observe(
         self,
         target: str,
         born: int,
@@ -259,34 +265,34 @@
             return False
         return self._set(target, born, rate, now, now)
 
-    def learn(self, target: str, news: LimitUpdate, now: float) -> bool:
+    def merge(self, target: str, update: LimitUpdate, now: float) -> bool:
         """Records a limit that another VM received.
 
         Args:
             target: Identifier of the target.
-            news: The limit.
+            update: The limit.
             now: The time.
 
         Returns:
             Whether this changes the limit.
         """
-        stated_at = now - news.age
+        stated_at = now - update.age
         current = self._limits.get(target)
         if current is not None:
-            if news.born < current.born:
+            if update.born < current.born:
                 return False
-            if news.born == current.born:
-                if news.rate == current.rate:
+            if update.born == current.born:
+                if update.rate == current.rate:
                     current.stated_at = max(current.stated_at, stated_at)
                     return False
-                lifts = _lifts(news.rate, current.rate)
+                lifts = _lifts(update.rate, current.rate)
                 if stated_at <= current.stated_at + (
                     _LIFT_MARGIN_SECONDS if lifts else 0.0
                 ):
                     return False
-        elif news.rate is None:
+        elif update.rate is None:
             return False
-        return self._set(target, news.born, news.rate, now, stated_at)
+        return self._set(target, update.born, update.rate, now, stated_at)
 
     def _set(
         self,
@@ -302,38 +308,40 @@
             born, rate, now, stated_at
         )
         if rate is not None:
-            updated.pace = (
-                previous.pace if previous and previous.born == born else None
+            updated.limiter = (
+                previous.limiter if previous and previous.born == born else None
             )
-            if updated.pace is None:
+            if updated.limiter is None:
                 offset = (
                     zlib.crc32(f"{self._here}/{target}".encode()) / _HASH_RANGE
                 )
-                updated.pace = RateLimiter(rate, offset, now)
-            updated.pace.set_rate(rate, now)
+                updated.limiter = RateLimiter(rate, offset, now)
+            updated.limiter.set_rate(rate, now)
         self._limited_count = sum(
             n.rate is not None for n in self._limits.values()
         )
         return rate is not None or bool(previous and previous.rate is not None)
 
-    def news(self, now: float) -> dict[str, LimitUpdate]:
+    def updates(self, now: float) -> dict[str, LimitUpdate]:
         """Returns the limits that a leader sends to all VMs."""
         return {
-            name: _update(limit, now)
+            name: _limit_update(limit, now)
             for name, limit in self._limits.items()
             if limit.rate is not None
             or now - limit.stated_at < _REPORT_LIFTED_SECONDS
         }
 
-    def take_told(self, told: Mapping[str, LimitUpdate], now: float) -> None:
+    def record_leader_limits(
+        self, limits: Mapping[str, LimitUpdate], now: float
+    ) -> None:
         """Records the limits that the leader has, whether new here or not."""
-        self._leader_limits = dict(told)
+        self._leader_limits = dict(limits)
         self._leader_limits_at = now
 
     def unknown_to_leader(self, now: float) -> dict[str, LimitUpdate]:
         """Returns the limits that the leader lacks, for this VM's report."""
         return {
-            name: _update(limit, now)
+            name: _limit_update(limit, now)
             for name, limit in self._limits.items()
             if self._is_unknown(name, limit)
         }
@@ -379,7 +387,7 @@
     return rate is None or rate > current
 
 
-def _update(limit: _TargetLimit, now: float) -> LimitUpdate:
+def _limit_update(limit: _TargetLimit, now: float) -> LimitUpdate:
     return LimitUpdate(
         limit.born, limit.rate, round(max(now - limit.stated_at, 0), 3)
     )
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/load_balancing.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/load_balancing.py
@@ -109,12 +109,12 @@
         "_failure_share",
         "_failure_share_at",
         "_unreachable_count",
+        "backoff_until",
         "factor",
         "others",
         "others_at",
         "own",
-        "rest_until",
-        "said",
+        "reported_load",
         "samples",
         "sent",
     )
@@ -126,8 +126,8 @@
         self.factor = 1.0
         self.samples = 0
         self.sent = 0
-        self.rest_until = -math.inf
-        self.said: target_feedback.TargetLoad | None = None
+        self.backoff_until = -math.inf
+        self.reported_load: target_feedback.TargetLoad | None = None
         self._failure_share = 0.0
         self._failure_share_at = 0.0
         self._unreachable_count = 0
@@ -146,7 +146,7 @@
         """Records that a request has ended."""
         self.own -= 1
 
-    def reckoned(
+    def estimated_under_way(
         self, least_sent: int, slots: int, vms: int, now: float
     ) -> float:
         """Estimates the number of requests in progress there now.
@@ -169,7 +169,7 @@
         uncounted = _SAME_CHOICE_SHARE * (self.sent - least_sent) * (vms - 1)
         return self.under_way(now) + min(uncounted, slots)
 
-    def trouble(self, now: float) -> float:
+    def failure_share(self, now: float) -> float:
         """Returns the recent share of failures, 0 to 1."""
         age = max(now - self._failure_share_at, 0.0)
         return self._failure_share * math.exp2(
@@ -192,9 +192,9 @@
         ratio = min(ratio, 3 * self.factor)
         self.factor += (ratio - self.factor) * step
         self.samples += 1
-        self.well(now)
+        self.responded(now)
 
-    def well(self, now: float) -> None:
+    def responded(self, now: float) -> None:
         """Records that the target responded, with any service time."""
         self._update_failure_share(0.0, now)
         self._unreachable_count = 0
@@ -210,15 +210,17 @@
             _FIRST_BACKOFF_SECONDS * 2**self._unreachable_count,
             _MAX_BACKOFF_SECONDS,
         )
-        self.rest_until = now + backoff
+        self.backoff_until = now + backoff
         self._unreachable_count = min(self._unreachable_count + 1, 8)
 
-    def silent(self, now: float) -> None:
+    def load_report_missed(self, now: float) -> None:
         """Records that the target did not report its load in time."""
-        self.rest_until = max(self.rest_until, now + _SILENT_BACKOFF_SECONDS)
+        self.backoff_until = max(
+            self.backoff_until, now + _SILENT_BACKOFF_SECONDS
+        )
 
     def _update_failure_share(self, value: float, now: float) -> None:
-        share = self.trouble(now)
+        share = self.failure_share(now)
         self._failure_share = share + (value - share) * 0.2
         self._failure_share_at = now
 
@@ -230,13 +232,14 @@
         target: The target; None if the request has to wait or cannot be served.
         seconds: Expected time to the response or, without a target, until one
             has capacity.
-        runs: The expected time as a number of service times, including those of
-            requests that wait there; 0 if the target has not reported its load.
+        service_times: The expected time as a number of service times, including
+            those of requests that wait there; 0 if the target has not reported
+            its load.
     """
 
     target: directory.Target | None
     seconds: float
-    runs: float = 0.0
+    service_times: float = 0.0
 
 
 class LoadBalancer:
@@ -316,20 +319,20 @@
         """Whether any target of a service has reported its load."""
         return service in self._reporting_services
 
-    def learn_load(
+    def record_load(
         self,
         target: directory.Target,
-        said: target_feedback.TargetLoad,
+        reported_load: target_feedback.TargetLoad,
     ) -> None:
         """Records the load that a target reported.
 
         Args:
             target: The target.
-            said: Its load.
+            reported_load: Its load.
         """
         load = self.load(target.id)
         self._reporting_services.add(target.service)
-        load.said = said
+        load.reported_load = reported_load
 
     def distance(
         self, target: directory.Target, route: str, latency: float
@@ -349,7 +352,7 @@
         self,
         targets: Iterable[directory.Target],
         route: str,
-        guess: float,
+        default_work: float,
         most_own: int,
         now: float,
         on_time: float,
@@ -365,7 +368,8 @@
         Args:
             targets: The targets.
             route: The request's route.
-            guess: Service time in seconds to assume if none was measured yet.
+            default_work: Service time in seconds to assume if none was
+                measured yet.
             most_own: Most requests of this VM at one target.
             now: The time.
             on_time: Seconds within which the response is on time.
@@ -377,30 +381,32 @@
         size = self.size(route)
         for target in targets:
             load = self.load(target.id)
-            said = load.said
-            if said is None:
+            reported = load.reported_load
+            if reported is None:
                 continue
-            work = self.work(route, guess) * load.factor
+            work = self.work(route, default_work) * load.factor
             if now < target.warm_at:
                 work *= 2
-            seconds = said.seconds(work)
+            seconds = reported.seconds(work)
             in_time = seconds < on_time * _ON_TIME_SHARE or (
-                said.waiting <= _MAX_WAITING_IF_LATE and seconds < left
+                reported.waiting <= _MAX_WAITING_IF_LATE and seconds < left
+            )
+            full = (
+                reported.waiting >= self._policy.queue or load.own >= most_own
             )
-            full = said.waiting >= self._policy.queue or load.own >= most_own
             if full or not in_time:
-                shortest_wait = min(shortest_wait, work / said.slots)
+                shortest_wait = min(shortest_wait, work / reported.slots)
                 continue
-            seconds *= 1 + _FAILURE_WEIGHT * load.trouble(now)
-            backoff = max(load.rest_until - now, 0.0)
+            seconds *= 1 + _FAILURE_WEIGHT * load.failure_share(now)
+            backoff = max(load.backoff_until - now, 0.0)
             cost = (
                 seconds + self._handicap(target, size, latency) + 10 * backoff
             )
             if best is None or cost < best[0]:
-                best = (cost, Choice(target, seconds, said.runs))
+                best = (cost, Choice(target, seconds, reported.service_times))
         return best[1] if best else Choice(None, shortest_wait)
 
-    def learn_others(self, totals: dict[str, int], now: float) -> None:
+    def record_peer_counts(self, totals: dict[str, int], now: float) -> None:
         """Records the other VMs' counts; unnamed targets have 0."""
         for name, load in self._loads.items():
             load.others = totals.get(name, 0)
@@ -412,12 +418,12 @@
                 load.others = count
                 load.others_at = now
 
-    def learn_gates(self, gates: dict[str, str], now: float) -> None:
+    def record_gates(self, gates: dict[str, str], now: float) -> None:
         """Records the addresses of all contended targets' admission gates."""
         self._gates = gates
         self._gates_updated_at = now
 
-    def learn_new_gates(self, gates: dict[str, str]) -> None:
+    def add_gates(self, gates: dict[str, str]) -> None:
         """Adds the gates of targets that have just become contended."""
         self._gates = {**self._gates, **gates}
 
@@ -430,26 +436,27 @@
             return None
         return gate
 
-    def gate_silent(self, gate: str, now: float) -> None:
+    def record_silent_gate(self, gate: str, now: float) -> None:
         """Records that a gate did not respond."""
         self._silent_gates_until[gate] = now + _GATE_BACKOFF_SECONDS
 
-    def turn_seconds(
-        self, target: directory.Target, route: str, guess: float
+    def slot_wait_seconds(
+        self, target: directory.Target, route: str, default_work: float
     ) -> float:
         """Estimates the wait for a slot at a full target without a gate.
 
         Args:
             target: The target.
             route: The request's route.
-            guess: Service time in seconds to assume if none was measured yet.
+            default_work: Service time in seconds to assume if none was
+                measured yet.
         """
-        work = self.work(route, guess) * self.load(target.id).factor
+        work = self.work(route, default_work) * self.load(target.id).factor
         return _SLOT_WAIT_SERVICE_TIMES * work / target.slots
 
-    def work(self, route: str, guess: float) -> float:
+    def work(self, route: str, default_work: float) -> float:
         """Returns the mean service time in seconds of a route's requests."""
-        return self._route_means.get(route, (guess, 0.0))[0]
+        return self._route_means.get(route, (default_work, 0.0))[0]
 
     def size(self, route: str) -> float:
         """Returns the mean bytes of a route's requests and responses."""
@@ -479,7 +486,7 @@
         mean, bytes_mean = self._route_means.get(route, (seconds, float(size)))
         load = self.load(target)
         if waited:
-            load.well(now)
+            load.responded(now)
             return
         clamped = min(seconds, 5 * mean)
         mean += (clamped - mean) * _SMOOTHING_WEIGHT / 5
@@ -491,20 +498,20 @@
         self,
         target: directory.Target,
         route: str,
-        guess: float,
+        default_work: float,
         least_sent: int,
         vms: int,
         now: float,
     ) -> float:
         """Estimates the seconds to a response if the request were sent now."""
         load = self.load(target.id)
-        work = self.work(route, guess) * load.factor
+        work = self.work(route, default_work) * load.factor
         if now < target.warm_at and load.samples < 5:
             work *= 2
-        under_way = load.reckoned(least_sent, target.slots, vms, now)
+        under_way = load.estimated_under_way(least_sent, target.slots, vms, now)
         ahead = under_way + 1 - target.slots
         wait = max(ahead, 0) / target.slots * work
-        return (work + wait) * (1 + _FAILURE_WEIGHT * load.trouble(now))
+        return (work + wait) * (1 + _FAILURE_WEIGHT * load.failure_share(now))
 
     def full(self, target: directory.Target, most_own: int, now: float) -> bool:
         """Whether a target should get no further request at the moment."""
@@ -512,7 +519,7 @@
         limit = target.slots + self._policy.queue
         return load.own >= most_own or load.under_way(now) >= limit
 
-    def full_owner(
+    def is_owner_full(
         self, target: directory.Target, vms: int, now: float
     ) -> bool:
         """Whether the only target for a key should get no further request.
@@ -539,7 +546,7 @@
         self,
         targets: Iterable[directory.Target],
         route: str,
-        guess: float,
+        default_work: float,
         most_own: int,
         vms: int,
         now: float,
@@ -551,7 +558,8 @@
         Args:
             targets: The targets that may run it.
             route: Its route.
-            guess: Service time in seconds to assume if none was measured yet.
+            default_work: Service time in seconds to assume if none was
+                measured yet.
             most_own: Most requests of this VM at one target.
             vms: Number of VMs.
             now: The time.
@@ -565,12 +573,12 @@
         least_sent = self._least_sent(targets)
         for index, target in enumerate(targets):
             seconds = self.expected(
-                target, route, guess, least_sent[target.zone], vms, now
+                target, route, default_work, least_sent[target.zone], vms, now
             )
             if self.full(target, most_own, now):
                 shortest_wait = min(shortest_wait, seconds / target.slots)
                 continue
-            backoff = max(self.load(target.id).rest_until - now, 0.0)
+            backoff = max(self.load(target.id).backoff_until - now, 0.0)
             noise = 1 + 0.1 * ((index * 0.618 + jitter) % 1)
             handicap = self._handicap(target, size, latency)
             cost = seconds * noise + handicap + 10 * backoff
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/target_feedback.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/target_feedback.py
@@ -23,7 +23,7 @@
     slowness: float = 1.0
 
     @property
-    def runs(self) -> float:
+    def service_times(self) -> float:
         """Service times until another request ends, its own included."""
         ahead = max(self.running + self.waiting + 1 - self.slots, 0)
         return 1 + ahead / self.slots
@@ -38,7 +38,7 @@
             work: Usual service time of such a request at the target, in
                 seconds.
         """
-        usual = work * self.runs
+        usual = work * self.service_times
         slowed = usual * (self.slowness - 1)
         lost = _SLOWNESS_SECONDS * (1 - 1 / self.slowness)
         return usual + max(min(slowed, lost), 0.0)
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/admission_service.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/admission_service.py
@@ -280,7 +280,7 @@
             )
             self._send(sender, refused)
             return
-        queue.pace = self._pace(asked.target)
+        queue.limiter = self._pace(asked.target)
         ask = admission.PermitRequest(
             sender,
             asked.number,
@@ -291,7 +291,7 @@
             # Fewer than none would make room at the target.
             max(asked.held, 0),
         )
-        self._tell([queue.ask(ask, now)])
+        self._tell([queue.decide(ask, now)])
         if queue.waiting:
             # Waits pass even if no place is given back.
             self._turn(asked.target)
@@ -311,7 +311,7 @@
                 for number in numbers if queue else ():
                     assert queue is not None
                     self._tell(
-                        queue.done(sender, number, now, answered=answered)
+                        queue.finish(sender, number, now, answered=answered)
                     )
 
     def _turn(self, target: str) -> None:
@@ -320,11 +320,11 @@
         if queue is None:
             return
         now = self._clock.now()
-        queue.pace = self._pace(target)
-        self._tell(queue.turn(now))
-        if queue.pace is None or not queue.waiting or target in self._paced:
+        queue.limiter = self._pace(target)
+        self._tell(queue.decide_waiting(now))
+        if queue.limiter is None or not queue.waiting or target in self._paced:
             return
-        wait = max(queue.pace.wait(now), _LEAST_PAUSE)
+        wait = max(queue.limiter.wait(now), _LEAST_PAUSE)
         self._paced.add(target)
         asyncio.get_running_loop().call_later(wait, self._next_paced, target)
 
@@ -337,14 +337,14 @@
         entry = self._beliefs.directory.get(target)
         if entry is None:
             return None
-        return self._beliefs.limits.pace(target, entry.target.born)
+        return self._beliefs.limits.limiter(target, entry.target.born)
 
     def _tell(self, decisions: Iterable[admission.Decision]) -> None:
         for decision in decisions:
             self._send(
-                decision.ask.vm,
+                decision.request.vm,
                 datagrams.Decision(
-                    decision.ask.number,
+                    decision.request.number,
                     decision.verdict,
                     round(1000 * decision.seconds),
                 ),
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/candidates.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/candidates.py
@@ -88,14 +88,14 @@
         now = self._clock.now()
         if self._beliefs.cold_seconds(target.id):
             self._cold_sends.note(target.id, now)
-        pace = self._beliefs.limits.pace(target.id, target.born)
+        pace = self._beliefs.limits.limiter(target.id, target.born)
         if pace is None or admitted:
             return
         gate = self._rooms.gate(target.id, now)
         if gate == self._admitting.address:
             pace.take(now)
         else:
-            pace.take_own(self._count(), now, alone=gate is None)
+            pace.take_own_slot(self._count(), now, without_sender=gate is None)
 
     def only_limited(self, call: pending.Call) -> directory.Target | None:
         """Returns a target if all that may run a request have named a limit.
@@ -106,7 +106,7 @@
         Args:
             call: A request without a key.
         """
-        pace = self._beliefs.limits.pace
+        pace = self._beliefs.limits.limiter
         if not self._beliefs.limits.any:
             return None
         untried = self.untried(call, self._clock.now())
@@ -186,7 +186,7 @@
         def unfit(target: directory.Target) -> bool:
             return (
                 target.id in asked
-                or self._rooms.load(target.id).rest_until > now
+                or self._rooms.load(target.id).backoff_until > now
                 or self.send_wait(target, call) > 0
             )
 
@@ -211,11 +211,11 @@
     def rest_wait(self, target: directory.Target) -> float:
         """Returns for how many seconds a target wants nothing from this VM."""
         rests = self._beliefs.rests
-        return rests.left(target.id, target.born, self._clock.now())
+        return rests.seconds_left(target.id, target.born, self._clock.now())
 
     def _limit_wait(self, target: directory.Target) -> float:
         """Returns the seconds until a target's limit lets this VM send."""
-        pace = self._beliefs.limits.pace(target.id, target.born)
+        pace = self._beliefs.limits.limiter(target.id, target.born)
         if pace is None:
             return 0.0
         now = self._clock.now()
@@ -226,7 +226,7 @@
         if vms == 1:
             # It leads and is the sender, or knows nobody yet.
             return _NOBODY_SECONDS
-        return pace.own_wait(vms, now, alone=gate is None)
+        return pace.own_slot_wait(vms, now, without_sender=gate is None)
 
     def _cold_wait(self, target: directory.Target, call: pending.Call) -> float:
         """Returns the seconds until this VM may send to a cold target.
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/cluster_state.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/cluster_state.py
@@ -449,7 +449,7 @@
             Whether that is news.
         """
         now = self._clock.now()
-        if not self.limits.hear(target.id, target.born, rate, sent_at, now):
+        if not self.limits.observe(target.id, target.born, rate, sent_at, now):
             return False
         self._log_limit(target.id, rate, "target")
         self.signal()
@@ -461,7 +461,7 @@
         changed = [
             name
             for name, news in told.items()
-            if self.limits.learn(name, news, now)
+            if self.limits.merge(name, news, now)
         ]
         for name in changed:
             self._log_limit(name, told[name].rate, "peer")
@@ -483,7 +483,7 @@
         return [
             entry.target.id
             for entry in entries
-            if entry and self.limits.pace(entry.target.id, entry.target.born)
+            if entry and self.limits.limiter(entry.target.id, entry.target.born)
         ]
 
     def hear_leaving(self, target: directory.Target) -> bool:
@@ -544,7 +544,7 @@
             seconds: For how long.
         """
         now = self._clock.now()
-        self.rests.ask(target.id, target.born, seconds, now)
+        self.rests.record(target.id, target.born, seconds, now)
         self._events.write(
             "targets", "rest_asked", target=target.id, seconds=seconds
         )
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/dispatching.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/dispatching.py
@@ -243,7 +243,7 @@
                 call.route.target_latency or math.inf,
             )
             if choice.target is not None:
-                call.runs = choice.runs
+                call.runs = choice.service_times
                 return result.Ok(choice.target)
             soonest = min(soonest, choice.seconds)
         return result.Err(soonest)
@@ -338,7 +338,7 @@
             return None
         entered = entering.result()
         if entered is None:
-            self._rooms.gate_silent(gate, self._clock.now())
+            self._rooms.record_silent_gate(gate, self._clock.now())
             return None
         if isinstance(entered, admission_service.Permit):
             if not self._may_get(call, target) or self._closed(target):
@@ -389,7 +389,7 @@
         if self._candidates.rest_wait(target):
             # Another VM may be welcome, and keys move.
             return min(seconds, _RELIEF_SECONDS)
-        if self._beliefs.limits.pace(target.id, target.born) is None:
+        if self._beliefs.limits.limiter(target.id, target.born) is None:
             return seconds
         if call.key is not None and self._is_relieved(call.service):
             return min(seconds, _RELIEF_SECONDS)
@@ -476,9 +476,9 @@
                 wait = min(wait, _MOVE_SECONDS)
             if wait:
                 return target.id, load_balancing.Choice(None, wait)
-            if self._rooms.full_owner(target, self._peers.count, now):
+            if self._rooms.is_owner_full(target, self._peers.count, now):
                 self._peers.hurry()
-                seconds = self._rooms.turn_seconds(
+                seconds = self._rooms.slot_wait_seconds(
                     target, call.route.name, call.guess
                 )
                 return target.id, load_balancing.Choice(None, seconds)
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
@@ -233,7 +233,7 @@
             known = self._patience.setdefault(
                 route.name, caller_retries.RetryAge()
             )
-            call.tried_for = known.tried_for(int(wait) / 1000)
+            call.tried_for = known.estimate(int(wait) / 1000)
         key = incoming.header(names.key)
         if service.keyed and _is_key(key):
             call.key = int(key or b"0")
@@ -479,7 +479,7 @@
             return
         notice = self._read_notice(reply.headers)
         if notice.load is not None:
-            self._rooms.learn_load(target, notice.load)
+            self._rooms.record_load(target, notice.load)
         sealed = reply.header(self._names.seal) is not None
         # Only an answer of the target's own work shows that it has no limit.
         sent_at = sent_at if sealed else -math.inf
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/leader_role.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/leader_role.py
@@ -546,7 +546,7 @@
             vms=len(fresh),
             take_over=vm.id in self._succession.asked,
             evacuations=self._beliefs.evacuations,
-            limits=self._beliefs.limits.news(now),
+            limits=self._beliefs.limits.updates(now),
             leaving=tuple(
                 run
                 for run in self._beliefs.leaving_news().values()
@@ -587,7 +587,7 @@
                 # Until a VM hears of it, it sends to a full target.
                 self._telling.spread(
                     {name: self._gates_chosen[name] for name in new},
-                    self._beliefs.limits.news(now),
+                    self._beliefs.limits.updates(now),
                 )
         return self._gates_chosen
 
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/load_probing.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/load_probing.py
@@ -114,7 +114,7 @@
         self._beliefs.hear_notice(target, notice)
         if notice.load is None:
             return False
-        self._rooms.learn_load(target, notice.load)
+        self._rooms.record_load(target, notice.load)
         return True
 
     def _failed(
@@ -122,7 +122,7 @@
     ) -> None:
         load = self._rooms.load(target.id)
         if failure.kind is errors.ErrorKind.ANSWER_LOST:
-            load.silent(self._clock.now())
+            load.load_report_missed(self._clock.now())
         else:
             load.unreachable(self._clock.now())
         self._events.write(
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
@@ -526,7 +526,7 @@
             self._beliefs.evacuations,
             self._beliefs.limits.unknown_to_leader(self._clock.now()),
             self._untold_leaving(),
-            self._beliefs.rests.long(self._clock.now()),
+            self._beliefs.rests.long_backoffs(self._clock.now()),
             *self._complete_at(),
         )
 
@@ -681,9 +681,9 @@
             self._told_leaving = {
                 name: run.born for name, run in self._reported_leaving.items()
             }
-        self._rooms.learn_others(reply.under_way, now)
-        self._rooms.learn_gates(reply.gates, now)
-        self._beliefs.limits.take_told(reply.limits, now)
+        self._rooms.record_peer_counts(reply.under_way, now)
+        self._rooms.record_gates(reply.gates, now)
+        self._beliefs.limits.record_leader_limits(reply.limits, now)
         self._take_told(reply, self._reported_at)
         self._rely(reply)
         self._answered.set()
@@ -704,7 +704,7 @@
         leader = self._beliefs.leader
         if not told.leading or told.leader != leader:
             return
-        self._rooms.learn_new_gates(told.gates)
+        self._rooms.add_gates(told.gates)
         self._take_told(told, self._made_at(told))
         if told.take_over:
             self._take_over_soon()
--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission.py
@@ -34,7 +34,7 @@
 
     def offer(self, at, vm="vm", priority=2, assumed_work=WORK):
         """Schedules a request."""
-        self._schedule(at, self._ask, vm, priority, assumed_work)
+        self._schedule(at, self._request, vm, priority, assumed_work)
 
     def play(self):
         """Processes all events."""
@@ -49,9 +49,9 @@
         self._number += 1
         heapq.heappush(self._events, (at, self._number, action, args))
 
-    def _ask(self, vm, priority, assumed_work):
+    def _request(self, vm, priority, assumed_work):
         self._number += 1
-        ask = admission.PermitRequest(
+        request = admission.PermitRequest(
             vm,
             self._number,
             priority,
@@ -59,35 +59,37 @@
             DEADLINE,
             assumed_work,
         )
-        self._arrived[ask.id] = self.now
-        self._apply([self.queue.ask(ask, self.now)])
+        self._arrived[request.id] = self.now
+        self._apply([self.queue.decide(request, self.now)])
 
     def _apply(self, decisions):
         for decision in decisions:
-            ask = decision.ask
+            request = decision.request
             if decision.verdict is admission.Verdict.ADMITTED:
-                self.admitted.append(ask)
-                self._at_target.append(ask)
+                self.admitted.append(request)
+                self._at_target.append(request)
             elif decision.verdict is admission.Verdict.REFUSED:
                 self.refused += 1
-                self.seconds_until_refused += self.now - self._arrived[ask.id]
+                self.seconds_until_refused += (
+                    self.now - self._arrived[request.id]
+                )
         self._start()
 
     def _start(self):
         while self._at_target and self._running < SLOTS:
-            ask = self._at_target.pop(0)
+            request = self._at_target.pop(0)
             self._running += 1
             seconds = self.work * self.random.uniform(0.7, 1.3)
             self.busy_seconds += seconds
-            self._schedule(self.now + seconds, self._end, ask)
+            self._schedule(self.now + seconds, self._end, request)
 
-    def _end(self, ask):
+    def _end(self, request):
         self._running -= 1
-        took = self.now - self._arrived[ask.id]
+        took = self.now - self._arrived[request.id]
         self.on_time += took <= TARGET_LATENCY
         self.late += TARGET_LATENCY < took <= DEADLINE
         self._start()
-        self._apply(self.queue.done(ask.vm, ask.number, self.now))
+        self._apply(self.queue.finish(request.vm, request.number, self.now))
 
 
 def _poisson(model, rate, seconds, vms, began=0.0):
@@ -175,7 +177,7 @@
 class TestPermits:
     """Permits in use."""
 
-    def _ask(self, number, **changes):
+    def _request(self, number, **changes):
         fields = {
             "priority": 2,
             "on_time": TARGET_LATENCY,
@@ -200,13 +202,13 @@
         queue, now = admission.AdmissionQueue(2, 1), 0.0
         for number, (step, which, pause) in enumerate(steps):
             if step == "ask":
-                queue.ask(self._ask(number), now)
+                queue.decide(self._request(number), now)
             elif step == "again":
-                queue.ask(self._ask(which), now)
+                queue.decide(self._request(which), now)
             elif step == "done":
-                queue.done("vm", which, now, answered=which % 2 == 0)
+                queue.finish("vm", which, now, answered=which % 2 == 0)
             else:
-                queue.turn(now)
+                queue.decide_waiting(now)
             assert queue.busy(now) <= 3
             assert not queue.waiting or queue.busy(now)
             now += pause
@@ -217,28 +219,30 @@
         The permits are reclaimed once such requests should have ended.
         """
         queue = admission.AdmissionQueue(1, 0)
-        queue.ask(self._ask(1), 0.0)
-        waiting = queue.ask(self._ask(2), 0.0)
+        queue.decide(self._request(1), 0.0)
+        waiting = queue.decide(self._request(2), 0.0)
         assert waiting.verdict is admission.Verdict.WAITS
-        assert queue.turn(0.5) == []
-        (decided,) = queue.turn(1.0)
+        assert queue.decide_waiting(0.5) == []
+        (decided,) = queue.decide_waiting(1.0)
         assert decided.verdict is admission.Verdict.ADMITTED
 
     def test_requests_without_a_permit_count(self):
         """A new gate is informed of the requests already in progress."""
         queue = admission.AdmissionQueue(4, 0)
-        first = queue.ask(self._ask(1, held=4), 0.0)
+        first = queue.decide(self._request(1, held=4), 0.0)
         assert first.verdict is admission.Verdict.WAITS
-        assert [d.ask.number for d in queue.turn(WORK + 0.01)] == [1]
+        assert [
+            d.request.number for d in queue.decide_waiting(WORK + 0.01)
+        ] == [1]
 
     def test_withdrawn_request(self):
         """A caller disconnects; its permit goes to the next request."""
         queue = admission.AdmissionQueue(1, 0)
         for number in (1, 2, 3):
-            queue.ask(self._ask(number), 0.0)
-        assert queue.done("vm", 2, 0.01) == []
-        (decided,) = queue.done("vm", 1, 0.1)
-        assert decided.ask.number == 3
+            queue.decide(self._request(number), 0.0)
+        assert queue.finish("vm", 2, 0.01) == []
+        (decided,) = queue.finish("vm", 1, 0.1)
+        assert decided.request.number == 3
 
     def test_target_that_rejects(self):
         """Guards against rejections that make a target seem fast.
@@ -249,10 +253,10 @@
         queue = admission.AdmissionQueue(1, 0)
         now = 0.0
         for number in range(0, 200, 2):
-            queue.ask(self._ask(number), now)
-            queue.done("vm", number, now + 0.001, answered=False)
-            queue.ask(self._ask(number + 1), now + 0.001)
-            queue.done("vm", number + 1, now + 0.001 + WORK)
+            queue.decide(self._request(number), now)
+            queue.finish("vm", number, now + 0.001, answered=False)
+            queue.decide(self._request(number + 1), now + 0.001)
+            queue.finish("vm", number + 1, now + 0.001 + WORK)
             now += 0.2
         assert queue._interval == pytest.approx(WORK, rel=0.01)
 
@@ -260,8 +264,8 @@
         """The retry time follows from the queue and is not a constant."""
         queue = admission.AdmissionQueue(1, 0)
         for number in range(1, 12):
-            queue.ask(self._ask(number, left=9.0, on_time=9.0), 0.0)
-        refused = queue.ask(self._ask(12), 0.0)
+            queue.decide(self._request(number, left=9.0, on_time=9.0), 0.0)
+        refused = queue.decide(self._request(12), 0.0)
         assert refused.verdict is admission.Verdict.REFUSED
         assert refused.seconds >= 11 * WORK
 
@@ -276,21 +280,21 @@
         expected time of admission.
         """
         queue = admission.AdmissionQueue(SLOTS, TARGET_QUEUE)
-        queue.pace = limits.RateLimiter(6.1, 0.0, 0.0)
+        queue.limiter = limits.RateLimiter(6.1, 0.0, 0.0)
         admitted, refused = [], []
         decisions = []
         for step in range(1000):
             now = step * 0.01
             if step % 3 == 0:
-                ask = admission.PermitRequest(
+                request = admission.PermitRequest(
                     "vm", step, 2, TARGET_LATENCY, DEADLINE, WORK
                 )
-                decisions = [queue.ask(ask, now)]
-            decisions += queue.turn(now)
+                decisions = [queue.decide(request, now)]
+            decisions += queue.decide_waiting(now)
             for decision in decisions:
                 if decision.verdict is admission.Verdict.ADMITTED:
                     admitted.append(now)
-                    queue.done("vm", decision.ask.number, now + WORK)
+                    queue.finish("vm", decision.request.number, now + WORK)
                 elif decision.verdict is admission.Verdict.REFUSED:
                     refused.append(decision.seconds)
             decisions = []
--- a/tests/gateway/test_backoffs.py
+++ b/tests/gateway/test_backoffs.py
@@ -5,7 +5,7 @@
 from mimosastile_core.gateway import backoffs
 
 
-class TestRests:
+class TestBackoffs:
     """The backoffs of one VM."""
 
     @pytest.mark.parametrize(
@@ -21,23 +21,23 @@
     )
     def test_longest_backoff_applies(self, requested, now, left):
         """Guards against a response that shortens a backoff in force."""
-        record = backoffs.Backoffs()
+        tracker = backoffs.Backoffs()
         for at, seconds in requested:
-            record.ask("t", 1, seconds, at)
-        assert record.left("t", 1, now) == left
+            tracker.record("t", 1, seconds, at)
+        assert tracker.seconds_left("t", 1, now) == left
 
     def test_next_incarnation(self):
         """Guards against the backoff of an ended incarnation."""
-        record = backoffs.Backoffs()
-        record.ask("t", 1, 7200.0, 0.0)
-        assert record.left("t", 2, 1.0) == 0.0
-        record.ask("t", 2, 1.0, 1.0)
-        assert record.left("t", 2, 1.5) == 0.5
+        tracker = backoffs.Backoffs()
+        tracker.record("t", 1, 7200.0, 0.0)
+        assert tracker.seconds_left("t", 2, 1.0) == 0.0
+        tracker.record("t", 2, 1.0, 1.0)
+        assert tracker.seconds_left("t", 2, 1.5) == 0.5
 
     def test_only_long_backoffs_move_keys(self):
         """Guards against moves of keys for a short backoff."""
-        record = backoffs.Backoffs()
-        record.ask("short", 1, 1.5, 0.0)
-        record.ask("long", 1, 4.0, 0.0)
-        assert record.long(0.5) == {"long": 3.5}
-        assert record.long(3.6) == {}
+        tracker = backoffs.Backoffs()
+        tracker.record("short", 1, 1.5, 0.0)
+        tracker.record("long", 1, 4.0, 0.0)
+        assert tracker.long_backoffs(0.5) == {"long": 3.5}
+        assert tracker.long_backoffs(3.6) == {}
--- a/tests/gateway/test_caller_retries.py
+++ b/tests/gateway/test_caller_retries.py
@@ -8,11 +8,11 @@
 def _with_deadlines(deadlines):
     estimator = caller_retries.RetryAge()
     for deadline in deadlines:
-        estimator.tried_for(deadline)
+        estimator.estimate(deadline)
     return estimator
 
 
-class TestTriedFor:
+class TestEstimate:
     """A caller's deadline compared with those of others."""
 
     @pytest.mark.parametrize(
@@ -31,15 +31,13 @@
         them first would make first attempts late.
         """
         estimator = _with_deadlines([1.5, 1.3, 1.4, 1.5])
-        assert estimator.tried_for(deadline) == pytest.approx(
-            expected, abs=0.01
-        )
+        assert estimator.estimate(deadline) == pytest.approx(expected, abs=0.01)
 
     def test_first_request(self):
         """Without any recorded deadline no caller counts as retrying."""
-        assert caller_retries.RetryAge().tried_for(0.2) == 0.0
+        assert caller_retries.RetryAge().estimate(0.2) == 0.0
 
     def test_follows_a_change_of_callers(self):
         """One caller with a 60 s deadline does not make others look late."""
         estimator = _with_deadlines([60.0] + [1.5] * 3000)
-        assert estimator.tried_for(1.5) == 0.0
+        assert estimator.estimate(1.5) == 0.0
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -33,16 +33,16 @@
         """Guards against an older response that lifts a newer limit."""
         target_limits = limits.TargetLimits("vm-1")
         for rate, sent_at, now in answers:
-            target_limits.hear("t", 1, rate, sent_at, now)
+            target_limits.observe("t", 1, rate, sent_at, now)
         assert target_limits.rate("t", 1) == expected
 
     def test_new_incarnation(self):
         """Guards against a limit that outlives its incarnation."""
         target_limits = limits.TargetLimits("vm-1")
-        target_limits.hear("t", 1, 6.1, 0.0, 1.0)
+        target_limits.observe("t", 1, 6.1, 0.0, 1.0)
         assert target_limits.rate("t", 2) is None
-        target_limits.hear("t", 2, 3.0, 0.5, 1.2)
-        assert not target_limits.hear("t", 1, 9.0, 1.5, 2.0)
+        target_limits.observe("t", 2, 3.0, 0.5, 1.2)
+        assert not target_limits.observe("t", 1, 9.0, 1.5, 2.0)
         assert (target_limits.rate("t", 1), target_limits.rate("t", 2)) == (
             None,
             3.0,
@@ -84,9 +84,9 @@
     def test_newer_update_applies(self, own, peer, expected):
         """Guards against an older update that lifts a newer limit."""
         target_limits = limits.TargetLimits("vm-1")
-        target_limits.hear("t", 1, own[0], 0.0, own[1])
+        target_limits.observe("t", 1, own[0], 0.0, own[1])
         now = 10.0
-        target_limits.learn(
+        target_limits.merge(
             "t", limits.LimitUpdate(1, peer[0], now - peer[1]), now
         )
         assert target_limits.rate("t", 1) == expected
@@ -94,32 +94,32 @@
     def test_report(self):
         """Guards against reporting the same limits to a leader repeatedly."""
         one, leader = limits.TargetLimits("vm-1"), limits.TargetLimits("vm-2")
-        one.hear("t", 1, 6.1, 0.0, 1.0)
-        for name, news in one.unknown_to_leader(1.0).items():
-            assert leader.learn(name, news, 1.1)
-        one.take_told(leader.news(1.2), 1.2)
+        one.observe("t", 1, 6.1, 0.0, 1.0)
+        for name, update in one.unknown_to_leader(1.0).items():
+            assert leader.merge(name, update, 1.1)
+        one.record_leader_limits(leader.updates(1.2), 1.2)
         assert one.unknown_to_leader(2.0) == {}
-        one.hear("t", 1, 6.1, 2.0, 8.0)
+        one.observe("t", 1, 6.1, 2.0, 8.0)
         assert list(one.unknown_to_leader(8.0)) == ["t"]
-        one.hear("t", 1, None, 8.5, 9.0)
-        for name, news in one.unknown_to_leader(9.0).items():
-            leader.learn(name, news, 9.1)
+        one.observe("t", 1, None, 8.5, 9.0)
+        for name, update in one.unknown_to_leader(9.0).items():
+            leader.merge(name, update, 9.1)
         assert leader.rate("t", 1) is None
         # A new leader without any limits.
-        one.hear("t", 1, 2.0, 9.5, 9.6)
-        one.take_told({}, 10.0)
+        one.observe("t", 1, 2.0, 9.5, 9.6)
+        one.record_leader_limits({}, 10.0)
         assert list(one.unknown_to_leader(10.0)) == ["t"]
 
     def test_ended_targets_are_dropped(self):
         """Memory does not grow with the targets that ever set a limit."""
         target_limits = limits.TargetLimits("vm-1")
         for number in range(50):
-            target_limits.hear(f"t{number}", 1, 6.1, 0.0, 1.0)
+            target_limits.observe(f"t{number}", 1, 6.1, 0.0, 1.0)
         target_limits.forget_except({"t1": 1, "t2": 2})
         assert list(target_limits.dump()) == ["t1"]
 
 
-class TestPace:
+class TestRateLimiter:
     """The rate limiter of a VM."""
 
     @hypothesis.settings(max_examples=100, deadline=None)
@@ -136,7 +136,7 @@
         and every other VM uses its own time slots.
         """
         changes = sorted(replaced)
-        paces = [
+        limiters = [
             limits.RateLimiter(rate, n / 4, 0.0)
             for n in range(len(changes) + 1)
         ]
@@ -149,12 +149,12 @@
                 for behind in (0.0, 1.5)
             }
             for sender in senders:
-                if not paces[sender].wait(now):
-                    paces[sender].take(now)
+                if not limiters[sender].wait(now):
+                    limiters[sender].take(now)
                     sent.append(now)
             other = others[number % vms]
-            if not other.own_wait(vms, now):
-                other.take_own(vms, now)
+            if not other.own_slot_wait(vms, now):
+                other.take_own_slot(vms, now)
                 sent.append(now)
         highest = max(
             (sum(end - 4.0 < at <= end for at in sent) for end in sent),
@@ -166,10 +166,13 @@
     def test_time_slots_do_not_accumulate(self, vms):
         """Guards against accumulated slots that all VMs use at one moment."""
         rate = 6.1
-        paces = [limits.RateLimiter(rate, n / vms, 0.0) for n in range(vms)]
-        for alone in (False, True):
+        limiters = [limits.RateLimiter(rate, n / vms, 0.0) for n in range(vms)]
+        for without_sender in (False, True):
             at_once = sum(
-                not pace.own_wait(vms, 1000.0, alone=alone) for pace in paces
+                not limiter.own_slot_wait(
+                    vms, 1000.0, without_sender=without_sender
+                )
+                for limiter in limiters
             )
             assert at_once <= 3
 
@@ -177,15 +180,15 @@
     @pytest.mark.parametrize("rate", [0.4, 6.1, 40.0])
     def test_cut_off_vms(self, vms, rate):
         """Guards against cut-off VMs that each use the whole limit."""
-        paces = [
+        limiters = [
             limits.RateLimiter(rate, (n * 0.618) % 1, 0.0) for n in range(vms)
         ]
         sent = []
         for step in range(1000):
             now = step * 0.04
-            for pace in paces:
-                if not pace.own_wait(vms, now, alone=True):
-                    pace.take_own(vms, now, alone=True)
+            for limiter in limiters:
+                if not limiter.own_slot_wait(vms, now, without_sender=True):
+                    limiter.take_own_slot(vms, now, without_sender=True)
                     sent.append(now)
         highest = max(sum(end - 4.0 < at <= end for at in sent) for end in sent)
         assert highest <= rate * 4.0 + 2
@@ -193,14 +196,14 @@
 
     def test_sender_accumulates_few_tokens(self):
         """Guards against a burst after an idle period."""
-        pace = limits.RateLimiter(6.1, 0.0, 0.0)
+        limiter = limits.RateLimiter(6.1, 0.0, 0.0)
         sent = 0
-        while not pace.wait(1000.0):
-            pace.take(1000.0)
+        while not limiter.wait(1000.0):
+            limiter.take(1000.0)
             sent += 1
         assert sent == 1
 
     def test_limit_of_zero(self):
         """Guards against a limit of 0 that the target can never raise."""
-        pace = limits.RateLimiter(0.0, 0.0, 0.0)
-        assert 1.0 < pace.wait(0.0) < 20.0
+        limiter = limits.RateLimiter(0.0, 0.0, 0.0)
+        assert 1.0 < limiter.wait(0.0) < 20.0
--- a/tests/gateway/test_load_balancing.py
+++ b/tests/gateway/test_load_balancing.py
@@ -18,14 +18,14 @@
     )
 
 
-def _rooms():
+def _balancer():
     return load_balancing.LoadBalancer(
         load_balancing.Location("a1", "a"), REGIONS, load_balancing.Policy()
     )
 
 
-def _choose(rooms, targets, now=10.0):
-    return rooms.choose(targets, "r", 0.1, 100, 1, now, 0.0)
+def _choose(balancer, targets, now=10.0):
+    return balancer.choose(targets, "r", 0.1, 100, 1, now, 0.0)
 
 
 class TestChoose:
@@ -34,7 +34,7 @@
     def test_nearest_first(self):
         """With equal load, the own zone goes first, then the own region."""
         targets = [_target("x", "b1"), _target("y", "a2"), _target("z", "a1")]
-        assert _choose(_rooms(), targets).target.id == "z"
+        assert _choose(_balancer(), targets).target.id == "z"
 
     def test_large_answers_stay_near(self):
         """Guards against large responses that cross regions needlessly.
@@ -42,12 +42,12 @@
         Downloads fill the link between regions, which is billed. A short wait
         in the zone is better than sending 90 kB across.
         """
-        rooms = _rooms()
+        balancer = _balancer()
         for _ in range(200):
-            rooms.answered("r", "near", 0.1, 90_000, 10.0)
-        rooms.load("near").own = 6
+            balancer.answered("r", "near", 0.1, 90_000, 10.0)
+        balancer.load("near").own = 6
         targets = [_target("near"), _target("far", "b1")]
-        assert _choose(rooms, targets).target.id == "near"
+        assert _choose(balancer, targets).target.id == "near"
 
     @pytest.mark.parametrize(("under_way", "chosen"), [(5, "near"), (7, "far")])
     def test_near_only_within_the_target_latency(self, under_way, chosen):
@@ -56,73 +56,75 @@
         Going to the next zone at once costs bytes and gains callers nothing.
         Staying in the zone without a bound makes responses late.
         """
-        rooms = _rooms()
+        balancer = _balancer()
         for _ in range(30):
-            rooms.answered("r", "near", 0.1, 500_000, 10.0)
-        rooms.load("near").own = under_way
+            balancer.answered("r", "near", 0.1, 500_000, 10.0)
+        balancer.load("near").own = under_way
         targets = [_target("near"), _target("far", "a2")]
-        choice = rooms.choose(targets, "r", 0.1, 100, 1, 10.0, 0.0, latency=0.2)
+        choice = balancer.choose(
+            targets, "r", 0.1, 100, 1, 10.0, 0.0, latency=0.2
+        )
         assert choice.target.id == chosen
 
     def test_free_target_before_busy_one(self):
         """A target without a free slot loses to one in the next zone."""
-        rooms = _rooms()
-        rooms.load("x").own = 8
+        balancer = _balancer()
+        balancer.load("x").own = 8
         targets = [_target("x"), _target("y", "a2")]
-        assert _choose(rooms, targets).target.id == "y"
+        assert _choose(balancer, targets).target.id == "y"
 
     def test_requests_of_other_vms_count(self):
         """Requests of other VMs fill a target as well."""
-        rooms = _rooms()
-        rooms.learn_others({"x": 9}, 10.0)
+        balancer = _balancer()
+        balancer.record_peer_counts({"x": 9}, 10.0)
         targets = [_target("x"), _target("y", "a2")]
-        assert _choose(rooms, targets).target.id == "y"
+        assert _choose(balancer, targets).target.id == "y"
         # Outdated counts are ignored.
-        assert _choose(rooms, targets, now=20.0).target.id == "x"
+        assert _choose(balancer, targets, now=20.0).target.id == "x"
 
     def test_slow_target_gets_less(self):
         """A target becomes slow, and its response times show it."""
-        rooms = _rooms()
+        balancer = _balancer()
         for _ in range(30):
-            rooms.answered("r", "y", 0.1, 100, 10.0)
-            rooms.answered("r", "x", 0.6, 100, 10.0)
+            balancer.answered("r", "y", 0.1, 100, 10.0)
+            balancer.answered("r", "x", 0.6, 100, 10.0)
         targets = [_target("x"), _target("y", "a2")]
-        assert _choose(rooms, targets).target.id == "y"
+        assert _choose(balancer, targets).target.id == "y"
 
     def test_failing_target_gets_less_until_it_recovers(self):
         """A target sheds half of its requests though its health checks pass."""
-        rooms = _rooms()
+        balancer = _balancer()
         for _ in range(10):
-            rooms.load("x").failed(10.0)
+            balancer.load("x").failed(10.0)
         targets = [_target("x"), _target("y", "a2")]
-        assert _choose(rooms, targets).target.id == "y"
-        assert _choose(rooms, targets, now=25.0).target.id == "x"
+        assert _choose(balancer, targets).target.id == "y"
+        assert _choose(balancer, targets, now=25.0).target.id == "x"
 
     def test_unreachable_target_is_backed_off_from(self):
         """A target that cannot be reached is backed off from, not dropped."""
-        rooms = _rooms()
-        rooms.load("x").unreachable(10.0)
+        balancer = _balancer()
+        balancer.load("x").unreachable(10.0)
         targets = [_target("x"), _target("y", "b1")]
-        assert _choose(rooms, targets).target.id == "y"
-        assert _choose(rooms, targets[:1]).target.id == "x"
+        assert _choose(balancer, targets).target.id == "y"
+        assert _choose(balancer, targets[:1]).target.id == "x"
 
     def test_full_targets_get_no_requests(self):
         """Guards against overfilling targets that never answer such requests.
 
         A request beyond the target's queue would hang with its connection.
         """
-        rooms = _rooms()
-        rooms.learn_others({"x": 12}, 10.0)
-        choice = _choose(rooms, [_target("x")])
+        balancer = _balancer()
+        balancer.record_peer_counts({"x": 12}, 10.0)
+        choice = _choose(balancer, [_target("x")])
         assert choice.target is None
         assert 0 < choice.seconds < 1
 
     @pytest.mark.parametrize(("most", "full"), [(3, True), (4, False)])
     def test_own_share_of_connections(self, most, full):
         """One VM does not take all connections of a target."""
-        rooms = _rooms()
-        rooms.load("x").own = 3
-        assert rooms.full(_target("x"), most, 10.0) is full
+        balancer = _balancer()
+        balancer.load("x").own = 3
+        assert balancer.full(_target("x"), most, 10.0) is full
 
 
 class TestLoad:
@@ -140,23 +142,23 @@
         """Repeated connection failures lengthen the backoff up to a bound."""
         load = load_balancing.TargetStats()
         load.unreachable(0.0)
-        first = load.rest_until
+        first = load.backoff_until
         load.unreachable(10.0)
-        assert load.rest_until - 10.0 > first
+        assert load.backoff_until - 10.0 > first
         for _ in range(20):
             load.unreachable(20.0)
-        assert load.rest_until <= 24.0
+        assert load.backoff_until <= 24.0
 
     def test_drops_ended_targets(self):
         """Guards against a leak: targets come and go all day."""
-        rooms = _rooms()
-        rooms.load("x").own = 1
-        rooms.load("y")
-        rooms.forget_except([])
-        assert rooms.own() == {"x": 1}
-        rooms.load("x").own = 0
-        rooms.forget_except([])
-        assert rooms.factors() == {}
+        balancer = _balancer()
+        balancer.load("x").own = 1
+        balancer.load("y")
+        balancer.forget_except([])
+        assert balancer.own() == {"x": 1}
+        balancer.load("x").own = 0
+        balancer.forget_except([])
+        assert balancer.factors() == {}
 
 
 class TestOutdatedCounts:
@@ -167,16 +169,16 @@
         targets = [_target(f"t{n}") for n in range(8)]
         received = collections.Counter()
         for vm in range(vms):
-            rooms = _rooms()
+            balancer = _balancer()
             # All VMs got the same counts: one target is empty.
             counts = {target.id: 4 for target in targets[1:]}
-            rooms.learn_others(counts, 10.0)
+            balancer.record_peer_counts(counts, 10.0)
             for n in range(3):
                 jitter = ((vm * 3 + n) * 0.37) % 1
-                choice = rooms.choose(
+                choice = balancer.choose(
                     targets, "r", 0.1, 100, assumed_vms, 10.0, jitter
                 )
-                rooms.load(choice.target.id).begin()
+                balancer.load(choice.target.id).begin()
                 received[choice.target.id] += 1
         return max(received.values())
 
@@ -196,13 +198,13 @@
         This VM has sent to all nearby targets since the last counts, and other
         VMs may have done the same.
         """
-        rooms = _rooms()
+        balancer = _balancer()
         near = [_target(f"n{n}") for n in range(2)]
         far = _target("f", zone="c")
-        rooms.learn_others({t.id: 0 for t in (*near, far)}, 10.0)
+        balancer.record_peer_counts({t.id: 0 for t in (*near, far)}, 10.0)
         for target in near:
-            rooms.load(target.id).begin()
-        choice = rooms.choose([*near, far], "r", 0.1, 100, 67, 10.0, 0.0)
+            balancer.load(target.id).begin()
+        choice = balancer.choose([*near, far], "r", 0.1, 100, 67, 10.0, 0.0)
         assert choice.target.id != "f"
 
 
@@ -217,18 +219,18 @@
         get more than it can queue and never answer the excess; callers would
         wait until their deadlines.
         """
-        rooms = _rooms()
-        rooms.learn_others({"x": 4 if vms > 1 else 0}, 10.0)
-        rooms.load("x").own = own
-        assert rooms.full_owner(_target("x"), vms, 10.0)
-        rooms.load("x").own = own - 1
-        assert not rooms.full_owner(_target("x"), vms, 10.0)
+        balancer = _balancer()
+        balancer.record_peer_counts({"x": 4 if vms > 1 else 0}, 10.0)
+        balancer.load("x").own = own
+        assert balancer.is_owner_full(_target("x"), vms, 10.0)
+        balancer.load("x").own = own - 1
+        assert not balancer.is_owner_full(_target("x"), vms, 10.0)
 
     def test_free_slots_are_used(self):
         """Two concurrent requests for one key need not wait."""
-        rooms = _rooms()
-        rooms.load("x").own = 3
-        assert not rooms.full_owner(_target("x"), 75, 10.0)
+        balancer = _balancer()
+        balancer.load("x").own = 3
+        assert not balancer.is_owner_full(_target("x"), 75, 10.0)
 
 
 class TestGates:
@@ -236,28 +238,28 @@
 
     def test_assigned_by_the_leader(self):
         """A contended target has a gate, any other has none."""
-        rooms = _rooms()
-        rooms.learn_gates({"x": "vm-2:1"}, 10.0)
-        assert rooms.gate("x", 10.1) == "vm-2:1"
-        assert rooms.gate("y", 10.1) is None
+        balancer = _balancer()
+        balancer.record_gates({"x": "vm-2:1"}, 10.0)
+        assert balancer.gate("x", 10.1) == "vm-2:1"
+        assert balancer.gate("y", 10.1) is None
 
     def test_outdated_update_of_a_lost_leader(self):
         """The leader is silent; gates may have changed since its update."""
-        rooms = _rooms()
-        rooms.learn_gates({"x": "vm-2:1"}, 10.0)
-        assert rooms.gate("x", 20.0) is None
+        balancer = _balancer()
+        balancer.record_gates({"x": "vm-2:1"}, 10.0)
+        assert balancer.gate("x", 20.0) is None
 
     def test_silent_gate(self):
         """Guards against requests that each wait for an unreachable gate.
 
         They are served without the gate, and it is used again later.
         """
-        rooms = _rooms()
-        rooms.learn_gates({"x": "vm-2:1"}, 10.0)
-        rooms.gate_silent("vm-2:1", 10.0)
-        assert rooms.gate("x", 10.5) is None
-        rooms.learn_gates({"x": "vm-2:1"}, 11.5)
-        assert rooms.gate("x", 11.5) == "vm-2:1"
+        balancer = _balancer()
+        balancer.record_gates({"x": "vm-2:1"}, 10.0)
+        balancer.record_silent_gate("vm-2:1", 10.0)
+        assert balancer.gate("x", 10.5) is None
+        balancer.record_gates({"x": "vm-2:1"}, 11.5)
+        assert balancer.gate("x", 11.5) == "vm-2:1"
 
 
 class TestCompare:
@@ -265,12 +267,12 @@
 
     @staticmethod
     def _compare(loads, on_time=1.0, left=2.0):
-        rooms = _rooms()
+        balancer = _balancer()
         targets = []
         for name, said in loads.items():
             targets.append(_target(name, slots=2))
-            rooms.learn_load(targets[-1], target_feedback.TargetLoad(*said))
-        return rooms.compare(targets, "r", 0.2, 100, 10.0, on_time, left)
+            balancer.record_load(targets[-1], target_feedback.TargetLoad(*said))
+        return balancer.compare(targets, "r", 0.2, 100, 10.0, on_time, left)
 
     @pytest.mark.parametrize(
         ("loads", "chosen"),
@@ -299,12 +301,12 @@
         assert (choice.target is not None) is taken
 
     @pytest.mark.parametrize(
-        ("said", "runs"),
+        ("said", "expected"),
         [((0, 0, 2), 1.0), ((2, 0, 2), 1.5), ((2, 3, 2), 3.0)],
     )
-    def test_service_times_ahead(self, said, runs):
+    def test_service_times_ahead(self, said, expected):
         """Guards against full targets whose service times go unmeasured."""
-        assert self._compare({"x": said}).runs == runs
+        assert self._compare({"x": said}).service_times == expected
 
     def test_no_time_left(self):
         """Guards against sending a request that cannot be answered in time."""
@@ -317,16 +319,18 @@
         request waits at its target. If queued responses were not measured, the
         guess would stay for ever.
         """
-        rooms = _rooms()
+        balancer = _balancer()
         target = _target("x", slots=2)
         guess, work = 0.5, 0.2
         loads = itertools.cycle([(2, 0, 2), (2, 1, 2)])
         for said in itertools.islice(loads, 200):
-            rooms.learn_load(target, target_feedback.TargetLoad(*said))
-            choice = rooms.compare([target], "r", guess, 100, 10.0, 5.0, 5.0)
-            seconds = work * choice.runs
-            rooms.answered("r", "x", seconds / choice.runs, 100, 10.0)
-        assert rooms.work("r", guess) == pytest.approx(work)
-        rooms.learn_load(target, target_feedback.TargetLoad(2, 3, 2))
-        choice = rooms.compare([target], "r", guess, 100, 10.0, 1.0, 2.0)
+            balancer.record_load(target, target_feedback.TargetLoad(*said))
+            choice = balancer.compare([target], "r", guess, 100, 10.0, 5.0, 5.0)
+            seconds = work * choice.service_times
+            balancer.answered(
+                "r", "x", seconds / choice.service_times, 100, 10.0
+            )
+        assert balancer.work("r", guess) == pytest.approx(work)
+        balancer.record_load(target, target_feedback.TargetLoad(2, 3, 2))
+        choice = balancer.compare([target], "r", guess, 100, 10.0, 1.0, 2.0)
         assert choice.target is target
