--- a/packages/mimosastile-core/src/mimosastile_core/gateway/demand.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/demand.py
@@ -16,8 +16,8 @@
 from mimosastile_core.gateway import directory
 
 _GATE_ABOVE_SHARE = 1.0
-"""A target gets an admission gate above this number of requests, in progress
-and waiting, per slot: from then on some of them wait."""
+"""A target gets an admission gate above this number of requests per slot, in
+progress and waiting: from then on some of them wait."""
 _GATE_BELOW_SHARE = 0.5
 """The same below which a target loses its gate."""
 
@@ -47,19 +47,19 @@
         "_wanted",
     )
 
-    def __init__(self, fresh: float) -> None:
+    def __init__(self, valid_seconds: float) -> None:
         """Makes empty sums.
 
         Args:
-            fresh: Seconds for which a report counts.
+            valid_seconds: Seconds for which a report counts.
         """
-        self._valid_seconds = fresh
+        self._valid_seconds = valid_seconds
         self._reports: dict[str, _Report] = {}
         self._under_way: dict[str, int] = {}
         self._contended: set[str] = set()
         self._wanted: dict[str, int] = {}
 
-    def take(
+    def record(
         self,
         vm: str,
         under_way: Mapping[str, int],
@@ -76,8 +76,8 @@
         _add_counts(self._wanted, wanted.items())
         self._drop_expired(now)
 
-    def busy(
-        self, vm: str, zone: str, known: directory.Directory
+    def busy_counts(
+        self, vm: str, zone: str, targets: directory.Directory
     ) -> dict[str, int]:
         """Returns the requests of other VMs at targets that are busy.
 
@@ -88,14 +88,14 @@
         Args:
             vm: The VM that receives the counts.
             zone: Its availability zone.
-            known: The targets.
+            targets: The targets.
         """
         report = self._reports.get(vm)
         own = report.under_way if report else {}
         counts = {}
         for name, total in self._under_way.items():
             count = total - own.get(name, 0)
-            entry = known.get(name)
+            entry = targets.get(name)
             if not count or entry is None or name in self._contended:
                 # VMs ask a contended target's gate and need no count.
                 continue
@@ -109,7 +109,7 @@
         vms: Iterable[tuple[str, str]],
         regions: Mapping[str, str],
         keyed: Container[str],
-        known: directory.Directory,
+        targets: directory.Directory,
         bounded: Iterable[str] = (),
     ) -> dict[str, str]:
         """Returns the admission gates of contended and rate-limited targets.
@@ -123,13 +123,13 @@
             regions: Region of each zone.
             keyed: Services whose targets own ranges of keys. Requests of other
                 services go to any target with capacity and need no gate.
-            known: The targets.
+            targets: The targets.
             bounded: Targets with a limit on the rate of all VMs.
         """
         candidates = list(vms)
         contended = set()
         for name, total in self._wanted.items():
-            entry = known.get(name)
+            entry = targets.get(name)
             if entry is None or entry.target.service not in keyed:
                 continue
             share = (
@@ -142,7 +142,7 @@
         self._contended = contended
         gates = {}
         for name in contended.union(bounded):
-            entry = known.get(name)
+            entry = targets.get(name)
             if entry is not None and candidates:
                 zone = entry.target.zone
                 gates[name] = min(
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/limits.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/limits.py
@@ -356,7 +356,7 @@
             or limit.stated_at > leader_stated_at + _CONFIRM_SECONDS
         )
 
-    def forget_except(self, targets: Mapping[str, int]) -> None:
+    def retain(self, targets: Mapping[str, int]) -> None:
         """Drops targets that no longer exist and ended incarnations.
 
         Args:
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/load_balancing.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/load_balancing.py
@@ -48,7 +48,7 @@
 """Backoff after a target did not report its load in time. A full target answers
 no new request until one of its requests ends."""
 _COUNTS_VALID_SECONDS = 1.5
-"""Oldest age at which the counts of other VMs are used."""
+"""Oldest age at which the counts of other VMs and the gates are used."""
 
 
 _SAME_CHOICE_SHARE = 0.5
@@ -284,7 +284,7 @@
             load = self._loads[target] = TargetStats()
         return load
 
-    def forget_except(self, targets: Iterable[str]) -> None:
+    def retain(self, targets: Iterable[str]) -> None:
         """Drops targets that no longer exist and have no own requests."""
         kept = set(targets)
         self._loads = {
@@ -494,7 +494,7 @@
         self._route_means[route] = (mean, bytes_mean)
         load.answered(seconds, mean, now)
 
-    def expected(
+    def expected_seconds(
         self,
         target: directory.Target,
         route: str,
@@ -513,7 +513,9 @@
         wait = max(ahead, 0) / target.slots * work
         return (work + wait) * (1 + _FAILURE_WEIGHT * load.failure_share(now))
 
-    def full(self, target: directory.Target, most_own: int, now: float) -> bool:
+    def is_full(
+        self, target: directory.Target, most_own: int, now: float
+    ) -> bool:
         """Whether a target should get no further request at the moment."""
         load = self.load(target.id)
         limit = target.slots + self._policy.queue
@@ -572,10 +574,10 @@
         targets = list(targets)
         least_sent = self._least_sent(targets)
         for index, target in enumerate(targets):
-            seconds = self.expected(
+            seconds = self.expected_seconds(
                 target, route, default_work, least_sent[target.zone], vms, now
             )
-            if self.full(target, most_own, now):
+            if self.is_full(target, most_own, now):
                 shortest_wait = min(shortest_wait, seconds / target.slots)
                 continue
             backoff = max(self.load(target.id).backoff_until - now, 0.0)
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/target_feedback.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/target_feedback.py
@@ -1,4 +1,4 @@
-"""Feedback on a target's own state in its responses."""
+"""Target feedback: what responses state about the target itself."""
 
 import msgspec
 
@@ -45,7 +45,7 @@
 
 
 class TargetFeedback(msgspec.Struct, frozen=True):
-    """Target feedback: statements of a response beyond its own request.
+    """Information in a response that concerns more than its own request.
 
     Attributes:
         load: The target's load, None if not stated.
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/warmup.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/warmup.py
@@ -43,7 +43,7 @@
             return 0.0
         return max(sent[-capacity] + WINDOW_SECONDS - now, 0.0)
 
-    def note(self, target: str, now: float) -> None:
+    def record(self, target: str, now: float) -> None:
         """Records a request that is sent to a cold target."""
         if len(self._sent) >= _MAX_TARGETS:
             self._drop_idle(now)
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/candidates.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/candidates.py
@@ -87,7 +87,7 @@
         """
         now = self._clock.now()
         if self._beliefs.cold_seconds(target.id):
-            self._cold_sends.note(target.id, now)
+            self._cold_sends.record(target.id, now)
         pace = self._beliefs.limits.limiter(target.id, target.born)
         if pace is None or admitted:
             return
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/cluster_state.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/cluster_state.py
@@ -577,7 +577,7 @@
         )
         self.seen = max(self.seen, revision)
         self.directory.forget(now, _FORGET_SECONDS)
-        self.limits.forget_except(
+        self.limits.retain(
             {entry.target.id: entry.target.born for entry in self.directory}
         )
         if changed:
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/daemon.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/daemon.py
@@ -396,7 +396,7 @@
             self._pool.trim(_IDLE_MOST)
             self._order_pool.trim(_IDLE_MOST)
             known = [entry.target.id for entry in self._beliefs.directory]
-            self._rooms.forget_except(known)
+            self._rooms.retain(known)
 
     def _log_traffic(self) -> None:
         """Logs the bytes of own calls since the start."""
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/leader_role.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/leader_role.py
@@ -523,7 +523,7 @@
             if keyed is not None:
                 keyed.granting.missed(miss.key, miss.target)
         self._telling.take(report)
-        self._demand.take(vm.id, report.under_way, report.waiting, now)
+        self._demand.record(vm.id, report.under_way, report.waiting, now)
         known = self._beliefs.directory
         fresh = self._telling.fresh()
         lacking = self._telling.answer(report)
@@ -532,7 +532,7 @@
             leading=True,
             confirmed=self._clock.boot() - self._authority.confirmed,
             longer=self._longer_seconds(),
-            under_way=self._demand.busy(vm.id, vm.zone, known),
+            under_way=self._demand.busy_counts(vm.id, vm.zone, known),
             gates=self._gates(fresh, now),
             assignments=lacking.assignments,
             differences=lacking.differences,
--- a/tests/gateway/test_demand.py
+++ b/tests/gateway/test_demand.py
@@ -17,13 +17,13 @@
 
 
 def _targets(slots=2):
-    known = directory.Directory(1.0, 1.0)
+    targets = directory.Directory(1.0, 1.0)
     for name, zone in (("x", "a"), ("y", "a"), ("z", "b")):
-        known.put(directory.Target(name, 1, "s", "h:1", zone, slots), 0.0)
-    return known
+        targets.put(directory.Target(name, 1, "s", "h:1", zone, slots), 0.0)
+    return targets
 
 
-class TestBusy:
+class TestBusyCounts:
     """The counts of other VMs that a VM receives."""
 
     @pytest.mark.parametrize(
@@ -33,16 +33,16 @@
     def test_near_and_far(self, count, expected):
         """In a VM's own zone half of the slots matter, elsewhere all."""
         sums = demand.Demand(1.5)
-        sums.take("vm-1", {"x": 9}, {}, 0.0)
-        sums.take("vm-2", {"x": count, "z": count}, {}, 0.0)
-        assert sums.busy("vm-1", "a", _targets()) == expected
+        sums.record("vm-1", {"x": 9}, {}, 0.0)
+        sums.record("vm-2", {"x": count, "z": count}, {}, 0.0)
+        assert sums.busy_counts("vm-1", "a", _targets()) == expected
 
     def test_failed_vm(self):
         """Guards against the counts of a failed VM staying in the sums."""
         sums = demand.Demand(1.5)
-        sums.take("vm-1", {"x": 5}, {"y": 9}, 0.0)
-        sums.take("vm-2", {}, {}, 2.0)
-        assert sums.busy("vm-2", "a", _targets()) == {}
+        sums.record("vm-1", {"x": 5}, {"y": 9}, 0.0)
+        sums.record("vm-2", {}, {}, 2.0)
+        assert sums.busy_counts("vm-2", "a", _targets()) == {}
         assert sums.gates(VMS, REGIONS, {"s"}, _targets()) == {}
 
 
@@ -53,7 +53,7 @@
         """All VMs send to one target; a VM of its zone becomes the gate."""
         sums = demand.Demand(1.5)
         for vm in ("vm-1", "vm-2", "vm-3"):
-            sums.take(vm, {"x": 1}, {"x": 2}, 0.0)
+            sums.record(vm, {"x": 1}, {"x": 2}, 0.0)
         found = sums.gates(VMS, REGIONS, {"s"}, _targets())
         assert found.keys() == {"x"}
         assert found["x"] in {"one:1", "two:1"}
@@ -71,27 +71,27 @@
     def test_nearest_vm(self, vms, expected):
         """VMs in the target's zone go first, then those of its region."""
         sums = demand.Demand(1.5)
-        sums.take("vm-1", {"z": 9}, {}, 0.0)
+        sums.record("vm-1", {"z": 9}, {}, 0.0)
         assert sums.gates(vms, REGIONS, {"s"}, _targets()) == {"z": expected}
 
     def test_service_without_keys(self):
         """Its requests can go to other targets and need no gate."""
         sums = demand.Demand(1.5)
-        sums.take("vm-1", {"x": 9}, {}, 0.0)
+        sums.record("vm-1", {"x": 9}, {}, 0.0)
         assert sums.gates(VMS, REGIONS, (), _targets()) == {}
 
     def test_gates_replace_counts(self):
         """A target has either counts or a gate, which bounds the responses."""
         sums = demand.Demand(1.5)
-        sums.take("vm-1", {"x": 9}, {}, 0.0)
-        assert sums.busy("vm-2", "a", _targets()) == {"x": 9}
+        sums.record("vm-1", {"x": 9}, {}, 0.0)
+        assert sums.busy_counts("vm-2", "a", _targets()) == {"x": 9}
         assert sums.gates(VMS, REGIONS, {"s"}, _targets())
-        assert sums.busy("vm-2", "a", _targets()) == {}
+        assert sums.busy_counts("vm-2", "a", _targets()) == {}
 
     def test_no_vm_reports(self):
         """Without reporting VMs there is no gate."""
         sums = demand.Demand(1.5)
-        sums.take("vm-1", {"x": 9}, {}, 0.0)
+        sums.record("vm-1", {"x": 9}, {}, 0.0)
         assert sums.gates((), REGIONS, {"s"}, _targets()) == {}
 
     def test_gate_does_not_flap(self):
@@ -99,7 +99,7 @@
         sums = demand.Demand(1.5)
         contended = []
         for count in (2, 3, 2, 3, 2, 1):
-            sums.take("vm-1", {"x": count}, {}, 0.0)
+            sums.record("vm-1", {"x": count}, {}, 0.0)
             contended.append(bool(sums.gates(VMS, REGIONS, {"s"}, _targets())))
         assert contended == [False, True, True, True, True, False]
 
@@ -114,7 +114,7 @@
         sums = demand.Demand(1.5)
         last = {}
         for vm, under_way, waiting in reports:
-            sums.take(vm, under_way, waiting, 0.0)
+            sums.record(vm, under_way, waiting, 0.0)
             last[vm] = (under_way, waiting)
         totals = collections.Counter()
         for under_way, waiting in last.values():
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -115,7 +115,7 @@
         target_limits = limits.TargetLimits("vm-1")
         for number in range(50):
             target_limits.observe(f"t{number}", 1, 6.1, 0.0, 1.0)
-        target_limits.forget_except({"t1": 1, "t2": 2})
+        target_limits.retain({"t1": 1, "t2": 2})
         assert list(target_limits.dump()) == ["t1"]
 
 
--- a/tests/gateway/test_load_balancing.py
+++ b/tests/gateway/test_load_balancing.py
@@ -124,7 +124,7 @@
         """One VM does not take all connections of a target."""
         balancer = _balancer()
         balancer.load("x").own = 3
-        assert balancer.full(_target("x"), most, 10.0) is full
+        assert balancer.is_full(_target("x"), most, 10.0) is full
 
 
 class TestLoad:
@@ -154,10 +154,10 @@
         balancer = _balancer()
         balancer.load("x").own = 1
         balancer.load("y")
-        balancer.forget_except([])
+        balancer.retain([])
         assert balancer.own() == {"x": 1}
         balancer.load("x").own = 0
-        balancer.forget_except([])
+        balancer.retain([])
         assert balancer.factors() == {}
 
 
--- a/tests/gateway/test_warmup.py
+++ b/tests/gateway/test_warmup.py
@@ -46,14 +46,14 @@
         """Guards against a higher rate than a cold target tolerates."""
         send_rate = warmup.SendRate()
         for at in sent:
-            send_rate.note("t", at)
+            send_rate.record("t", at)
         assert send_rate.wait("t", rate, now) == pytest.approx(expected)
 
     def test_warm_targets_are_dropped(self):
         """Memory does not grow with the targets that were ever cold."""
         send_rate = warmup.SendRate()
         for number in range(10_000):
-            send_rate.note(f"t{number}", number * 0.1)
+            send_rate.record(f"t{number}", number * 0.1)
         assert len(send_rate._sent) <= 128
 
 
@@ -63,13 +63,13 @@
     @pytest.mark.parametrize("vms", [12, 88, 600])
     def test_one_sender_for_a_cold_target(self, vms):
         """Guards against a rate that adds up over all VMs."""
-        known = directory.Directory(1.0, 0.3)
-        known.put(
+        targets = directory.Directory(1.0, 0.3)
+        targets.put(
             fakes.target("t"),
             0.0,
         )
         candidates = [(f"vm-{n}", "z" if n % 4 else "y") for n in range(vms)]
-        gates = demand.Demand(1.5).gates(candidates, {}, (), known, ["t"])
+        gates = demand.Demand(1.5).gates(candidates, {}, (), targets, ["t"])
         assert list(gates) == ["t"]
         assert gates["t"] in {vm for vm, zone in candidates if zone == "z"}
 
@@ -102,15 +102,15 @@
             for at, before in zip(changes, [-math.inf, *changes], strict=False)
             if at - before > 1.5
         ]
-        rates = [warmup.SendRate() for _ in range(len(changes) + 1)]
+        send_rates = [warmup.SendRate() for _ in range(len(changes) + 1)]
         sent = []
         for at, behind in sorted(wanted):
             present = sum(change <= at for change in changes)
             # A VM that has not received the change yet sends as before.
             stale = max(present - (behind > 2), 0)
             for sender in {present, stale}:
-                if not rates[sender].wait("t", RATE, at):
-                    rates[sender].note("t", at)
+                if not send_rates[sender].wait("t", RATE, at):
+                    send_rates[sender].record("t", at)
                     sent.append((at, sender))
         assert _most_in_a_second([at for at, _ in sent]) <= BOUND
         for begin, _ in sent:
@@ -138,21 +138,21 @@
         self, registered, reported, zone, now, expected
     ):
         """Guards against a cold target that one of three sources calls warm."""
-        known = directory.Directory(1.0, 0.3)
+        targets = directory.Directory(1.0, 0.3)
         target = fakes.target("t", warm_at=registered)
-        known.put(target, 0.0)
-        known.note_cold("t", reported, 0.0)
-        known.take_for_cold("z", {"s": zone}, 0.0)
-        known.take_for_cold("y", {"s": 99.0}, 0.0)
-        known.take_for_cold("z", {"other": 99.0}, 0.0)
-        assert known.warm_in("t", now) == expected
+        targets.put(target, 0.0)
+        targets.note_cold("t", reported, 0.0)
+        targets.take_for_cold("z", {"s": zone}, 0.0)
+        targets.take_for_cold("y", {"s": 99.0}, 0.0)
+        targets.take_for_cold("z", {"other": 99.0}, 0.0)
+        assert targets.warm_in("t", now) == expected
 
     def test_cold_again_without_a_restart(self):
         """Guards against a target that becomes cold without a restart."""
-        known = directory.Directory(1.0, 0.3)
+        targets = directory.Directory(1.0, 0.3)
         for revision, warm_at in enumerate(itertools.chain([0.0], [9.0]), 1):
-            known.put(
+            targets.put(
                 fakes.target("t", warm_at=warm_at, revision=revision),
                 6.0,
             )
-        assert known.warm_in("t", 6.0) == 3.0
+        assert targets.warm_in("t", 6.0) == 3.0
