--- a/packages/mimosastile-core/src/mimosastile_core/gateway/limits.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/limits.py
@@ -99,7 +99,7 @@
         self._refill(now)
         self._tokens -= 1.0
 
-    def own_slot_wait(
+    def share_wait(
         self, vms: int, now: float, *, without_sender: bool = False
     ) -> float:
         """Returns the seconds until this VM, not the sender, may send.
@@ -118,7 +118,7 @@
             return 0.0
         return period - elapsed
 
-    def take_own_slot(
+    def take_share(
         self, vms: int, now: float, *, without_sender: bool = False
     ) -> None:
         """Records a request that this VM sends without being the sender."""
@@ -331,7 +331,7 @@
             or now - limit.stated_at < _REPORT_LIFTED_SECONDS
         }
 
-    def record_leader_limits(
+    def record_leader_view(
         self, limits: Mapping[str, LimitUpdate], now: float
     ) -> None:
         """Records the limits that the leader has, whether new here or not."""
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/load_balancing.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/load_balancing.py
@@ -146,7 +146,7 @@
         """Records that a request has ended."""
         self.own -= 1
 
-    def estimated_under_way(
+    def estimated_requests(
         self, least_sent: int, slots: int, vms: int, now: float
     ) -> float:
         """Estimates the number of requests in progress there now.
@@ -406,7 +406,7 @@
                 best = (cost, Choice(target, seconds, reported.service_times))
         return best[1] if best else Choice(None, shortest_wait)
 
-    def record_peer_counts(self, totals: dict[str, int], now: float) -> None:
+    def record_other_requests(self, totals: dict[str, int], now: float) -> None:
         """Records the other VMs' counts; unnamed targets have 0."""
         for name, load in self._loads.items():
             load.others = totals.get(name, 0)
@@ -418,7 +418,7 @@
                 load.others = count
                 load.others_at = now
 
-    def record_gates(self, gates: dict[str, str], now: float) -> None:
+    def replace_gates(self, gates: dict[str, str], now: float) -> None:
         """Records the addresses of all contended targets' admission gates."""
         self._gates = gates
         self._gates_updated_at = now
@@ -508,7 +508,7 @@
         work = self.work(route, default_work) * load.factor
         if now < target.warm_at and load.samples < 5:
             work *= 2
-        under_way = load.estimated_under_way(least_sent, target.slots, vms, now)
+        under_way = load.estimated_requests(least_sent, target.slots, vms, now)
         ahead = under_way + 1 - target.slots
         wait = max(ahead, 0) / target.slots * work
         return (work + wait) * (1 + _FAILURE_WEIGHT * load.failure_share(now))
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/candidates.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/candidates.py
@@ -95,7 +95,7 @@
         if gate == self._admitting.address:
             pace.take(now)
         else:
-            pace.take_own_slot(self._count(), now, without_sender=gate is None)
+            pace.take_share(self._count(), now, without_sender=gate is None)
 
     def only_limited(self, call: pending.Call) -> directory.Target | None:
         """Returns a target if all that may run a request have named a limit.
@@ -226,7 +226,7 @@
         if vms == 1:
             # It leads and is the sender, or knows nobody yet.
             return _NOBODY_SECONDS
-        return pace.own_slot_wait(vms, now, without_sender=gate is None)
+        return pace.share_wait(vms, now, without_sender=gate is None)
 
     def _cold_wait(self, target: directory.Target, call: pending.Call) -> float:
         """Returns the seconds until this VM may send to a cold target.
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
@@ -681,9 +681,9 @@
             self._told_leaving = {
                 name: run.born for name, run in self._reported_leaving.items()
             }
-        self._rooms.record_peer_counts(reply.under_way, now)
-        self._rooms.record_gates(reply.gates, now)
-        self._beliefs.limits.record_leader_limits(reply.limits, now)
+        self._rooms.record_other_requests(reply.under_way, now)
+        self._rooms.replace_gates(reply.gates, now)
+        self._beliefs.limits.record_leader_view(reply.limits, now)
         self._take_told(reply, self._reported_at)
         self._rely(reply)
         self._answered.set()
--- a/tests/gateway/test_candidates.py
+++ b/tests/gateway/test_candidates.py
@@ -173,7 +173,7 @@
             known = world.beliefs.directory
             known.note_cold("a", 3.0, virtual.now())
             if sender:
-                world.rooms.record_gates({"a": sender}, virtual.now())
+                world.rooms.replace_gates({"a": sender}, virtual.now())
             target = known.get("a").target
             for _ in range(sent):
                 world.candidates.sent(target, admitted=False)
--- a/tests/gateway/test_dispatching.py
+++ b/tests/gateway/test_dispatching.py
@@ -117,7 +117,7 @@
 
     def name_gate(self):
         """Has the leader name the target's gate."""
-        self.rooms.record_gates({"a": GATE}, virtual.now())
+        self.rooms.replace_gates({"a": GATE}, virtual.now())
 
 
 def _play(scenario):
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -97,7 +97,7 @@
         one.observe("t", 1, 6.1, 0.0, 1.0)
         for name, update in one.unknown_to_leader(1.0).items():
             assert leader.merge(name, update, 1.1)
-        one.record_leader_limits(leader.updates(1.2), 1.2)
+        one.record_leader_view(leader.updates(1.2), 1.2)
         assert one.unknown_to_leader(2.0) == {}
         one.observe("t", 1, 6.1, 2.0, 8.0)
         assert list(one.unknown_to_leader(8.0)) == ["t"]
@@ -107,7 +107,7 @@
         assert leader.rate("t", 1) is None
         # A new leader without any limits.
         one.observe("t", 1, 2.0, 9.5, 9.6)
-        one.record_leader_limits({}, 10.0)
+        one.record_leader_view({}, 10.0)
         assert list(one.unknown_to_leader(10.0)) == ["t"]
 
     def test_ended_targets_are_dropped(self):
@@ -153,8 +153,8 @@
                     limiters[sender].take(now)
                     sent.append(now)
             other = others[number % vms]
-            if not other.own_slot_wait(vms, now):
-                other.take_own_slot(vms, now)
+            if not other.share_wait(vms, now):
+                other.take_share(vms, now)
                 sent.append(now)
         highest = max(
             (sum(end - 4.0 < at <= end for at in sent) for end in sent),
@@ -169,7 +169,7 @@
         limiters = [limits.RateLimiter(rate, n / vms, 0.0) for n in range(vms)]
         for without_sender in (False, True):
             at_once = sum(
-                not limiter.own_slot_wait(
+                not limiter.share_wait(
                     vms, 1000.0, without_sender=without_sender
                 )
                 for limiter in limiters
@@ -187,8 +187,8 @@
         for step in range(1000):
             now = step * 0.04
             for limiter in limiters:
-                if not limiter.own_slot_wait(vms, now, without_sender=True):
-                    limiter.take_own_slot(vms, now, without_sender=True)
+                if not limiter.share_wait(vms, now, without_sender=True):
+                    limiter.take_share(vms, now, without_sender=True)
                     sent.append(now)
         highest = max(sum(end - 4.0 < at <= end for at in sent) for end in sent)
         assert highest <= rate * 4.0 + 2
--- a/tests/gateway/test_load_balancing.py
+++ b/tests/gateway/test_load_balancing.py
@@ -76,7 +76,7 @@
     def test_requests_of_other_vms_count(self):
         """Requests of other VMs fill a target as well."""
         balancer = _balancer()
-        balancer.record_peer_counts({"x": 9}, 10.0)
+        balancer.record_other_requests({"x": 9}, 10.0)
         targets = [_target("x"), _target("y", "a2")]
         assert _choose(balancer, targets).target.id == "y"
         # Outdated counts are ignored.
@@ -114,7 +114,7 @@
         A request beyond the target's queue would hang with its connection.
         """
         balancer = _balancer()
-        balancer.record_peer_counts({"x": 12}, 10.0)
+        balancer.record_other_requests({"x": 12}, 10.0)
         choice = _choose(balancer, [_target("x")])
         assert choice.target is None
         assert 0 < choice.seconds < 1
@@ -172,7 +172,7 @@
             balancer = _balancer()
             # All VMs got the same counts: one target is empty.
             counts = {target.id: 4 for target in targets[1:]}
-            balancer.record_peer_counts(counts, 10.0)
+            balancer.record_other_requests(counts, 10.0)
             for n in range(3):
                 jitter = ((vm * 3 + n) * 0.37) % 1
                 choice = balancer.choose(
@@ -201,7 +201,7 @@
         balancer = _balancer()
         near = [_target(f"n{n}") for n in range(2)]
         far = _target("f", zone="c")
-        balancer.record_peer_counts({t.id: 0 for t in (*near, far)}, 10.0)
+        balancer.record_other_requests({t.id: 0 for t in (*near, far)}, 10.0)
         for target in near:
             balancer.load(target.id).begin()
         choice = balancer.choose([*near, far], "r", 0.1, 100, 67, 10.0, 0.0)
@@ -220,7 +220,7 @@
         wait until their deadlines.
         """
         balancer = _balancer()
-        balancer.record_peer_counts({"x": 4 if vms > 1 else 0}, 10.0)
+        balancer.record_other_requests({"x": 4 if vms > 1 else 0}, 10.0)
         balancer.load("x").own = own
         assert balancer.is_owner_full(_target("x"), vms, 10.0)
         balancer.load("x").own = own - 1
@@ -239,14 +239,14 @@
     def test_assigned_by_the_leader(self):
         """A contended target has a gate, any other has none."""
         balancer = _balancer()
-        balancer.record_gates({"x": "vm-2:1"}, 10.0)
+        balancer.replace_gates({"x": "vm-2:1"}, 10.0)
         assert balancer.gate("x", 10.1) == "vm-2:1"
         assert balancer.gate("y", 10.1) is None
 
     def test_outdated_update_of_a_lost_leader(self):
         """The leader is silent; gates may have changed since its update."""
         balancer = _balancer()
-        balancer.record_gates({"x": "vm-2:1"}, 10.0)
+        balancer.replace_gates({"x": "vm-2:1"}, 10.0)
         assert balancer.gate("x", 20.0) is None
 
     def test_silent_gate(self):
@@ -255,10 +255,10 @@
         They are served without the gate, and it is used again later.
         """
         balancer = _balancer()
-        balancer.record_gates({"x": "vm-2:1"}, 10.0)
+        balancer.replace_gates({"x": "vm-2:1"}, 10.0)
         balancer.record_silent_gate("vm-2:1", 10.0)
         assert balancer.gate("x", 10.5) is None
-        balancer.record_gates({"x": "vm-2:1"}, 11.5)
+        balancer.replace_gates({"x": "vm-2:1"}, 11.5)
         assert balancer.gate("x", 11.5) == "vm-2:1"
 
 
