--- a/tests/gateway/test_bounded_targets.py
+++ b/tests/gateway/test_bounded_targets.py
@@ -160,7 +160,7 @@
             )
             for _ in range(3):
                 await asyncio.sleep(4.0)
-                gates = cluster.leader().rooms._gates
+                gates = cluster.leader().balancer._gates
                 gate = cluster.vms.get(gates.get(target.id))
                 for lost in {cluster.leader(), gate or cluster.leader()}:
                     cluster.vms.pop(lost.name).end()
@@ -257,7 +257,7 @@
                 limit=3.1, names_limit=True
             )
             await asyncio.sleep(2.0)
-            recorded = [vm.beliefs.limits.dump() for vm in cluster.vms.values()]
+            recorded = [vm.cluster.limits.dump() for vm in cluster.vms.values()]
             assert all(limits == {target.id: 3.1} for limits in recorded)
 
         _play(scenario, 10)
@@ -298,7 +298,7 @@
             assert (
                 _request_rate(target, lifted_at + 12.0, lifted_at + 20.0) > 10.0
             )
-            recorded = [vm.beliefs.limits.dump() for vm in cluster.vms.values()]
+            recorded = [vm.cluster.limits.dump() for vm in cluster.vms.values()]
             assert not any(recorded)
 
         _play(scenario, 10)
@@ -313,7 +313,7 @@
             await cluster.call(5.0, 120.0, "/p")
             del target.says["server-limit"]
             target.born = 2
-            cluster.take_target(target.registration)
+            cluster.apply_target(target.registration)
             began = virtual.now()
             await cluster.call(4.0, 120.0, "/p")
             assert _request_rate(target, began, began + 4.0) > 10.0
--- a/tests/gateway/test_store_watching.py
+++ b/tests/gateway/test_store_watching.py
@@ -46,7 +46,7 @@
         return await super().watch(prefix, after, wait)
 
 
-def _watching(store, *targets):
+def _watcher(store, *targets):
     """Makes a VM's view of the store; returns it with its beliefs and log."""
     timer, log = fakes.VirtualClock(), fakes.Lines()
     known = fakes.known(timer, log, *targets)
@@ -63,9 +63,9 @@
 
 def _play(scenario, store, known_up_to=0):
     async def main():
-        made, known, log = _watching(store, fakes.target("a"))
+        made, known, log = _watcher(store, fakes.target("a"))
         known.seen = known_up_to
-        made.rely_on_leader(False)
+        made.set_leader_reliable(False)
         made.start()
         await asyncio.sleep(2.0)
         await scenario(known, log)
@@ -189,12 +189,12 @@
         store = Slow()
 
         async def main():
-            made, _, log = _watching(store)
-            made.rely_on_leader(False)
+            made, _, log = _watcher(store)
+            made.set_leader_reliable(False)
             made.start()
             await asyncio.sleep(1.0)
             assert store.lists["servers/"] == 1
-            made.rely_on_leader(True)
+            made.set_leader_reliable(True)
             await asyncio.sleep(20.0)
             assert store.lists["servers/"] == 1
             assert not log.named("targets_listed")
@@ -207,8 +207,8 @@
         store = Store()
 
         async def main():
-            made, _, _ = _watching(store)
-            made.rely_on_leader(False, patience=1.2)
+            made, _, _ = _watcher(store)
+            made.set_leader_reliable(False, patience=1.2)
             made.start()
             await asyncio.sleep(0.5)
             assert store.lists["servers/"] == 0
@@ -274,7 +274,7 @@
         drain = fakes.configured().bounds.drain
 
         async def main():
-            made, known, _ = _watching(
+            made, known, _ = _watcher(
                 Changing(leaves_at), fakes.target("a", address="10.1.0.1:80")
             )
             known.seen = 40
@@ -282,7 +282,7 @@
             await asyncio.sleep(current)
             known.registrations.note(virtual.now())
             await asyncio.sleep(followed - current)
-            made.rely_on_leader(False)
+            made.set_leader_reliable(False)
             await asyncio.sleep(max(leaves_at - followed, 0.0) + 0.1)
             entry = known.directory.get("a")
             assert entry.target.leaving
@@ -308,12 +308,12 @@
             store.moods.append(ports.HistoryLost())
 
         async def main():
-            made, known, _ = _watching(store, fakes.target("a"))
+            made, known, _ = _watcher(store, fakes.target("a"))
             known.seen = 40
             made.start()
             known.registrations.note(virtual.now())
             await asyncio.sleep(8.0)
-            made.rely_on_leader(False)
+            made.set_leader_reliable(False)
             gone = ports.Changes((), (("servers/a", 41),), 41)
             if not listed:
                 store.moods.append(gone)
@@ -331,12 +331,12 @@
         async def main():
             timer, log = fakes.VirtualClock(), fakes.Lines()
             leader = fakes.known(timer, log, fakes.target("a"))
-            leader.take_target(fakes.target("a", leaving=True, revision=5))
+            leader.apply_target(fakes.target("a", leaving=True, revision=5))
             leader.seen = 5
             await asyncio.sleep(1.5)
-            news = leader.news_after(1, leader.version)
+            news = leader.updates_since(1, leader.version)
             behind = fakes.known(timer, log, fakes.target("a"))
-            behind.take_news(news)
+            behind.apply_update(news)
             ends = [k.directory.get("a").until for k in (leader, behind)]
             assert ends[0] == ends[1]
 
@@ -359,9 +359,9 @@
                 return brought
 
         async def main():
-            made, known, _ = _watching(HeldUp(), fakes.target("a"))
+            made, known, _ = _watcher(HeldUp(), fakes.target("a"))
             known.seen = known.configuration_seen = 40
-            made.rely_on_leader(False)
+            made.set_leader_reliable(False)
             made.start()
             wait = settings.StoreSettings(address="").watch_wait
             await asyncio.sleep(wait + held_up + 0.01)
@@ -381,11 +381,11 @@
         contact = 3.0
 
         async def main():
-            made, known, _ = _watching(store, fakes.target("a"))
-            made.rely_on_leader(False)
+            made, known, _ = _watcher(store, fakes.target("a"))
+            made.set_leader_reliable(False)
             made.start()
             await asyncio.sleep(leads_at)
-            made.rely_on_leader(False, closely=True)
+            made.set_leader_reliable(False, closely=True)
             await asyncio.sleep(0.5)
             store.silence()
             await asyncio.sleep(contact)
--- a/tests/gateway/test_warmup.py
+++ b/tests/gateway/test_warmup.py
@@ -141,10 +141,10 @@
         targets = directory.Directory(1.0, 0.3)
         target = fakes.target("t", warm_at=registered)
         targets.put(target, 0.0)
-        targets.note_cold("t", reported, 0.0)
-        targets.take_for_cold("z", {"s": zone}, 0.0)
-        targets.take_for_cold("y", {"s": 99.0}, 0.0)
-        targets.take_for_cold("z", {"other": 99.0}, 0.0)
+        targets.record_cold("t", reported, 0.0)
+        targets.mark_zone_cold("z", {"s": zone}, 0.0)
+        targets.mark_zone_cold("y", {"s": 99.0}, 0.0)
+        targets.mark_zone_cold("z", {"other": 99.0}, 0.0)
         assert targets.warm_in("t", now) == expected
 
     def test_cold_again_without_a_restart(self):
