--- a/packages/mimosastile-core/src/mimosastile_core/gateway/backoffs.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/backoffs.py
@@ -1,20 +1,21 @@
-"""Backoff that targets ask this VM for, with the rejection of a request."""
+"""Backoff that targets ask of this VM when they reject a request."""
 
 import msgspec
 
-_LONG_SECONDS = 2.0
-"""Rest from which keys should move: a move takes about a second."""
-_LEFT_SECONDS = 0.5
-"""Rest that is left from which a move of keys is too late."""
+_MIN_MOVE_SECONDS = 2.0
+"""Least length of a backoff for which keys should move: a move takes about a
+second."""
+_MIN_LEFT_SECONDS = 0.5
+"""With less than this left of a backoff, it is too late to move keys."""
 
 
 class _Backoff(msgspec.Struct, frozen=True):
-    """What one run of a target has asked for.
+    """The backoff that one incarnation of a target has asked for.
 
     Attributes:
-        born: The run.
-        began: When it was asked for.
-        ends: Until when it wants nothing.
+        born: The incarnation.
+        began: When the backoff began.
+        ends: When the backoff ends.
     """
 
     born: int
@@ -23,56 +24,59 @@
 
 
 class Backoffs:
-    """Until when each target wants nothing from this VM.
+    """The current backoff of this VM for each target.
 
-    It concerns one VM alone: a target may reject whoever sends most.
+    A backoff applies to one VM only: a target may reject just the VM that sends
+    most.
     """
 
     __slots__ = ("_backoffs",)
 
     def __init__(self) -> None:
-        """Makes one that knows of none."""
+        """Makes a record without backoffs."""
         self._backoffs: dict[str, _Backoff] = {}
 
     @property
     def any(self) -> bool:
-        """Whether any target may rest."""
+        """Whether a backoff of any target may be in force."""
         return bool(self._backoffs)
 
-    def ask(self, target: str, born: int, seconds: float, now: float) -> None:
-        """Takes a target's word; the longest one counts.
+    def record(
+        self, target: str, born: int, seconds: float, now: float
+    ) -> None:
+        """Records a backoff; the one that ends last applies.
 
         Args:
             target: Identifier of the target.
-            born: Which run of it.
-            seconds: For how long it wants nothing.
+            born: Its incarnation.
+            seconds: Length of the backoff.
             now: The time.
         """
         ends = now + seconds
-        if self.left(target, born, now) < seconds:
+        if self.seconds_left(target, born, now) < seconds:
             self._backoffs[target] = _Backoff(born, now, ends)
 
-    def left(self, target: str, born: int, now: float) -> float:
-        """Returns for how many seconds a run of a target gets nothing."""
-        rest = self._backoffs.get(target)
-        if rest is None or rest.born != born:
+    def seconds_left(self, target: str, born: int, now: float) -> float:
+        """Returns the seconds for which an incarnation gets no requests."""
+        backoff = self._backoffs.get(target)
+        if backoff is None or backoff.born != born:
             return 0.0
-        if now >= rest.ends:
+        if now >= backoff.ends:
             del self._backoffs[target]
             return 0.0
-        return rest.ends - now
+        return backoff.ends - now
 
-    def long(self, now: float) -> dict[str, float]:
-        """Returns the seconds left of rests for which keys should move.
+    def long_backoffs(self, now: float) -> dict[str, float]:
+        """Returns the seconds left of backoffs for which keys should move.
 
-        Those that have ended are forgotten.
+        Ended backoffs are dropped.
         """
         self._backoffs = {
             n: r for n, r in self._backoffs.items() if r.ends > now
         }
         return {
-            name: round(rest.ends - now, 2)
-            for name, rest in self._backoffs.items()
-            if rest.ends - rest.began >= _LONG_SECONDS
-            and rest.ends - now > _LEFT_SECONDS
+            name: round(backoff.ends - now, 2)
+            for name, backoff in self._backoffs.items()
+            if backoff.ends - backoff.began >= _MIN_MOVE_SECONDS
+            and backoff.ends - now > _MIN_LEFT_SECONDS
         }
--- a/packages/mimosastile-core/src/mimosastile_core/gateway/limits.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/limits.py
@@ -1,10 +1,12 @@
-"""Limits that targets name for all VMs together.
-
-A target in need says in its answers how many requests a second it takes, for
-as long as it says so. The sum over all VMs keeps to that, also of those that
-hear nobody. One VM, named by the leader, sends or admits most of it. Besides,
-each VM has a small share that needs no agreement: with it VMs that hear nobody
-serve on, and a target that the named VM has no requests for is heard of again.
+"""Rate limits that targets set for all VMs together.
+
+An overloaded target states in its responses how many requests a second it
+takes; the limit holds as long as responses state it. The sum over all VMs keeps
+to the limit, including VMs that are cut off from the others. One VM, the sender
+named by the leader, sends or admits most of the requests. Each other VM has a
+small share that needs no agreement. With this share, cut-off VMs can still
+serve requests, and a target for which the sender has no requests still gets
+some and can report a change of its limit.
 """
 
 from collections.abc import Mapping
@@ -13,39 +15,40 @@
 import msgspec
 
 _SENDER_SHARE = 0.9
-"""Part of a limit that the named VM uses. With `_OWN_SHARE` the limit itself is
-exceeded by a twentieth; the rest of what targets tolerate covers the second and
-a half in which two VMs may take themselves for the named one."""
+"""Share of a limit that the sender uses. Together with `_OWN_SHARE`, the limit
+is exceeded by a twentieth. The rest of what targets tolerate covers the 1.5 s
+in which two VMs may act as the sender."""
 _OWN_SHARE = 0.15
-"""Part of a limit that all other VMs may use together without being asked."""
-_ALONE_SHARE = 0.4
-"""The same of VMs that know of no named one. If only a part of all VMs hears
-nobody, its part of this comes on top of what the named VM sends."""
+"""Share of a limit that all other VMs together may use on their own."""
+_NO_SENDER_SHARE = 0.4
+"""The same for VMs without a known sender. If only some VMs are cut off, their
+part of this is added to the requests of the sender."""
 _BURST_SECONDS = 0.1
-"""Time whose requests may be sent at once, beside a single one."""
+"""Capacity of the sender's token bucket, as a time of the limit's rate, beside
+one request."""
 _SLOT_SECONDS = 0.5
-"""Longest slot. Slots that are not used are lost: if they were saved, all VMs
-would use theirs at the moment at which the named VM is lost."""
-_LEAST_RATE = 0.1
-"""Least requests a second. A target that gets none at all could never say that
-it takes more."""
-_LIFT_SECONDS = 0.5
-"""How much newer news must be to lift or raise a limit that this VM has heard
-itself; their age leaves out how long they were on their way."""
-_AGAIN_SECONDS = 5.0
-"""How often it is reported that a limit still holds."""
-_LIFTED_SECONDS = 30.0
-"""For how long it is told that a limit has been lifted."""
-_LOTS = 1 << 32
+"""Longest time slot. Unused slots expire: if they accumulated, all VMs would
+use theirs at once when the sender is lost."""
+_MIN_RATE = 0.1
+"""Least requests a second. A target that gets no requests could never report a
+higher limit."""
+_LIFT_MARGIN_SECONDS = 0.5
+"""How much newer a peer's update must be to lift or raise a limit that this VM
+received itself: the age in an update leaves out its time in transit."""
+_CONFIRM_SECONDS = 5.0
+"""Interval at which VMs report again that a limit still holds."""
+_REPORT_LIFTED_SECONDS = 30.0
+"""Time for which a leader reports that a limit has been lifted."""
+_HASH_RANGE = 1 << 32
 
 
 class LimitUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """What a target has said of its limit, as one VM tells another.
+    """A target's limit as VMs report it to each other.
 
     Attributes:
-        born: Which run of it.
-        rate: Requests a second from all VMs together; None if it names none.
-        age: Seconds since it was heard.
+        born: Incarnation of the target.
+        rate: Requests a second from all VMs together; None without a limit.
+        age: Seconds since a VM received it from the target.
     """
 
     born: int
@@ -54,160 +57,178 @@
 
 
 class RateLimiter:
-    """Rate limiter of this VM for a target that has named a limit.
+    """Rate limiter of this VM for a target that has set a limit.
 
-    The named VM takes tokens from a bucket that holds few; any other VM has a
-    time slot in each period, at an offset of its own.
+    The sender uses a token bucket of small capacity. Any other VM has one time
+    slot in each period, at an offset of its own.
     """
 
-    __slots__ = ("_at", "_offset", "_rate", "_tokens", "_used")
+    __slots__ = ("_offset", "_rate", "_refilled_at", "_tokens", "_used_period")
 
     def __init__(self, rate: float, offset: float, now: float) -> None:
-        """Makes one that has nothing saved.
+        """Makes a rate limiter without tokens.
 
         Args:
             rate: Requests a second from all VMs together.
-            offset: From 0 to 1, where in a period this VM has its slot.
+            offset: Position of this VM's time slot in a period, 0 to 1.
             now: The time.
         """
-        self._rate = max(rate, _LEAST_RATE)
+        self._rate = max(rate, _MIN_RATE)
         self._offset = offset
         self._tokens = 0.0
-        self._at = now
-        self._used = -1
+        self._refilled_at = now
+        self._used_period = -1
 
     @property
     def rate(self) -> float:
-        """Requests a second that the named VM sends or admits."""
+        """Requests a second that the sender sends or admits."""
         return self._rate * _SENDER_SHARE
 
     def set_rate(self, rate: float, now: float) -> None:
         """Changes the limit."""
         self._refill(now)
-        self._rate = max(rate, _LEAST_RATE)
+        self._rate = max(rate, _MIN_RATE)
 
     def wait(self, now: float) -> float:
-        """Returns the seconds until the named VM may send or admit one."""
+        """Returns the seconds until the sender may send or admit a request."""
         self._refill(now)
         return max(1.0 - self._tokens, 0.0) / self.rate
 
     def take(self, now: float) -> None:
-        """Notes a request that the named VM sends or admits."""
+        """Records a request that the sender sends or admits."""
         self._refill(now)
         self._tokens -= 1.0
 
-    def share_wait(self, vms: int, now: float, *, alone: bool = False) -> float:
-        """Returns the seconds until this VM may send one if it is not named.
+    def share_wait(
+        self, vms: int, now: float, *, without_sender: bool = False
+    ) -> float:
+        """Returns the seconds until this VM, not the sender, may send.
 
         Args:
-            vms: How many VMs there are.
+            vms: Number of VMs.
             now: The time.
-            alone: Whether it knows of no named VM.
+            without_sender: Whether this VM knows of no sender.
         """
-        turn, since, period = self._turn(vms, now, alone)
-        if turn != self._used and since < min(_SLOT_SECONDS, period / 2):
+        period_number, elapsed, period = self._current_period(
+            vms, now, without_sender
+        )
+        if period_number != self._used_period and elapsed < min(
+            _SLOT_SECONDS, period / 2
+        ):
             return 0.0
-        return period - since
+        return period - elapsed
 
-    def take_share(self, vms: int, now: float, *, alone: bool = False) -> None:
-        """Notes a request that this VM sends without being named."""
-        self._used, _, _ = self._turn(vms, now, alone)
+    def take_share(
+        self, vms: int, now: float, *, without_sender: bool = False
+    ) -> None:
+        """Records a request that this VM sends without being the sender."""
+        self._used_period, _, _ = self._current_period(vms, now, without_sender)
 
-    def _turn(
-        self, vms: int, now: float, alone: bool
+    def _current_period(
+        self, vms: int, now: float, without_sender: bool
     ) -> tuple[int, float, float]:
-        """Returns the number of the period, its age and its length."""
-        share = _ALONE_SHARE if alone else _OWN_SHARE
+        """Returns the number, age and length of the current period."""
+        share = _NO_SENDER_SHARE if without_sender else _OWN_SHARE
         period = vms / (self._rate * share)
-        gone = now / period + self._offset
-        turn = int(gone)
-        return turn, (gone - turn) * period, period
+        periods = now / period + self._offset
+        period_number = int(periods)
+        return period_number, (periods - period_number) * period, period
 
     def _refill(self, now: float) -> None:
-        most = 1.0 + self.rate * _BURST_SECONDS
-        grown = self._tokens + (now - self._at) * self.rate
-        self._tokens = min(grown, most)
-        self._at = now
+        capacity = 1.0 + self.rate * _BURST_SECONDS
+        tokens = self._tokens + (now - self._refilled_at) * self.rate
+        self._tokens = min(tokens, capacity)
+        self._refilled_at = now
 
 
-class _Named:
-    """What one run of a target has said last.
+class _TargetLimit:
+    """The limit that one incarnation of a target stated last.
 
     Attributes:
-        born: The run.
+        born: The incarnation.
         rate: Its limit, None for none.
-        since: When this VM first knew of it.
-        at: When it was said last.
-        pace: When this VM may send there, None without a limit.
+        recorded_at: When this VM first recorded this limit.
+        stated_at: When the target stated it last.
+        limiter: Rate limiter of this VM for the target, None without a limit.
     """
 
-    __slots__ = ("at", "born", "pace", "rate", "since")
+    __slots__ = ("born", "limiter", "rate", "recorded_at", "stated_at")
 
     def __init__(
-        self, born: int, rate: float | None, since: float, at: float
+        self,
+        born: int,
+        rate: float | None,
+        recorded_at: float,
+        stated_at: float,
     ) -> None:
         self.born = born
         self.rate = rate
-        self.since = since
-        self.at = at
-        self.pace: RateLimiter | None = None
+        self.recorded_at = recorded_at
+        self.stated_at = stated_at
+        self.limiter: RateLimiter | None = None
 
 
 class TargetLimits:
-    """The limit that each target has named last."""
+    """The current rate limit of each target."""
 
-    __slots__ = ("_here", "_known_at", "_limited", "_named", "_told")
+    __slots__ = (
+        "_here",
+        "_leader_limits",
+        "_leader_limits_at",
+        "_limited_count",
+        "_limits",
+    )
 
     def __init__(self, here: str) -> None:
-        """Makes one that knows of none.
+        """Makes a record without limits.
 
         Args:
             here: Identifier of this VM.
         """
         self._here = here
-        self._named: dict[str, _Named] = {}
-        self._limited = 0
-        self._told: dict[str, LimitUpdate] = {}
-        self._known_at = 0.0
+        self._limits: dict[str, _TargetLimit] = {}
+        self._limited_count = 0
+        self._leader_limits: dict[str, LimitUpdate] = {}
+        self._leader_limits_at = 0.0
 
     @property
     def any(self) -> bool:
         """Whether any target has a limit."""
-        return self._limited > 0
+        return self._limited_count > 0
 
     def limited(self) -> list[str]:
         """Returns the targets that have a limit."""
-        return [n for n, known in self._named.items() if known.pace]
+        return [n for n, limit in self._limits.items() if limit.limiter]
 
     def rate(self, target: str, born: int) -> float | None:
         """Returns the limit of a target in requests a second, None for none.
 
         Args:
             target: Identifier of the target.
-            born: Which run of it.
+            born: Its incarnation.
         """
-        known = self._named.get(target)
-        if known is None or known.born != born:
+        limit = self._limits.get(target)
+        if limit is None or limit.born != born:
             return None
-        return known.rate
+        return limit.rate
 
     def rate_since(
         self, target: str, born: int, earliest: float
     ) -> float | None:
-        """Returns a limit if it was said since some time."""
-        known = self._named.get(target)
-        if known is None or known.at < earliest:
+        """Returns a limit if the target stated it at `earliest` or later."""
+        limit = self._limits.get(target)
+        if limit is None or limit.stated_at < earliest:
             return None
         return self.rate(target, born)
 
-    def pace(self, target: str, born: int) -> RateLimiter | None:
-        """Returns when this VM may send to a target, None without a limit."""
-        known = self._named.get(target)
-        if known is None or known.born != born:
+    def limiter(self, target: str, born: int) -> RateLimiter | None:
+        """Returns this VM's rate limiter for a target, None without a limit."""
+        limit = self._limits.get(target)
+        if limit is None or limit.born != born:
             return None
-        return known.pace
+        return limit.limiter
 
-    def hear(
+    def observe(
         self,
         target: str,
         born: int,
@@ -215,52 +236,63 @@
         sent_at: float,
         now: float,
     ) -> bool:
-        """Takes what a target says of its limit in an answer.
+        """Records the limit that a target states in a response.
 
-        Answers arrive in another order than they were made. A limit is raised
-        or lifted only by the answer to a request that was sent after it was
-        heard; a lower one counts at once.
+        Responses may arrive in another order than the target sent them. Only a
+        response to a request that was sent after the current limit was recorded
+        can raise or lift it; a lower limit applies at once.
 
         Args:
             target: Identifier of the target.
-            born: Which run of it.
-            rate: Requests a second, None if it names no limit.
-            sent_at: When the request was sent that it answers.
+            born: Its incarnation.
+            rate: Requests a second, None if the response states no limit.
+            sent_at: When the request of that response was sent.
             now: The time.
 
         Returns:
-            Whether that is news.
+            Whether this changes the limit.
         """
-        known = self._named.get(target)
-        if known is None:
+        current = self._limits.get(target)
+        if current is None:
             return rate is not None and self._set(target, born, rate, now, now)
-        if born < known.born:
+        if born < current.born:
             return False
-        if born == known.born and rate == known.rate:
-            known.at = now
+        if born == current.born and rate == current.rate:
+            current.stated_at = now
             return False
-        early = sent_at < known.since
-        if born == known.born and early and _lifts(rate, known.rate):
+        early = sent_at < current.recorded_at
+        if born == current.born and early and _lifts(rate, current.rate):
             return False
         return self._set(target, born, rate, now, now)
 
-    def learn(self, target: str, news: LimitUpdate, now: float) -> bool:
-        """Takes what another VM has heard; returns whether that is news."""
-        at = now - news.age
-        known = self._named.get(target)
-        if known is not None:
-            if news.born < known.born:
+    def merge(self, target: str, update: LimitUpdate, now: float) -> bool:
+        """Records a limit that another VM received.
+
+        Args:
+            target: Identifier of the target.
+            update: The limit.
+            now: The time.
+
+        Returns:
+            Whether this changes the limit.
+        """
+        stated_at = now - update.age
+        current = self._limits.get(target)
+        if current is not None:
+            if update.born < current.born:
                 return False
-            if news.born == known.born:
-                if news.rate == known.rate:
-                    known.at = max(known.at, at)
+            if update.born == current.born:
+                if update.rate == current.rate:
+                    current.stated_at = max(current.stated_at, stated_at)
                     return False
-                lifts = _lifts(news.rate, known.rate)
-                if at <= known.at + (_LIFT_SECONDS if lifts else 0.0):
+                lifts = _lifts(update.rate, current.rate)
+                if stated_at <= current.stated_at + (
+                    _LIFT_MARGIN_SECONDS if lifts else 0.0
+                ):
                     return False
-        elif news.rate is None:
+        elif update.rate is None:
             return False
-        return self._set(target, news.born, news.rate, now, at)
+        return self._set(target, update.born, update.rate, now, stated_at)
 
     def _set(
         self,
@@ -268,78 +300,94 @@
         born: int,
         rate: float | None,
         now: float,
-        at: float,
+        stated_at: float,
     ) -> bool:
-        """Keeps what a run says; returns whether a limit has changed."""
-        former = self._named.get(target)
-        made = self._named[target] = _Named(born, rate, now, at)
+        """Stores an incarnation's limit; returns whether a limit changed."""
+        previous = self._limits.get(target)
+        updated = self._limits[target] = _TargetLimit(
+            born, rate, now, stated_at
+        )
         if rate is not None:
-            made.pace = former.pace if former and former.born == born else None
-            if made.pace is None:
-                lot = zlib.crc32(f"{self._here}/{target}".encode()) / _LOTS
-                made.pace = RateLimiter(rate, lot, now)
-            made.pace.set_rate(rate, now)
-        self._limited = sum(n.rate is not None for n in self._named.values())
-        return rate is not None or bool(former and former.rate is not None)
-
-    def news(self, now: float) -> dict[str, LimitUpdate]:
-        """Returns what a leader tells of all targets."""
+            updated.limiter = (
+                previous.limiter if previous and previous.born == born else None
+            )
+            if updated.limiter is None:
+                offset = (
+                    zlib.crc32(f"{self._here}/{target}".encode()) / _HASH_RANGE
+                )
+                updated.limiter = RateLimiter(rate, offset, now)
+            updated.limiter.set_rate(rate, now)
+        self._limited_count = sum(
+            n.rate is not None for n in self._limits.values()
+        )
+        return rate is not None or bool(previous and previous.rate is not None)
+
+    def updates(self, now: float) -> dict[str, LimitUpdate]:
+        """Returns the limits that a leader sends to all VMs."""
         return {
-            name: _news(known, now)
-            for name, known in self._named.items()
-            if known.rate is not None or now - known.at < _LIFTED_SECONDS
+            name: _limit_update(limit, now)
+            for name, limit in self._limits.items()
+            if limit.rate is not None
+            or now - limit.stated_at < _REPORT_LIFTED_SECONDS
         }
 
     def record_leader_view(
-        self, told: Mapping[str, LimitUpdate], now: float
+        self, limits: Mapping[str, LimitUpdate], now: float
     ) -> None:
-        """Notes what the leader knows, whether or not it is news here."""
-        self._told = dict(told)
-        self._known_at = now
+        """Records the limits that the leader has, whether new here or not."""
+        self._leader_limits = dict(limits)
+        self._leader_limits_at = now
 
     def unknown_to_leader(self, now: float) -> dict[str, LimitUpdate]:
-        """Returns what this VM reports: what its leader does not know."""
+        """Returns the limits that the leader lacks, for this VM's report."""
         return {
-            name: _news(known, now)
-            for name, known in self._named.items()
-            if self._is_unknown(name, known)
+            name: _limit_update(limit, now)
+            for name, limit in self._limits.items()
+            if self._is_unknown(name, limit)
         }
 
-    def _is_unknown(self, target: str, known: _Named) -> bool:
-        told = self._told.get(target)
-        if told is None or told.born != known.born:
-            return known.rate is not None
-        at = self._known_at - told.age
-        return told.rate != known.rate or known.at > at + _AGAIN_SECONDS
+    def _is_unknown(self, target: str, limit: _TargetLimit) -> bool:
+        leader_limit = self._leader_limits.get(target)
+        if leader_limit is None or leader_limit.born != limit.born:
+            return limit.rate is not None
+        leader_stated_at = self._leader_limits_at - leader_limit.age
+        return (
+            leader_limit.rate != limit.rate
+            or limit.stated_at > leader_stated_at + _CONFIRM_SECONDS
+        )
 
-    def forget_except(self, targets: Mapping[str, int]) -> None:
-        """Drops targets that are gone and runs that are over.
+    def retain(self, targets: Mapping[str, int]) -> None:
+        """Drops targets that no longer exist and ended incarnations.
 
         Args:
-            targets: Present runs by target.
+            targets: Present incarnations by target.
         """
-        self._named = {
-            name: known
-            for name, known in self._named.items()
-            if known.born >= targets.get(name, known.born + 1)
+        self._limits = {
+            name: limit
+            for name, limit in self._limits.items()
+            if limit.born >= targets.get(name, limit.born + 1)
         }
-        self._limited = sum(n.rate is not None for n in self._named.values())
+        self._limited_count = sum(
+            n.rate is not None for n in self._limits.values()
+        )
 
     def dump(self) -> dict[str, float]:
-        """Returns the limits that are in force, by target."""
+        """Returns the limits in force by target."""
         return {
-            name: known.rate
-            for name, known in self._named.items()
-            if known.rate is not None
+            name: limit.rate
+            for name, limit in self._limits.items()
+            if limit.rate is not None
         }
 
 
-def _lifts(rate: float | None, known: float | None) -> bool:
-    """Whether one limit allows more than another."""
-    if known is None:
+def _lifts(rate: float | None, current: float | None) -> bool:
+    """Whether a rate allows more than the recorded one."""
+    if current is None:
         return False
-    return rate is None or rate > known
+    return rate is None or rate > current
 
 
-def _news(known: _Named, now: float) -> LimitUpdate:
-    return LimitUpdate(known.born, known.rate, round(max(now - known.at, 0), 3))
+def _limit_update(limit: _TargetLimit, now: float) -> LimitUpdate:
+    return LimitUpdate(
+        limit.born, limit.rate, round(max(now - limit.stated_at, 0), 3)
+    )
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/admission_service.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/admission_service.py
@@ -290,7 +290,7 @@
             )
             self._send(sender, refused)
             return
-        queue.pace = self._rate_limiter(request.target)
+        queue.limiter = self._rate_limiter(request.target)
         permit_request = admission.PermitRequest(
             sender,
             request.number,
@@ -301,7 +301,7 @@
             # A negative number would add capacity at the target.
             max(request.unpermitted, 0),
         )
-        self._send_decisions([queue.ask(permit_request, now)])
+        self._send_decisions([queue.decide(permit_request, now)])
         if queue.waiting:
             # Waits expire even if no permit is returned.
             self._advance(request.target)
@@ -326,7 +326,7 @@
                 for number in numbers if queue else ():
                     assert queue is not None
                     self._send_decisions(
-                        queue.done(sender, number, now, answered=answered)
+                        queue.finish(sender, number, now, answered=answered)
                     )
 
     def _advance(self, target: str) -> None:
@@ -335,15 +335,15 @@
         if queue is None:
             return
         now = self._clock.now()
-        queue.pace = self._rate_limiter(target)
-        self._send_decisions(queue.turn(now))
+        queue.limiter = self._rate_limiter(target)
+        self._send_decisions(queue.decide_waiting(now))
         if (
-            queue.pace is None
+            queue.limiter is None
             or not queue.waiting
             or target in self._paced_targets
         ):
             return
-        wait = max(queue.pace.wait(now), _MIN_PACING_WAIT_SECONDS)
+        wait = max(queue.limiter.wait(now), _MIN_PACING_WAIT_SECONDS)
         self._paced_targets.add(target)
         asyncio.get_running_loop().call_later(wait, self._advance_paced, target)
 
@@ -356,14 +356,14 @@
         entry = self._cluster.directory.get(target)
         if entry is None:
             return None
-        return self._cluster.limits.pace(target, entry.target.born)
+        return self._cluster.limits.limiter(target, entry.target.born)
 
     def _send_decisions(self, decisions: Iterable[admission.Decision]) -> None:
         for decision in decisions:
             self._send(
-                decision.ask.vm,
+                decision.request.vm,
                 datagrams.Decision(
-                    decision.ask.number,
+                    decision.request.number,
                     decision.verdict,
                     round(1000 * decision.seconds),
                 ),
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/candidates.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/candidates.py
@@ -91,15 +91,15 @@
         """
         now = self._clock.now()
         if self._cluster.cold_seconds(target.id):
-            self._cold_sends.note(target.id, now)
-        rate_limiter = self._cluster.limits.pace(target.id, target.born)
+            self._cold_sends.record(target.id, now)
+        rate_limiter = self._cluster.limits.limiter(target.id, target.born)
         if rate_limiter is None or admitted:
             return
         gate = self._balancer.gate(target.id, now)
         if gate == self._admission.address:
             rate_limiter.take(now)
         else:
-            rate_limiter.take_share(self._vm_count(), now, alone=gate is None)
+            rate_limiter.take_share(self._vm_count(), now, without_sender=gate is None)
 
     def choose_limited(self, call: pending.Call) -> directory.Target | None:
         """Returns a target if all that may run a request have a rate limit.
@@ -111,7 +111,7 @@
         Args:
             call: A request without a key.
         """
-        limiter_of = self._cluster.limits.pace
+        limiter_of = self._cluster.limits.limiter
         if not self._cluster.limits.any:
             return None
         untried = self.untried(call, self._clock.now())
@@ -191,7 +191,7 @@
         def is_unavailable(target: directory.Target) -> bool:
             return (
                 target.id in found_full
-                or self._balancer.load(target.id).rest_until > now
+                or self._balancer.load(target.id).backoff_until > now
                 or self.send_wait(target, call) > 0
             )
 
@@ -218,11 +218,11 @@
     def backoff_wait(self, target: directory.Target) -> float:
         """Returns the seconds left of a target's backoff towards this VM."""
         backoffs = self._cluster.backoffs
-        return backoffs.left(target.id, target.born, self._clock.now())
+        return backoffs.seconds_left(target.id, target.born, self._clock.now())
 
     def _limit_wait(self, target: directory.Target) -> float:
         """Returns the seconds until a target's limit allows this VM to send."""
-        rate_limiter = self._cluster.limits.pace(target.id, target.born)
+        rate_limiter = self._cluster.limits.limiter(target.id, target.born)
         if rate_limiter is None:
             return 0.0
         now = self._clock.now()
@@ -234,7 +234,7 @@
             # This VM leads and is the only sender, or has not received the
             # membership yet.
             return _MEMBERSHIP_DISCOVERY_SECONDS
-        return rate_limiter.share_wait(vms, now, alone=gate is None)
+        return rate_limiter.share_wait(vms, now, without_sender=gate is None)
 
     def _cold_wait(self, target: directory.Target, call: pending.Call) -> float:
         """Returns the seconds until this VM may send to a cold target.
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/daemon.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/daemon.py
@@ -403,7 +403,7 @@
             self._pool.trim(_MAX_IDLE_SECONDS)
             self._order_pool.trim(_MAX_IDLE_SECONDS)
             targets = [entry.target.id for entry in self._cluster.directory]
-            self._balancer.forget_except(targets)
+            self._balancer.retain(targets)
 
     def _log_traffic(self) -> None:
         """Logs the bytes of the gateway's own calls since the start."""
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/dispatching.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/dispatching.py
@@ -264,7 +264,7 @@
                 call.route.target_latency or math.inf,
             )
             if choice.target is not None:
-                call.expected_runs = choice.runs
+                call.expected_runs = choice.service_times
                 return result.Ok(choice.target)
             soonest = min(soonest, choice.seconds)
         return result.Err(soonest)
@@ -415,7 +415,7 @@
         if self._candidates.backoff_wait(target):
             # Another VM may not be in backoff, and keys move.
             return min(seconds, _REBALANCE_RETRY_AFTER_SECONDS)
-        if self._cluster.limits.pace(target.id, target.born) is None:
+        if self._cluster.limits.limiter(target.id, target.born) is None:
             return seconds
         if call.key is not None and self._keys_can_move(call.service):
             return min(seconds, _REBALANCE_RETRY_AFTER_SECONDS)
@@ -503,9 +503,11 @@
                 wait = min(wait, _COLD_KEY_MOVE_SECONDS)
             if wait:
                 return target.id, load_balancing.Choice(None, wait)
-            if self._balancer.full_owner(target, self._membership.count, now):
+            if self._balancer.is_owner_full(
+                target, self._membership.count, now
+            ):
                 self._membership.report_soon()
-                seconds = self._balancer.turn_seconds(
+                seconds = self._balancer.slot_wait_seconds(
                     target, call.route.name, call.work_estimate
                 )
                 return target.id, load_balancing.Choice(None, seconds)
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
@@ -240,7 +240,7 @@
             retry_age = self._retry_ages.setdefault(
                 route.name, caller_retries.RetryAge()
             )
-            call.prior_retry_seconds = retry_age.tried_for(
+            call.prior_retry_seconds = retry_age.estimate(
                 int(deadline_header) / 1000
             )
         key = incoming.header(names.key)
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/leader_role.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/leader_role.py
@@ -525,7 +525,7 @@
             if keyed is not None:
                 keyed.reconciler.record_miss(miss.key, miss.target)
         self._disseminator.take(report)
-        self._demand.take(vm.id, report.under_way, report.waiting, now)
+        self._demand.record(vm.id, report.under_way, report.waiting, now)
         known = self._cluster.directory
         fresh = self._disseminator.fresh()
         missing_updates = self._disseminator.answer(report)
@@ -534,7 +534,7 @@
             leading=True,
             confirmed=self._clock.boottime() - self._lease.confirmed,
             longer=self._longer_seconds(),
-            under_way=self._demand.busy(vm.id, vm.zone, known),
+            under_way=self._demand.busy_counts(vm.id, vm.zone, known),
             gates=self._gates(fresh, now),
             assignments=missing_updates.assignments,
             differences=missing_updates.differences,
@@ -548,7 +548,7 @@
             vms=len(fresh),
             take_over=vm.id in self._successors.asked,
             evacuations=self._cluster.evacuations,
-            limits=self._cluster.limits.news(now),
+            limits=self._cluster.limits.updates(now),
             leaving=tuple(
                 run
                 for run in self._cluster.leaving_updates().values()
@@ -589,7 +589,7 @@
                 # Until a VM hears of it, it sends to a full target.
                 self._disseminator.spread(
                     {name: self._gates_chosen[name] for name in new},
-                    self._cluster.limits.news(now),
+                    self._cluster.limits.updates(now),
                 )
         return self._gates_chosen
 
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
@@ -535,7 +535,7 @@
             self._cluster.evacuations,
             self._cluster.limits.unknown_to_leader(self._clock.now()),
             self._untold_leaving(),
-            self._cluster.backoffs.long(self._clock.now()),
+            self._cluster.backoffs.long_backoffs(self._clock.now()),
             *self._complete_at(),
         )
 
--- a/tests/gateway/test_bounded_targets.py
+++ b/tests/gateway/test_bounded_targets.py
@@ -1,4 +1,4 @@
-"""What all VMs together send to a target that has named a limit."""
+"""Tests of the total rate of all VMs at a target that has set a limit."""
 
 import asyncio
 
@@ -9,28 +9,30 @@
 from tests.gateway import fakes
 from tests.gateway import fleet
 
-CONTACT_SECONDS = 3.0
-"""From the first naming until all VMs keep to it."""
+PROPAGATION_SECONDS = 3.0
+"""Time from the first statement of a limit until all VMs keep to it."""
 WINDOW_SECONDS = 4.0
-TOLD_SECONDS = 0.5
-"""After a VM has passed on an answer that names it, its requests count."""
+RESPONSE_DELAY_SECONDS = 0.5
+"""A VM's requests count from this time after it passed on a response that
+states the limit."""
 
 
-def most_beyond(target, since):
-    """Returns how many requests over its bound a target got in some window.
+def highest_excess(target, since):
+    """Returns the most requests by which any window exceeds the bound.
 
     Args:
         target: The target.
-        since: When it first named a limit.
+        since: When it first stated a limit.
     """
-    told = {}
-    for at, vm, said in target.passed:
-        if b"server-limit" in said:
-            told.setdefault(vm, at)
+    informed_at = {}
+    for at, vm, headers in target.passed:
+        if b"server-limit" in headers:
+            informed_at.setdefault(vm, at)
     counted = [
         arrival.at
         for arrival in target.arrivals
-        if arrival.vm in told and arrival.at >= told[arrival.vm] + TOLD_SECONDS
+        if arrival.vm in informed_at
+        and arrival.at >= informed_at[arrival.vm] + RESPONSE_DELAY_SECONDS
     ]
     rate = float(target.says["server-limit"])
     allowed = 1.5 * rate * WINDOW_SECONDS + 5
@@ -38,7 +40,7 @@
         (
             sum(end - WINDOW_SECONDS < at <= end for at in counted) - allowed
             for end in counted
-            if end >= since + CONTACT_SECONDS
+            if end >= since + PROPAGATION_SECONDS
         ),
         default=-allowed,
     )
@@ -46,40 +48,40 @@
 
 def _play(scenario, vms, **sizes):
     async def main():
-        made = fleet.Fleet(vms, **sizes)
-        await made.ready()
-        await scenario(made)
-        made.end()
+        cluster = fleet.Fleet(vms, **sizes)
+        await cluster.ready()
+        await scenario(cluster)
+        cluster.end()
 
     virtual.run(main())
 
 
-def _limit(target, rate):
-    """Has a target name a limit; returns when."""
+def _set_limit(target, rate):
+    """Makes a target state a limit; returns the time."""
     target.says["server-limit"] = str(rate)
     return virtual.now()
 
 
-def _share(target, since, until):
+def _request_rate(target, since, until):
     """Returns the requests a second that a target got."""
     got = sum(since <= a.at < until for a in target.arrivals)
     return got / (until - since)
 
 
-class TestAllVmsTogether:
-    """A limit holds for the sum over all VMs."""
+class TestSumOverAllVms:
+    """A limit applies to the sum over all VMs."""
 
     @pytest.mark.parametrize("vms", [10, 88, 300])
     @pytest.mark.parametrize("rate", [6.1, 0.4])
     def test_owner_of_keys(self, vms, rate):
-        """Guards against VMs that each send what a target takes in all."""
+        """Guards against VMs that each send the whole limit."""
 
-        async def scenario(made):
-            await made.call(2.0, 120.0, "/s", fleet.any_key)
-            target = made.owner()
-            named = _limit(target, rate)
-            await made.call(12.0, 120.0, "/s", fleet.any_key)
-            assert most_beyond(target, named) <= 0
+        async def scenario(cluster):
+            await cluster.call(2.0, 120.0, "/s", fleet.any_key)
+            target = cluster.owner()
+            set_at = _set_limit(target, rate)
+            await cluster.call(12.0, 120.0, "/s", fleet.any_key)
+            assert highest_excess(target, set_at) <= 0
 
         _play(scenario, vms)
 
@@ -88,247 +90,257 @@
     def test_target_without_keys(self, vms, rate):
         """Guards against the same where any target may run a request."""
 
-        async def scenario(made):
-            await made.call(2.0, 120.0, "/p")
-            target = made.targets["p0"]
-            named = _limit(target, rate)
-            await made.call(12.0, 120.0, "/p")
-            assert most_beyond(target, named) <= 0
-            assert made.statuses == {200: sum(made.statuses.values())}
+        async def scenario(cluster):
+            await cluster.call(2.0, 120.0, "/p")
+            target = cluster.targets["p0"]
+            set_at = _set_limit(target, rate)
+            await cluster.call(12.0, 120.0, "/p")
+            assert highest_excess(target, set_at) <= 0
+            assert cluster.statuses == {200: sum(cluster.statuses.values())}
 
         _play(scenario, vms)
 
     def test_requests_without_a_key_to_an_owner_of_keys(self):
-        """Guards against requests that pass a bound on those with a key."""
+        """Guards against requests without a key that bypass the limit."""
 
-        async def scenario(made):
-            await made.call(2.0, 60.0, "/s", fleet.any_key)
-            target = made.owner()
-            named = _limit(target, 6.1)
+        async def scenario(cluster):
+            await cluster.call(2.0, 60.0, "/s", fleet.any_key)
+            target = cluster.owner()
+            set_at = _set_limit(target, 6.1)
             await asyncio.gather(
-                made.call(12.0, 60.0, "/s", fleet.any_key),
-                made.call(12.0, 60.0, "/s"),
+                cluster.call(12.0, 60.0, "/s", fleet.any_key),
+                cluster.call(12.0, 60.0, "/s"),
             )
-            assert most_beyond(target, named) <= 0
+            assert highest_excess(target, set_at) <= 0
 
         _play(scenario, 10)
 
     def test_only_target_of_a_service(self):
-        """Guards against a bound that is dropped where there is no choice."""
-
-        async def scenario(made):
-            await made.call(2.0, 40.0, "/p")
-            target = made.targets["p0"]
-            named = _limit(target, 6.1)
-            await made.call(12.0, 40.0, "/p")
-            assert most_beyond(target, named) <= 0
-            assert _share(target, named + 4.0, named + 12.0) > 3.0
-            assert made.statuses.keys() == {200, 503}
-            assert min(made.refusals) > 0
+        """Guards against a limit that is ignored for a sole target."""
+
+        async def scenario(cluster):
+            await cluster.call(2.0, 40.0, "/p")
+            target = cluster.targets["p0"]
+            set_at = _set_limit(target, 6.1)
+            await cluster.call(12.0, 40.0, "/p")
+            assert highest_excess(target, set_at) <= 0
+            assert _request_rate(target, set_at + 4.0, set_at + 12.0) > 3.0
+            assert cluster.statuses.keys() == {200, 503}
+            assert min(cluster.refusals) > 0
 
         _play(scenario, 10, plain=1)
 
     @pytest.mark.parametrize("seed", [1, 2, 3, 4, 5, 6])
-    def test_vms_that_hear_nobody(self, seed):
-        """Guards against cut-off VMs that each take the whole for theirs.
+    def test_cut_off_vms(self, seed):
+        """Guards against cut-off VMs that each use the whole limit.
 
-        Their leader goes on for some time while the others have a new one.
+        Their leader remains a leader for a while after the others have a new
+        one.
         """
 
-        async def scenario(made):
-            await made.call(2.0, 120.0, "/s", fleet.any_key)
-            target = made.owner()
-            made.isolate(*list(made.vms)[:15])
-            named = _limit(target, 6.1)
-            await made.call(12.0, 200.0, "/s", fleet.any_key)
-            assert most_beyond(target, named) <= 0
+        async def scenario(cluster):
+            await cluster.call(2.0, 120.0, "/s", fleet.any_key)
+            target = cluster.owner()
+            cluster.isolate(*list(cluster.vms)[:15])
+            set_at = _set_limit(target, 6.1)
+            await cluster.call(12.0, 200.0, "/s", fleet.any_key)
+            assert highest_excess(target, set_at) <= 0
 
         _play(scenario, 20, seed=seed)
 
-    def test_gate_and_leader_are_lost(self):
-        """Guards against an old sender and its follower that both send."""
+    def test_lost_gate_and_leader(self):
+        """Guards against an old and a new sender that both send."""
 
-        async def scenario(made):
-            await made.call(2.0, 120.0, "/s", fleet.any_key)
-            target = made.owner()
-            named = _limit(target, 6.1)
+        async def scenario(cluster):
+            await cluster.call(2.0, 120.0, "/s", fleet.any_key)
+            target = cluster.owner()
+            set_at = _set_limit(target, 6.1)
             calling = asyncio.create_task(
-                made.call(16.0, 120.0, "/s", fleet.any_key)
+                cluster.call(16.0, 120.0, "/s", fleet.any_key)
             )
             for _ in range(3):
                 await asyncio.sleep(4.0)
-                gates = made.leader().balancer._gates
-                gate = made.vms.get(gates.get(target.id))
-                for lost in {made.leader(), gate or made.leader()}:
-                    made.vms.pop(lost.name).end()
+                gates = cluster.leader().balancer._gates
+                gate = cluster.vms.get(gates.get(target.id))
+                for lost in {cluster.leader(), gate or cluster.leader()}:
+                    cluster.vms.pop(lost.name).end()
             await calling
-            assert most_beyond(target, named) <= 0
+            assert highest_excess(target, set_at) <= 0
 
         _play(scenario, 12)
 
-    def test_vms_that_start(self):
-        """Guards against VMs that start while a limit is named."""
+    def test_new_vms(self):
+        """Guards against new VMs that ignore a limit in force."""
 
-        async def scenario(made):
-            await made.call(2.0, 120.0, "/s", fleet.any_key)
-            target = made.owner()
-            named = _limit(target, 3.1)
+        async def scenario(cluster):
+            await cluster.call(2.0, 120.0, "/s", fleet.any_key)
+            target = cluster.owner()
+            set_at = _set_limit(target, 3.1)
             calling = asyncio.create_task(
-                made.call(14.0, 120.0, "/s", fleet.any_key)
+                cluster.call(14.0, 120.0, "/s", fleet.any_key)
             )
             for number in range(10):
                 await asyncio.sleep(1.0)
-                made.add_vm(f"vm-9{number}")
+                cluster.add_vm(f"vm-9{number}")
             await calling
-            assert most_beyond(target, named) <= 0
+            assert highest_excess(target, set_at) <= 0
 
         _play(scenario, 5)
 
 
-class TestDisorder:
-    """Limits while VMs are killed, cut off and started, and the store fails."""
+class TestFaults:
+    """Limits while VMs fail, are cut off and start, and the store fails."""
 
     @pytest.mark.parametrize("seed", [1, 5, 13])
-    def test_series(self, seed):
-        """Guards against faults in series in which the sum is exceeded."""
+    def test_series_of_faults(self, seed):
+        """Guards against series of faults in which the sum is exceeded."""
 
-        async def scenario(made):
-            await made.call(2.0, 150.0, "/s", fleet.any_key)
+        async def scenario(cluster):
+            await cluster.call(2.0, 150.0, "/s", fleet.any_key)
             calling = [
                 asyncio.create_task(
-                    made.call(14.0, 120.0, "/s", fleet.any_key)
+                    cluster.call(14.0, 120.0, "/s", fleet.any_key)
                 ),
-                asyncio.create_task(made.call(14.0, 60.0, "/p")),
-                asyncio.create_task(made.call(14.0, 15.0, "/s")),
+                asyncio.create_task(cluster.call(14.0, 60.0, "/p")),
+                asyncio.create_task(cluster.call(14.0, 15.0, "/s")),
             ]
             limited = [
-                (target, _limit(target, made.chance.choice((0.4, 2.6, 6.1))))
-                for target in made.chance.sample(list(made.targets.values()), 3)
+                (
+                    target,
+                    _set_limit(target, cluster.chance.choice((0.4, 2.6, 6.1))),
+                )
+                for target in cluster.chance.sample(
+                    list(cluster.targets.values()), 3
+                )
             ]
             for number in range(9):
-                await asyncio.sleep(made.chance.uniform(0.3, 1.5))
-                self._disturb(made, number)
-            self._heal(made)
+                await asyncio.sleep(cluster.chance.uniform(0.3, 1.5))
+                self._inject_fault(cluster, number)
+            self._heal(cluster)
             await asyncio.gather(*calling)
-            assert [b for t, s in limited if (b := most_beyond(t, s)) > 0] == []
+            assert [
+                b for t, s in limited if (b := highest_excess(t, s)) > 0
+            ] == []
 
         _play(scenario, 12, seed=seed)
 
-    def _disturb(self, made, number):
-        alive = sorted(made.vms)
-        what = made.chance.choice(("kill", "cut", "heal", "start", "store"))
-        if what == "kill" and len(alive) > 6:
-            made.vms.pop(made.chance.choice(alive)).end()
-        elif what == "cut":
-            made.isolate(*made.chance.sample(alive, len(alive) // 3))
-        elif what == "heal":
-            self._heal(made)
-        elif what == "start":
-            made.add_vm(f"vm-9{number}")
-        elif what == "store":
-            made.store.failing = fakes.UNKNOWN
-
-    def _heal(self, made):
-        made.cut.clear()
-        made.store.failing = None
-        for vm in made.vms.values():
+    def _inject_fault(self, cluster, number):
+        alive = sorted(cluster.vms)
+        fault = cluster.chance.choice(("kill", "cut", "heal", "start", "store"))
+        if fault == "kill" and len(alive) > 6:
+            cluster.vms.pop(cluster.chance.choice(alive)).end()
+        elif fault == "cut":
+            cluster.isolate(*cluster.chance.sample(alive, len(alive) // 3))
+        elif fault == "heal":
+            self._heal(cluster)
+        elif fault == "start":
+            cluster.add_vm(f"vm-9{number}")
+        elif fault == "store":
+            cluster.store.failing = fakes.UNKNOWN
+
+    def _heal(self, cluster):
+        cluster.cut.clear()
+        cluster.store.failing = None
+        for vm in cluster.vms.values():
             vm.store.failing = None
 
 
-class TestOtherAnswers:
-    """A limit that no answer to a caller's request has named yet."""
+class TestOtherResponses:
+    """A limit that no response to a caller's request has stated yet."""
 
-    def test_answer_to_an_order(self):
-        """Guards against an owner in need whose limit its leader passes by."""
+    def test_response_to_an_order(self):
+        """Guards against a leader that ignores limits in order responses."""
 
-        async def scenario(made):
-            target = made.owner()
-            made.orders.notices[target.id] = target_feedback.TargetFeedback(
+        async def scenario(cluster):
+            target = cluster.owner()
+            cluster.orders.notices[target.id] = target_feedback.TargetFeedback(
                 limit=3.1, names_limit=True
             )
             await asyncio.sleep(2.0)
-            known = [vm.cluster.limits.dump() for vm in made.vms.values()]
-            assert all(limits == {target.id: 3.1} for limits in known)
+            recorded = [vm.cluster.limits.dump() for vm in cluster.vms.values()]
+            assert all(limits == {target.id: 3.1} for limits in recorded)
 
         _play(scenario, 10)
 
 
 class TestUse:
-    """A target in need gets what it takes, and all again afterwards."""
-
-    def test_keys_move_until_the_rest_fits(self):
-        """Guards against callers that are refused while others have room."""
-
-        async def scenario(made):
-            await made.call(3.0, 120.0, "/s", fleet.any_key)
-            target = made.owner()
-            named = _limit(target, 6.1)
-            await made.call(8.0, 120.0, "/s", fleet.any_key)
-            made.statuses.clear()
-            await made.call(6.0, 120.0, "/s", fleet.any_key)
-            asked = sum(made.statuses.values())
-            assert made.statuses[200] > 0.97 * asked
-            assert _share(target, named + 8.0, named + 14.0) > 1.0
+    """A limited target gets up to its limit, and full load afterwards."""
+
+    def test_keys_move_until_the_load_fits(self):
+        """Guards against refusals while other targets have capacity."""
+
+        async def scenario(cluster):
+            await cluster.call(3.0, 120.0, "/s", fleet.any_key)
+            target = cluster.owner()
+            set_at = _set_limit(target, 6.1)
+            await cluster.call(8.0, 120.0, "/s", fleet.any_key)
+            cluster.statuses.clear()
+            await cluster.call(6.0, 120.0, "/s", fleet.any_key)
+            requested = sum(cluster.statuses.values())
+            assert cluster.statuses[200] > 0.97 * requested
+            assert _request_rate(target, set_at + 8.0, set_at + 14.0) > 1.0
 
         _play(scenario, 10)
 
     @pytest.mark.parametrize("path", ["/s", "/p"])
     def test_limit_is_lifted(self, path):
-        """Guards against a limit that outlives its last naming."""
+        """Guards against a limit that outlives its last statement."""
 
-        async def scenario(made):
+        async def scenario(cluster):
             key = fleet.any_key if path == "/s" else None
-            await made.call(2.0, 120.0, path, key)
-            target = made.owner() if key else made.targets["p0"]
-            _limit(target, 6.1)
-            await made.call(6.0, 120.0, path, key)
+            await cluster.call(2.0, 120.0, path, key)
+            target = cluster.owner() if key else cluster.targets["p0"]
+            _set_limit(target, 6.1)
+            await cluster.call(6.0, 120.0, path, key)
             del target.says["server-limit"]
-            lifted = virtual.now()
-            await made.call(20.0, 120.0, path, key)
-            assert _share(target, lifted + 12.0, lifted + 20.0) > 10.0
-            known = [vm.cluster.limits.dump() for vm in made.vms.values()]
-            assert not any(known)
+            lifted_at = virtual.now()
+            await cluster.call(20.0, 120.0, path, key)
+            assert (
+                _request_rate(target, lifted_at + 12.0, lifted_at + 20.0) > 10.0
+            )
+            recorded = [vm.cluster.limits.dump() for vm in cluster.vms.values()]
+            assert not any(recorded)
 
         _play(scenario, 10)
 
-    def test_new_run_at_the_same_address(self):
-        """Guards against the limit of a run that is over."""
+    def test_new_incarnation_at_the_same_address(self):
+        """Guards against the limit of an ended incarnation."""
 
-        async def scenario(made):
-            await made.call(2.0, 120.0, "/p")
-            target = made.targets["p0"]
-            _limit(target, 0.4)
-            await made.call(5.0, 120.0, "/p")
+        async def scenario(cluster):
+            await cluster.call(2.0, 120.0, "/p")
+            target = cluster.targets["p0"]
+            _set_limit(target, 0.4)
+            await cluster.call(5.0, 120.0, "/p")
             del target.says["server-limit"]
             target.born = 2
-            made.apply_target(target.registration)
+            cluster.apply_target(target.registration)
             began = virtual.now()
-            await made.call(4.0, 120.0, "/p")
-            assert _share(target, began, began + 4.0) > 10.0
+            await cluster.call(4.0, 120.0, "/p")
+            assert _request_rate(target, began, began + 4.0) > 10.0
 
         _play(scenario, 10)
 
     @pytest.mark.parametrize("rate", ["-3", "many", "1e99", ""])
-    def test_limit_that_makes_no_sense(self, rate):
-        """Guards against a target that is left alone for a word of nonsense."""
+    def test_invalid_limit(self, rate):
+        """Guards against a target without requests due to an invalid limit."""
 
-        async def scenario(made):
-            target = made.targets["p0"]
-            named = _limit(target, rate)
-            await made.call(6.0, 120.0, "/p")
-            assert _share(target, named, named + 6.0) > 15.0
+        async def scenario(cluster):
+            target = cluster.targets["p0"]
+            set_at = _set_limit(target, rate)
+            await cluster.call(6.0, 120.0, "/p")
+            assert _request_rate(target, set_at, set_at + 6.0) > 15.0
 
         _play(scenario, 10)
 
-    def test_no_requests_at_all(self):
-        """A limit of 0 is kept, and callers hear at once when to come back."""
+    def test_limit_of_zero(self):
+        """A limit of 0 applies; callers are refused at once."""
 
-        async def scenario(made):
-            await made.call(2.0, 60.0, "/p")
-            target = made.targets["p0"]
-            named = _limit(target, 0)
-            asked = await made.call(12.0, 60.0, "/p")
-            assert most_beyond(target, named) <= 0
+        async def scenario(cluster):
+            await cluster.call(2.0, 60.0, "/p")
+            target = cluster.targets["p0"]
+            set_at = _set_limit(target, 0)
+            asked = await cluster.call(12.0, 60.0, "/p")
+            assert highest_excess(target, set_at) <= 0
             assert all(task.done() for task in asked)
 
         _play(scenario, 10, plain=1)
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits that targets name."""
+"""Tests of the rate limits that targets set."""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -10,13 +10,13 @@
 from tests.gateway import fakes
 
 
-class TestHeard:
-    """Which of several answers counts."""
+class TestResponses:
+    """Limits from the responses of a target."""
 
     @pytest.mark.parametrize(
         ("answers", "expected"),
         [
-            # Rate, time at which the request was sent, time of the answer.
+            # Rate, time of the request, time of the response.
             ([(6.1, 0.0, 1.0)], 6.1),
             ([(6.1, 0.0, 1.0), (6.1, 0.5, 1.5)], 6.1),
             ([(6.1, 0.0, 1.0), (2.0, 0.5, 1.5)], 2.0),
@@ -29,24 +29,27 @@
             ([(0.0, 0.0, 1.0)], 0.0),
         ],
     )
-    def test_order_of_answers(self, answers, expected):
-        """Guards against a limit that an answer from before it lifts."""
-        made = limits.TargetLimits("vm-1")
+    def test_order_of_responses(self, answers, expected):
+        """Guards against an older response that lifts a newer limit."""
+        target_limits = limits.TargetLimits("vm-1")
         for rate, sent_at, now in answers:
-            made.hear("t", 1, rate, sent_at, now)
-        assert made.rate("t", 1) == expected
-
-    def test_new_run(self):
-        """Guards against a limit that outlives the run that named it."""
-        made = limits.TargetLimits("vm-1")
-        made.hear("t", 1, 6.1, 0.0, 1.0)
-        assert made.rate("t", 2) is None
-        made.hear("t", 2, 3.0, 0.5, 1.2)
-        assert not made.hear("t", 1, 9.0, 1.5, 2.0)
-        assert (made.rate("t", 1), made.rate("t", 2)) == (None, 3.0)
+            target_limits.observe("t", 1, rate, sent_at, now)
+        assert target_limits.rate("t", 1) == expected
+
+    def test_new_incarnation(self):
+        """Guards against a limit that outlives its incarnation."""
+        target_limits = limits.TargetLimits("vm-1")
+        target_limits.observe("t", 1, 6.1, 0.0, 1.0)
+        assert target_limits.rate("t", 2) is None
+        target_limits.observe("t", 2, 3.0, 0.5, 1.2)
+        assert not target_limits.observe("t", 1, 9.0, 1.5, 2.0)
+        assert (target_limits.rate("t", 1), target_limits.rate("t", 2)) == (
+            None,
+            3.0,
+        )
 
     def test_log(self):
-        """A limit is logged when it is named, changed and lifted."""
+        """A limit is logged when it is set, changed and lifted."""
 
         async def main():
             log, timer = fakes.Lines(), fakes.VirtualClock()
@@ -62,13 +65,13 @@
         virtual.run(main())
 
 
-class TestLearned:
-    """What one VM tells another."""
+class TestUpdates:
+    """Limits that VMs report to each other."""
 
     @pytest.mark.parametrize(
-        ("heard", "told", "expected"),
+        ("own", "peer", "expected"),
         [
-            # Rate and time of the own answer; rate and time of the peer's.
+            # Rate and time of the own response; rate and time of the peer's.
             ((None, 0.0), (6.1, 5.0), 6.1),
             ((6.1, 4.0), (None, 5.0), None),
             ((6.1, 4.8), (None, 5.0), 6.1),
@@ -78,44 +81,46 @@
             ((3.0, 4.0), (6.1, 5.0), 6.1),
         ],
     )
-    def test_newer_word_counts(self, heard, told, expected):
-        """Guards against a limit that news from before it lift."""
-        made = limits.TargetLimits("vm-1")
-        made.hear("t", 1, heard[0], 0.0, heard[1])
+    def test_newer_update_applies(self, own, peer, expected):
+        """Guards against an older update that lifts a newer limit."""
+        target_limits = limits.TargetLimits("vm-1")
+        target_limits.observe("t", 1, own[0], 0.0, own[1])
         now = 10.0
-        made.learn("t", limits.LimitUpdate(1, told[0], now - told[1]), now)
-        assert made.rate("t", 1) == expected
+        target_limits.merge(
+            "t", limits.LimitUpdate(1, peer[0], now - peer[1]), now
+        )
+        assert target_limits.rate("t", 1) == expected
 
     def test_report(self):
-        """Guards against limits that a leader is told again and again."""
+        """Guards against reporting the same limits to a leader repeatedly."""
         one, leader = limits.TargetLimits("vm-1"), limits.TargetLimits("vm-2")
-        one.hear("t", 1, 6.1, 0.0, 1.0)
-        for name, news in one.unknown_to_leader(1.0).items():
-            assert leader.learn(name, news, 1.1)
-        one.record_leader_view(leader.news(1.2), 1.2)
+        one.observe("t", 1, 6.1, 0.0, 1.0)
+        for name, update in one.unknown_to_leader(1.0).items():
+            assert leader.merge(name, update, 1.1)
+        one.record_leader_view(leader.updates(1.2), 1.2)
         assert one.unknown_to_leader(2.0) == {}
-        one.hear("t", 1, 6.1, 2.0, 8.0)
+        one.observe("t", 1, 6.1, 2.0, 8.0)
         assert list(one.unknown_to_leader(8.0)) == ["t"]
-        one.hear("t", 1, None, 8.5, 9.0)
-        for name, news in one.unknown_to_leader(9.0).items():
-            leader.learn(name, news, 9.1)
+        one.observe("t", 1, None, 8.5, 9.0)
+        for name, update in one.unknown_to_leader(9.0).items():
+            leader.merge(name, update, 9.1)
         assert leader.rate("t", 1) is None
-        # A leader that knows nothing yet.
-        one.hear("t", 1, 2.0, 9.5, 9.6)
+        # A new leader without any limits.
+        one.observe("t", 1, 2.0, 9.5, 9.6)
         one.record_leader_view({}, 10.0)
         assert list(one.unknown_to_leader(10.0)) == ["t"]
 
-    def test_targets_that_are_gone_are_forgotten(self):
-        """Memory does not grow with the targets that ever named a limit."""
-        made = limits.TargetLimits("vm-1")
+    def test_ended_targets_are_dropped(self):
+        """Memory does not grow with the targets that ever set a limit."""
+        target_limits = limits.TargetLimits("vm-1")
         for number in range(50):
-            made.hear(f"t{number}", 1, 6.1, 0.0, 1.0)
-        made.forget_except({"t1": 1, "t2": 2})
-        assert list(made.dump()) == ["t1"]
+            target_limits.observe(f"t{number}", 1, 6.1, 0.0, 1.0)
+        target_limits.retain({"t1": 1, "t2": 2})
+        assert list(target_limits.dump()) == ["t1"]
 
 
-class TestPace:
-    """When a VM may send."""
+class TestRateLimiter:
+    """The rate limiter of a VM."""
 
     @hypothesis.settings(max_examples=100, deadline=None)
     @hypothesis.given(
@@ -124,14 +129,14 @@
         st.lists(st.floats(4.0, 20.0), max_size=3),
         st.sampled_from([10, 88, 300]),
     )
-    def test_senders_that_are_replaced(self, rate, gaps, replaced, vms):
-        """Guards against an old sender and its follower in one window.
+    def test_replaced_senders(self, rate, gaps, replaced, vms):
+        """Guards against an old and a new sender in one window.
 
-        The old one goes on for as long as what its peers know of it counts,
-        and every other VM takes its own turns.
+        The old sender continues until its last update from its peers expires,
+        and every other VM uses its own time slots.
         """
         changes = sorted(replaced)
-        paces = [
+        limiters = [
             limits.RateLimiter(rate, n / 4, 0.0)
             for n in range(len(changes) + 1)
         ]
@@ -144,58 +149,61 @@
                 for behind in (0.0, 1.5)
             }
             for sender in senders:
-                if not paces[sender].wait(now):
-                    paces[sender].take(now)
+                if not limiters[sender].wait(now):
+                    limiters[sender].take(now)
                     sent.append(now)
             other = others[number % vms]
             if not other.share_wait(vms, now):
                 other.take_share(vms, now)
                 sent.append(now)
-        most = max(
+        highest = max(
             (sum(end - 4.0 < at <= end for at in sent) for end in sent),
             default=0,
         )
-        assert most <= 1.5 * rate * 4.0 + 5
+        assert highest <= 1.5 * rate * 4.0 + 5
 
     @pytest.mark.parametrize("vms", [10, 88, 300])
-    def test_own_turns_are_not_saved(self, vms):
-        """Guards against all VMs using up what they saved at one moment."""
+    def test_time_slots_do_not_accumulate(self, vms):
+        """Guards against accumulated slots that all VMs use at one moment."""
         rate = 6.1
-        paces = [limits.RateLimiter(rate, n / vms, 0.0) for n in range(vms)]
-        for alone in (False, True):
+        limiters = [limits.RateLimiter(rate, n / vms, 0.0) for n in range(vms)]
+        for without_sender in (False, True):
             at_once = sum(
-                not pace.share_wait(vms, 1000.0, alone=alone) for pace in paces
+                not limiter.share_wait(
+                    vms, 1000.0, without_sender=without_sender
+                )
+                for limiter in limiters
             )
             assert at_once <= 3
 
     @pytest.mark.parametrize("vms", [10, 88, 300])
     @pytest.mark.parametrize("rate", [0.4, 6.1, 40.0])
-    def test_vms_that_hear_nobody(self, vms, rate):
-        """Guards against cut-off VMs that each take the whole for theirs."""
-        paces = [
+    def test_cut_off_vms(self, vms, rate):
+        """Guards against cut-off VMs that each use the whole limit."""
+        limiters = [
             limits.RateLimiter(rate, (n * 0.618) % 1, 0.0) for n in range(vms)
         ]
         sent = []
         for step in range(1000):
             now = step * 0.04
-            for pace in paces:
-                if not pace.share_wait(vms, now, alone=True):
-                    pace.take_share(vms, now, alone=True)
+            for limiter in limiters:
+                if not limiter.share_wait(vms, now, without_sender=True):
+                    limiter.take_share(vms, now, without_sender=True)
                     sent.append(now)
-        most = max(sum(end - 4.0 < at <= end for at in sent) for end in sent)
-        assert most <= rate * 4.0 + 2
+        highest = max(sum(end - 4.0 < at <= end for at in sent) for end in sent)
+        assert highest <= rate * 4.0 + 2
         assert len(sent) > 0.3 * rate * 40.0 - 2
 
-    def test_sender_saves_little(self):
-        """Guards against a rush after a quiet time."""
-        pace = limits.RateLimiter(6.1, 0.0, 0.0)
+    def test_sender_accumulates_few_tokens(self):
+        """Guards against a burst after an idle period."""
+        limiter = limits.RateLimiter(6.1, 0.0, 0.0)
         sent = 0
-        while not pace.wait(1000.0):
-            pace.take(1000.0)
+        while not limiter.wait(1000.0):
+            limiter.take(1000.0)
             sent += 1
         assert sent == 1
 
-    def test_no_requests_at_all(self):
-        """Guards against a target that can never say it takes more."""
-        pace = limits.RateLimiter(0.0, 0.0, 0.0)
-        assert 1.0 < pace.wait(0.0) < 20.0
+    def test_limit_of_zero(self):
+        """Guards against a limit of 0 that the target can never raise."""
+        limiter = limits.RateLimiter(0.0, 0.0, 0.0)
+        assert 1.0 < limiter.wait(0.0) < 20.0
--- a/tests/gateway/test_sampling.py
+++ b/tests/gateway/test_sampling.py
@@ -1,4 +1,4 @@
-"""Which few targets are compared."""
+"""Tests of the selection of targets to compare."""
 
 import random
 
@@ -34,15 +34,15 @@
 
 
 class TestPool:
-    """A VM's subset."""
+    """A VM's subset of the targets."""
 
     @pytest.mark.parametrize(("count", "kept"), [(3, 3), (8, 8), (40, 8)])
-    def test_part_of_each_distance(self, count, kept):
+    def test_subset_of_each_distance(self, count, kept):
         """Guards against a connection from every VM to every target."""
-        made = _pool(_targets(count))
-        assert {t.zone for t in made.nearest} == {"near"}
+        pool = _pool(_targets(count))
+        assert {t.zone for t in pool.nearest} == {"near"}
         for zone in ZONES:
-            assert sum(t.zone == zone for t in made.all) == kept
+            assert sum(t.zone == zone for t in pool.all) == kept
 
     def test_subsets_cover_all_targets(self):
         """Guards against targets that no VM ever draws."""
@@ -51,27 +51,27 @@
         counts = [used.count(t.id) for t in targets]
         assert min(counts) > 88 * 8 / 40 / 2.5
 
-    def test_none(self):
-        """A service without targets."""
+    def test_no_targets(self):
+        """A service without targets has an empty pool."""
         assert _pool([]) == sampling.Pool((), ())
 
 
 class TestSample:
-    """A draw for one request."""
+    """A sample for one request."""
 
     @pytest.mark.parametrize("count", [1, 2, 3, 8])
-    def test_different_and_near_ones_first(self, count):
-        """Guards against a sample without the targets nearby."""
-        made = _pool(_targets(6))
+    def test_nearest_targets_first(self, count):
+        """Guards against a sample without the nearest targets."""
+        pool = _pool(_targets(6))
         drawn = sampling.sample(
-            made, count, random.Random(3).random, lambda _: False
+            pool, count, random.Random(3).random, lambda _: False
         )
         assert len({t.id for t in drawn}) == count
         assert sum(t.zone == "near" for t in drawn) == min(count, 6)
 
     @pytest.mark.parametrize("left", [0, 1, 2])
-    def test_excluded_ones(self, left):
-        """Guards against a target that was tried or found full already."""
+    def test_excluded_targets(self, left):
+        """Guards against targets that were already tried or found full."""
         targets = _targets(3, ("near",))
         excluded = {t.id for t in targets[left:]}
         drawn = sampling.sample(
