--- a/packages/mimosastile-gateway/src/mimosastile_gateway/beliefs.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/beliefs.py
@@ -1,4 +1,4 @@
-"""What this VM believes: configuration, targets, owners of keys, the leader."""
+"""This VM's view of the cluster: configuration, targets, key owners, leader."""
 
 import asyncio
 from collections.abc import Callable
@@ -26,65 +26,70 @@
 from mimosastile_gateway import ports
 from mimosastile_gateway import settings
 
-_FORGET_SECONDS = 30.0
-"""A vanished target is remembered this long, so that orders can reach it."""
+_REMOVED_TARGET_RETENTION_SECONDS = 30.0
+"""Retention of a target after its registration was removed, so that orders can
+still reach it."""
 _DRAIN_SHARE = 0.9
-"""Part of the time within which a leaving target must get no new work; the
-rest covers requests that are on their way."""
+"""Part of the drain time for which a leaving target may still get new work; the
+rest covers requests that are in flight."""
 _LATE_SHARE = 0.25
-"""Part of the grace that is left when a vanishing is found by comparing lists,
-which follows a silence of the watch of up to a second and a half."""
+"""Part of the grace period that is left when a removal is detected by comparing
+lists: that happens after a watch was silent for up to 1.5 s."""
 
 _EVACUATION_SHARE = 0.3
-"""Part of the time that an evacuation may take for which owners of keys go on
-serving them; the rest covers the way of the news."""
-_COLD_MARGIN = 0.2
-"""Seconds for which targets of a zone are taken for cold beyond the time that
-they say, for clocks that differ."""
-_STORE_AWAY_SECONDS = 3.0
-"""Retry-After for keys that move as soon as the store is back."""
-_JUST_NOW: Mapping[str, float] = {}
-_LOGGED_SINGLY = 20
-"""Changes of registrations that have a log line each; more have one together.
-A thousand targets that start would be a thousand lines on each VM."""
-_CONFIGURATIONS_KEPT = 32
-"""Earlier configurations kept, to tell VMs what has changed since. Operators
-change it up to some ten times a second for a few seconds; a VM reports twice
-a second."""
+"""Part of the time limit of an evacuation for which owners in the zone go on
+serving their keys; the rest covers the dissemination of the update."""
+_COLD_MARGIN_SECONDS = 0.2
+"""Seconds for which targets of a zone count as cold beyond their configured
+warm-up, to allow for clock drift."""
+_STORE_OUTAGE_RETRY_AFTER_SECONDS = 3.0
+"""Retry-After in seconds for keys that move once the store is available again.
+"""
+_NO_TIMES: Mapping[str, float] = {}
+_MAX_SINGLE_LOG_LINES = 20
+"""Largest number of registration changes that are logged one line each; more
+are summed up in one line. A thousand targets that start would otherwise write a
+thousand lines on each VM."""
+_CONFIGURATION_HISTORY_SIZE = 32
+"""Number of earlier configurations kept to send VMs only the changes since.
+Operators change the configuration up to about ten times a second for a few
+seconds; a VM reports twice a second."""
 
 
 class Beliefs:
-    """The present state, with a signal for whoever waits for a change.
+    """Current cluster state as seen by this VM, with change notification.
 
     Attributes:
-        route_table: Finds its routes.
-        shares: Deals requests out among the parts of a route.
+        route_table: Looks up the routes of the configuration.
+        shares: Distributes requests among the weighted parts of a route.
         directory: All targets.
         assignments: Owners of keys by service.
-        leader: The leader, None if none is known.
-        leader_since: When it became known, on the clock that runs on while
-            the machine is suspended.
+        leader: The leader, None if none is recorded.
+        leader_since: Time at which the leader was recorded, on the clock that
+            keeps running while the machine is suspended.
         vms: Entry VMs as last read from the store.
-        eligibility: Which targets may run a request, by their place.
+        eligibility: Decides by region and zone which targets may run a
+            request.
         evacuations: Zones that are evacuated.
-        limits: Rates that targets have named for all VMs together.
-        rests: Times for which targets want nothing from this VM.
-        seen: Store revision up to which all registrations are known.
+        limits: Rate limits that targets have set for all VMs together.
+        rests: Backoffs that targets have requested from this VM.
+        seen: Store revision up to which all registrations are included.
         configuration_seen: Store revision up to which the configuration in
             force and the evacuations are the newest.
-        registrations: Until when the directory surely held all registrations.
-        operated: Until when the configuration in force and the evacuations
-            surely were the newest.
-        store_ok: Whether the last call to the store was answered.
-        store_since: Loop time since which that is so, None before the first
-            answer.
+        registrations: Latest time at which the directory is proven to have
+            held all registrations.
+        operated: Latest time at which the configuration in force and the
+            evacuations are proven to have been the newest.
+        store_ok: Whether the last call to the store succeeded.
+        store_since: Loop time since which `store_ok` has its value, None
+            before the first response.
     """
 
     __slots__ = (
         "_changed",
         "_clock",
         "_configurations",
-        "_evacuated_at",
+        "_evacuation_began",
         "_events",
         "_settings",
         "_store_failed_at",
@@ -115,14 +120,16 @@
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
-        """Makes beliefs of a VM that knows nothing yet."""
+        """Creates the empty state of a VM that has received nothing yet."""
         grace = configured.bounds.drain * _DRAIN_SHARE
         self._settings = configured
         self._clock = timer
         self._events = log
         self._changed = asyncio.Event()
         self._subscribers: list[Callable[[], None]] = []
-        self._configurations = configurations.History(_CONFIGURATIONS_KEPT)
+        self._configurations = configurations.History(
+            _CONFIGURATION_HISTORY_SIZE
+        )
         self.route_table = routes.RouteTable()
         self.shares = routes.WeightedShares()
         self.directory = directory.Directory(grace, grace * _LATE_SHARE)
@@ -134,7 +141,7 @@
         )
         self.evacuations = eligibility.Evacuations()
         self.eligibility = eligibility.Eligibility(configured.vm.regions)
-        self._evacuated_at: dict[str, float] = {}
+        self._evacuation_began: dict[str, float] = {}
         self.limits = limits.Limits(configured.vm.id)
         self.rests = rests.Rests()
         self.seen = 0
@@ -149,7 +156,7 @@
         self.store_since: float | None = None
 
     def set_drain(self, seconds: float) -> None:
-        """Changes how long a leaving target may get work."""
+        """Sets the drain time of leaving targets, in seconds."""
         grace = seconds * _DRAIN_SHARE
         self.directory.set_grace(grace, grace * _LATE_SHARE)
 
@@ -161,20 +168,23 @@
     @property
     def version(self) -> int:
         """Version of the configuration in force, -1 before the first one."""
-        known = self._configurations.present
-        return known.version if known else -1
+        current = self._configurations.present
+        return current.version if current else -1
 
     @property
     def changed(self) -> asyncio.Event:
-        """Set once at the next change; take it before looking."""
+        """Event set once, at the next change.
+
+        Callers get it before they read the state, so as to miss no change.
+        """
         return self._changed
 
     def subscribe(self, callback: Callable[[], None]) -> None:
-        """Has a function called after each change."""
+        """Registers a function that is called after each change."""
         self._subscribers.append(callback)
 
     def signal(self) -> None:
-        """Tells everyone who waits that something has changed."""
+        """Wakes all waiters and calls all subscribers after a change."""
         self._changed.set()
         self._changed = asyncio.Event()
         for callback in self._subscribers:
@@ -183,11 +193,14 @@
     def take_configuration(
         self, new: routes.Configuration, source: str = ""
     ) -> bool:
-        """Takes a configuration unless a newer one is in force.
+        """Applies a configuration unless a newer one is in force.
 
         Args:
             new: The configuration.
-            source: From whom it comes, for the log.
+            source: Sender of the configuration, for the log.
+
+        Returns:
+            Whether the configuration was applied.
         """
         former = self.version
         if not self._configurations.take(new):
@@ -206,24 +219,25 @@
         return True
 
     def take_evacuations(self, new: eligibility.Evacuations) -> None:
-        """Takes the evacuated zones unless newer ones are known."""
-        known = self.evacuations
-        if new.revision <= known.revision:
+        """Applies the evacuated zones unless the current ones are newer."""
+        current = self.evacuations
+        if new.revision <= current.revision:
             return
         self.evacuations = new
-        if new.zones == known.zones:
+        if new.zones == current.zones:
             return
         now = self._clock.now()
         self.eligibility = eligibility.Eligibility(
             self._settings.vm.regions, new.zones
         )
-        self._evacuated_at = {
-            zone: self._evacuated_at.get(zone, now) for zone in new.zones
+        self._evacuation_began = {
+            zone: self._evacuation_began.get(zone, now) for zone in new.zones
         }
-        ended = set(known.zones) - set(new.zones)
+        ended = set(current.zones) - set(new.zones)
         cold = self._cold_seconds()
         for zone in ended:
-            # Its targets may be cold, and say so in a heartbeat or two.
+            # Targets of the zone may be cold, but their registrations show
+            # that only one or two heartbeats later.
             self.directory.take_for_cold(zone, cold, now)
         self._events.write(
             "targets",
@@ -235,11 +249,11 @@
         self.signal()
 
     def _cold_seconds(self) -> dict[str, float]:
-        """Returns how long targets of each service are cold, if that counts."""
+        """Returns the warm-up time in seconds of services that bound it."""
         configuration = self.configuration
         services = configuration.services if configuration else {}
         return {
-            name: service.cold_seconds + _COLD_MARGIN
+            name: service.cold_seconds + _COLD_MARGIN_SECONDS
             for name, service in services.items()
             if service.cold_rate
         }
@@ -249,23 +263,26 @@
     ) -> eligibility.Exclusion | None:
         """Returns why the owner of a key may not run a request for it.
 
-        The keys of an evacuated zone are being moved. Until their owner is
-        asked to release them it goes on serving, for a part of the time that
-        an evacuation may take.
+        The keys of an evacuated zone are moved away. Their owner goes on
+        serving them until it is requested to release them, but only for a
+        part of the time limit of an evacuation.
 
         Args:
             zone: Zone of the owner.
             allowed: Regions that the request's route allows; empty for any.
+
+        Returns:
+            The reason, None if the owner may run the request.
         """
         why = self.eligibility.exclusion(zone, allowed)
         if why is not eligibility.Exclusion.EVACUATED:
             return why
-        since = self._clock.now() - self._evacuated_at.get(zone, -math.inf)
+        since = self._clock.now() - self._evacuation_began.get(zone, -math.inf)
         limit = self._settings.bounds.evacuation * _EVACUATION_SHARE
         return None if since < limit else why
 
     def cold_seconds(self, target: str) -> float:
-        """Returns for how long a target's rate is bounded, 0 if it is not."""
+        """Returns the seconds left of a target's rate-bounded warm-up, or 0."""
         entry = self.directory.get(target)
         configuration = self.configuration
         if entry is None or configuration is None:
@@ -276,7 +293,7 @@
         return entry.warm_in(self._clock.now())
 
     def cold_targets(self) -> list[str]:
-        """Returns the cold targets whose rate is bounded."""
+        """Returns the identifiers of cold targets whose rate is bounded."""
         bounded = self._cold_seconds()
         if not bounded:
             return []
@@ -290,29 +307,29 @@
     def able_owners(self, service: routes.Service) -> list[directory.Target]:
         """Returns the targets of a service that should own its keys.
 
-        Cold ones do so only if there is no other: each would serve a few
-        requests a second, whatever keys it owns.
+        Cold targets are included only if there are no others: a cold target
+        serves only a few requests a second, regardless of the keys it owns.
         """
         configuration = self.configuration
         assert configuration is not None
         regions = eligibility.owner_regions(configuration, service.name)
-        placed = [
+        eligible = [
             target
             for target in self.directory.ready(service.name)
             if self.eligibility.allows(target.zone, regions)
         ]
         if not service.cold_rate:
-            return placed
+            return eligible
         now = self._clock.now()
-        warm = [t for t in placed if not self.directory.warm_in(t.id, now)]
-        return warm or placed
+        warm = [t for t in eligible if not self.directory.warm_in(t.id, now)]
+        return warm or eligible
 
     def take_vms(self, items: Iterable[ports.Item]) -> None:
-        """Takes the list of registered VMs."""
+        """Replaces the list of registered VMs."""
         self.vms = {entry.id: entry for entry in self.read_vms(items)}
 
     def read_vms(self, items: Iterable[ports.Item]) -> list[messages.VmEntry]:
-        """Decodes entries of VMs; one that cannot be read is left out."""
+        """Decodes VM entries; logs and skips those that are malformed."""
         vms = []
         for item in items:
             try:
@@ -326,28 +343,28 @@
         return vms
 
     def take_target(self, target: directory.Target) -> None:
-        """Takes a target's registration."""
+        """Applies a target's registration."""
         self.take_registrations((target,))
 
     def take_registrations(
         self,
         targets: Iterable[directory.Target],
         vanished: Iterable[tuple[str, int]] = (),
-        since: Mapping[str, float] = _JUST_NOW,
+        since: Mapping[str, float] = _NO_TIMES,
     ) -> None:
-        """Takes changes of registrations, with one signal for all.
+        """Applies changes of registrations, with one signal for all.
 
         Args:
-            targets: Targets as they have registered themselves.
-            vanished: Identifiers of others whose registration has vanished,
-                with the store's revision of that, 0 if it is not known.
-            since: Earliest time of each change, by target; now if it is not
-                named.
+            targets: Added and changed registrations.
+            vanished: Identifiers of targets whose registration was removed,
+                with the store's revision of the removal, 0 if unknown.
+            since: Earliest time of each change, by target; the present time
+                for targets that are missing.
         """
         now = self._clock.now()
         written = []
         for target in targets:
-            self._note_older_run(target)
+            self._log_older_incarnation(target)
             if self.directory.put(target, now, since.get(target.id)):
                 written.append(target)
         gone = [
@@ -359,7 +376,7 @@
         ]
         if not written and not gone:
             return
-        if len(written) + len(gone) > _LOGGED_SINGLY:
+        if len(written) + len(gone) > _MAX_SINGLE_LOG_LINES:
             self._events.write(
                 "targets",
                 "targets_changed",
@@ -368,12 +385,13 @@
                 gone=len(gone),
             )
         else:
-            self._log_singly(written, gone)
+            self._log_each_change(written, gone)
         self.signal()
 
-    def _log_singly(
+    def _log_each_change(
         self, written: Iterable[directory.Target], gone: Iterable[str]
     ) -> None:
+        """Logs one line for each changed or removed registration."""
         for target in written:
             self._events.write(
                 "targets",
@@ -382,23 +400,23 @@
                 born=target.born,
                 service=target.service,
                 address=target.address,
-                age=self._standing_age(target.id),
+                age=self._status_age(target.id),
             )
         for name in gone:
             self._events.write(
                 "targets",
                 "target_gone",
                 target=name,
-                age=self._standing_age(name),
+                age=self._status_age(name),
             )
 
-    def _standing_age(self, target: str) -> float:
-        """Returns for how many seconds a target may have stood as it does."""
+    def _status_age(self, target: str) -> float:
+        """Returns the largest possible age of a target's status, in seconds."""
         entry = self.directory.get(target)
         return round(self._clock.now() - entry.since, 3) if entry else 0.0
 
-    def _note_older_run(self, target: directory.Target) -> None:
-        """Logs a registration of a run that is known to be over."""
+    def _log_older_incarnation(self, target: directory.Target) -> None:
+        """Logs a registration of an incarnation that has already ended."""
         newer = self.directory.newer_run(target)
         if newer is not None:
             self._events.write(
@@ -415,38 +433,38 @@
         notice: reported.Notice,
         sent_at: float = -math.inf,
     ) -> bool:
-        """Takes what a target has said of itself, whatever it has answered.
+        """Applies the target feedback of a response, of any status.
 
         Args:
             target: The target.
-            notice: What it has said.
-            sent_at: When the request was sent that it answers, if an answer
-                without a limit says that it has none.
+            notice: The target feedback of the response.
+            sent_at: When the request was sent, if a response without a limit
+                means that the target has none.
 
         Returns:
-            Whether that is news for all VMs.
+            Whether all VMs should receive an update.
         """
-        news = False
+        is_new = False
         lifts = not notice.names_limit and sent_at > -math.inf
         if notice.limit is not None or lifts:
-            news = self.hear_limit(target, notice.limit, sent_at)
+            is_new = self.hear_limit(target, notice.limit, sent_at)
         if notice.leaving:
-            news = self.hear_leaving(target) or news
-        return news
+            is_new = self.hear_leaving(target) or is_new
+        return is_new
 
     def hear_limit(
         self, target: directory.Target, rate: float | None, sent_at: float
     ) -> bool:
-        """Takes what a target has said of its limit in an answer.
+        """Applies the rate limit that a target's response set or left out.
 
         Args:
             target: The target.
-            rate: Requests a second that it takes from all VMs together, None
-                if it names no limit.
-            sent_at: When the request was sent that it answers.
+            rate: Requests a second that it accepts from all VMs together, None
+                if the response sets no limit.
+            sent_at: When the request of that response was sent.
 
         Returns:
-            Whether that is news.
+            Whether the limit changed.
         """
         now = self._clock.now()
         if not self.limits.hear(target.id, target.born, rate, sent_at, now):
@@ -455,16 +473,16 @@
         self.signal()
         return True
 
-    def learn_limits(self, told: Mapping[str, limits.LimitNews]) -> None:
-        """Takes what other VMs have heard of targets' limits."""
+    def learn_limits(self, received: Mapping[str, limits.LimitNews]) -> None:
+        """Applies limits of targets that other VMs have received."""
         now = self._clock.now()
         changed = [
             name
-            for name, news in told.items()
-            if self.limits.learn(name, news, now)
+            for name, update in received.items()
+            if self.limits.learn(name, update, now)
         ]
         for name in changed:
-            self._log_limit(name, told[name].rate, "peer")
+            self._log_limit(name, received[name].rate, "peer")
         if changed:
             self.signal()
 
@@ -478,7 +496,7 @@
         )
 
     def limited_targets(self) -> list[str]:
-        """Returns the targets whose present run has named a limit."""
+        """Returns the targets whose current incarnation has set a limit."""
         entries = map(self.directory.get, self.limits.limited())
         return [
             entry.target.id
@@ -487,10 +505,10 @@
         ]
 
     def hear_leaving(self, target: directory.Target) -> bool:
-        """Takes a target's word in an answer that it is about to end.
+        """Applies a target's announcement of its shutdown in a response.
 
         Returns:
-            Whether that is news.
+            Whether the announcement is new.
         """
         now = self._clock.now()
         if not self.directory.announce(target.id, target.born, now):
@@ -499,17 +517,19 @@
         self.signal()
         return True
 
-    def learn_leaving(self, told: Iterable[messages.Leaving]) -> None:
-        """Takes what targets have said to other VMs of their leaving."""
+    def learn_leaving(self, received: Iterable[messages.Leaving]) -> None:
+        """Applies shutdowns that targets have announced to other VMs."""
         now = self._clock.now()
-        news = [
-            run
-            for run in told
-            if self.directory.announce(run.target, run.born, now - run.age)
+        new = [
+            leaving
+            for leaving in received
+            if self.directory.announce(
+                leaving.target, leaving.born, now - leaving.age
+            )
         ]
-        for run in news:
-            self._log_leaving(run.target, run.born, "peer")
-        if news:
+        for leaving in new:
+            self._log_leaving(leaving.target, leaving.born, "peer")
+        if new:
             self.signal()
 
     def _log_leaving(self, target: str, born: int, source: str) -> None:
@@ -524,7 +544,7 @@
         )
 
     def leaving_news(self) -> dict[str, messages.Leaving]:
-        """Returns what targets have said of their leaving, by target."""
+        """Returns the shutdowns that targets have announced, by target."""
         now = self._clock.now()
         return {
             entry.target.id: messages.Leaving(
@@ -537,11 +557,11 @@
         }
 
     def hear_rest(self, target: directory.Target, seconds: float) -> None:
-        """Takes a target's word that it wants nothing from this VM.
+        """Applies a backoff that a target requested from this VM.
 
         Args:
             target: The target.
-            seconds: For how long.
+            seconds: Duration of the backoff.
         """
         now = self._clock.now()
         self.rests.ask(target.id, target.born, seconds, now)
@@ -550,11 +570,11 @@
         )
 
     def lose_target(self, target: str, revision: int = 0) -> None:
-        """Notes that a target's registration has vanished."""
+        """Records that a target's registration was removed."""
         self.take_registrations((), ((target, revision),))
 
     def end_target(self, target: str, born: int) -> None:
-        """Notes proof that a run of a target is over."""
+        """Records the proof that an incarnation of a target has ended."""
         if self.directory.end(target, born, self._clock.now()):
             self._events.write(
                 "targets", "target_ended", target=target, born=born
@@ -564,10 +584,10 @@
     def take_targets(
         self, targets: list[directory.Target], revision: int = 0
     ) -> None:
-        """Takes the whole list of targets, as of a revision of the store."""
+        """Replaces all targets by a list, as of a revision of the store."""
         now = self._clock.now()
         for target in targets:
-            self._note_older_run(target)
+            self._log_older_incarnation(target)
         changed = self.directory.replace(
             targets,
             now,
@@ -576,7 +596,7 @@
             self.vanished_since(self.registrations.at),
         )
         self.seen = max(self.seen, revision)
-        self.directory.forget(now, _FORGET_SECONDS)
+        self.directory.forget(now, _REMOVED_TARGET_RETENTION_SECONDS)
         self.limits.forget_except(
             {entry.target.id: entry.target.born for entry in self.directory}
         )
@@ -590,23 +610,27 @@
             self.signal()
 
     def take_assignment(self, new: assignments.Assignment) -> bool:
-        """Takes an assignment of keys unless a newer one is known."""
-        known = self.assignments.get(new.service)
-        if known is not None and new.version <= known.version:
+        """Applies an assignment of keys unless the current one is newer.
+
+        Returns:
+            Whether the assignment was applied.
+        """
+        current = self.assignments.get(new.service)
+        if current is not None and new.version <= current.version:
             return False
         self.assignments[new.service] = new
         self._vacancies.take(new, self._clock.now())
         self.signal()
         return True
 
-    def take_difference(self, told: assignments.Difference) -> None:
-        """Takes a change of an assignment if it is for the known one."""
-        known = self.assignments.get(told.service)
-        if known is None or told.version <= known.version:
+    def take_difference(self, difference: assignments.Difference) -> None:
+        """Applies a change of an assignment if it fits the current one."""
+        current = self.assignments.get(difference.service)
+        if current is None or difference.version <= current.version:
             return
-        made = assignments.apply(known, told)
-        if made is not None:
-            self.take_assignment(made)
+        updated = assignments.apply(current, difference)
+        if updated is not None:
+            self.take_assignment(updated)
 
     def news_after(
         self,
@@ -614,17 +638,20 @@
         configuration: int,
         evacuations: eligibility.Evacuations = eligibility.Evacuations(),
     ) -> messages.News | None:
-        """Returns what is known from the store that another VM lacks.
+        """Returns the changes from the store that another VM is missing.
 
         Args:
-            seen: Revision up to which it knows all registrations.
-            configuration: Version of the configuration that it knows.
-            evacuations: Evacuations that it knows.
+            seen: Revision up to which that VM has all registrations.
+            configuration: Version of that VM's configuration.
+            evacuations: Evacuations in that VM's view.
+
+        Returns:
+            The changes, None if the VM is up to date.
         """
-        present = self.evacuations
+        current = self.evacuations
         moved = (
-            present.zones != evacuations.zones
-            and present.revision > evacuations.revision
+            current.zones != evacuations.zones
+            and current.revision > evacuations.revision
         )
         now = self._clock.now()
         newer = self._configurations.since(configuration)
@@ -649,18 +676,18 @@
             ),
             newer if isinstance(newer, routes.Configuration) else None,
             newer if isinstance(newer, configurations.Change) else None,
-            present if moved else None,
+            current if moved else None,
         )
 
     def take_news(
         self, news: messages.News, made_at: float | None = None
     ) -> None:
-        """Takes what another VM has learned from the store.
+        """Applies changes that another VM has received from the store.
 
         Args:
-            news: The news.
-            made_at: When they were made, or earlier; None for now. Their ages
-                count from then.
+            news: The changes.
+            made_at: Time at or before which they were encoded, None for now.
+                The ages in `news` count from then.
         """
         now = self._clock.now()
         made_at = now if made_at is None else min(made_at, now)
@@ -669,11 +696,11 @@
         if news.configuration is not None:
             self.take_configuration(news.configuration, "leader")
         if news.change is not None and self.configuration is not None:
-            # A change of another version than the known one is left out; the
-            # next report says which one that is.
-            made = configurations.apply(self.configuration, news.change)
-            if made is not None:
-                self.take_configuration(made, "leader")
+            # A change relative to another version than the current one is
+            # skipped; the next report names the current version.
+            updated = configurations.apply(self.configuration, news.change)
+            if updated is not None:
+                self.take_configuration(updated, "leader")
         self.take_registrations(
             (
                 msgspec.structs.replace(
@@ -690,9 +717,8 @@
             {item.target.id: made_at - item.age for item in news.targets},
         )
         if news.after <= self.seen:
-            # Otherwise some earlier news were lost on their way. Whoever told
-            # these tells them again, as long as this VM does not claim to
-            # know all up to their end.
+            # Otherwise earlier changes were lost in transit. The sender repeats
+            # them until this VM reports a revision that covers them.
             self.seen = max(self.seen, news.revision)
 
     def note_views(
@@ -703,49 +729,52 @@
         evacuations: eligibility.Evacuations,
         configuration_at: float | None,
     ) -> None:
-        """Notes when another VM's views of the store were complete.
+        """Records when another VM's views of the store were complete.
 
-        They say as much of this VM's if it knows all that they hold.
+        The times hold for this VM's views as well if these contain everything
+        that the other VM's do.
 
         Args:
-            seen: Revision up to which that VM knows all registrations.
-            seen_at: When nothing was registered after that, None if unknown.
-            configuration: Version of the configuration that it knows.
-            evacuations: Evacuations that it knows.
-            configuration_at: When both were the newest, None if unknown.
+            seen: Revision up to which that VM has all registrations.
+            seen_at: Time at which `seen` was the newest revision of the
+                registrations, None if unknown.
+            configuration: Version of that VM's configuration.
+            evacuations: Evacuations in that VM's view.
+            configuration_at: Time at which the configuration and the
+                evacuations were the newest, None if unknown.
         """
         if seen_at is not None and seen <= self.seen:
             self.registrations.note(seen_at)
-        present = self.evacuations
-        same = evacuations.zones == present.zones
-        known = configuration <= self.version and (
-            same or evacuations.revision <= present.revision
+        current = self.evacuations
+        same = evacuations.zones == current.zones
+        covered = configuration <= self.version and (
+            same or evacuations.revision <= current.revision
         )
-        if configuration_at is not None and known:
+        if configuration_at is not None and covered:
             self.operated.note(configuration_at)
 
     @property
     def registrations_age(self) -> float | None:
-        """Seconds since all registrations were known, None if never."""
+        """Seconds since the directory was complete, None if it never was."""
         return self.registrations.age(self._clock.now())
 
     @property
     def configuration_age(self) -> float | None:
-        """Seconds since the configuration was the newest, None if never.
+        """Seconds since configuration and evacuations were the newest.
 
-        The same holds for the evacuations.
+        None if they never were.
         """
         return self.operated.age(self._clock.now())
 
     def vanished_since(self, since: float | None) -> float | None:
-        """Returns since when registrations may have vanished, None for now.
+        """Returns the earliest time of removals found now, None for now.
 
-        In an outage of the store they lapse, of targets that are well, and
-        come back within seconds; nothing follows then from how long this VM
-        has not heard of them.
+        During an outage of the store, registrations of healthy targets expire
+        and come back within seconds. Then the time since this VM last saw them
+        does not count as time for which the targets were gone.
 
         Args:
-            since: Up to when all registrations were known, None for now.
+            since: Time at which the directory was last complete, None for now.
         """
         if since is None or self._store_failed_at >= since:
             return None
@@ -754,20 +783,24 @@
     def confirm_configuration(
         self, version: int, revision: int, zones: tuple[str, ...] = ()
     ) -> None:
-        """Notes up to which revision of the store this VM's view is current.
+        """Records the store revision up to which the configuration is current.
 
         Args:
-            version: The newest version of the configuration by then.
+            version: The newest version of the configuration at `revision`.
             revision: The store's revision.
-            zones: Zones that were evacuated then.
+            zones: Zones that were evacuated at `revision`.
         """
         if version == self.version and zones == self.evacuations.zones:
             self.configuration_seen = max(self.configuration_seen, revision)
 
     def take_leader(self, new: leadership.LeaderEntry) -> bool:
-        """Takes the leader unless one of a later epoch is known."""
-        known = self.leader
-        if known is not None and new.epoch <= known.epoch:
+        """Records a leader if its epoch is later than the current one's.
+
+        Returns:
+            Whether the leader was recorded.
+        """
+        current = self.leader
+        if current is not None and new.epoch <= current.epoch:
             return False
         self.leader = new
         self.leader_since = self._clock.boot()
@@ -776,12 +809,12 @@
             "leader_taken",
             leader=new.vm,
             epoch=new.epoch,
-            former=known.vm if known else None,
+            former=current.vm if current else None,
         )
         return True
 
     def note_store(self, *, ok: bool, why: str = "") -> None:
-        """Notes whether a call to the store was answered."""
+        """Records whether a call to the store succeeded."""
         now = self._clock.now()
         if not ok:
             self._store_failed_at = now
@@ -797,17 +830,17 @@
             self.store_since = now
 
     def owner(self, service: str, key: int) -> str | None:
-        """Returns the target that owns a key, None while nobody does."""
+        """Returns the target that owns a key, None if it has no owner."""
         assignment = self.assignments.get(service)
         if assignment is None:
             return None
         return assignment.owner(key) or None
 
     def seconds_without_owner(self, service: str, key: int) -> float:
-        """Returns how long a key that nobody serves will have no owner.
+        """Estimates the seconds until an unserved key has an owner again.
 
         Args:
-            service: Its service.
+            service: Service of the key.
             key: The key.
         """
         now = self._clock.now()
@@ -815,13 +848,16 @@
         entry = self.directory.get(owner) if owner else None
         leaves = entry and entry.standing is directory.Standing.LEAVING
         if leaves and not self.store_ok:
-            # Tables are kept there: its keys stay where they are.
-            return _STORE_AWAY_SECONDS
+            # Keys cannot move without the store, which holds the tables.
+            return _STORE_OUTAGE_RETRY_AFTER_SECONDS
         if entry is not None:
-            # Its owner has vanished, and the leader has not moved it yet.
+            # The owner is gone, but the leader has not moved the key yet.
             return self._vacancies.expected(now - entry.since)
         return self._vacancies.seconds(service, key, now)
 
     def versions(self) -> dict[str, assignments.Version]:
-        """Returns the version of each assignment."""
-        return {name: x.version for name, x in self.assignments.items()}
+        """Returns the version of each assignment by service."""
+        return {
+            name: assignment.version
+            for name, assignment in self.assignments.items()
+        }
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/messages.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/messages.py
@@ -1,4 +1,4 @@
-"""Messages between entry VMs, and values that they keep in the store."""
+"""Messages between entry VMs, and records that they keep in the store."""
 
 from typing import TypeVar
 import zlib
@@ -18,7 +18,7 @@
 LEADER_KEY = STORE_PREFIX + "leader"
 WITNESSES_KEY = STORE_PREFIX + "witnesses"
 VM_PREFIX = "mimosastile-vm/"
-"""Apart from the rest, which every VM reads when it starts."""
+"""Outside `STORE_PREFIX`, which every VM reads in full at start-up."""
 TABLE_PREFIX = STORE_PREFIX + "table/"
 
 _T = TypeVar("_T")
@@ -26,19 +26,20 @@
 _Assignment = assignments.Assignment
 _Difference = assignments.Difference
 _Evacuations = eligibility.Evacuations
-_LimitNews = limits.LimitNews
-_COMPRESS_FROM = 600
-"""Bytes from which a message is compressed; smaller ones fit into a packet."""
+_LimitUpdate = limits.LimitNews
+_COMPRESS_FROM_BYTES = 600
+"""Size in bytes from which a message is compressed; smaller ones fit into one
+packet anyway."""
 _COMPRESS_LEVEL = 1
-"""Names repeat, so the fastest level already makes a quarter of it."""
-_COMPRESSED = b"\x78"
-"""First byte of a compressed message; JSON never begins with it."""
-_MESSAGE_BYTES = 8 << 20
-"""Largest message once it is decompressed."""
+"""Names repeat, so the fastest level already reduces a message to a quarter."""
+_ZLIB_FIRST_BYTE = b"\x78"
+"""First byte of a zlib stream; JSON never begins with it."""
+_MAX_MESSAGE_BYTES = 8 << 20
+"""Largest size in bytes of a message after decompression."""
 
-_STORE_STEP = 0.02
-"""Seconds of distance to the store that matter: nearly the way to another
-region and back. Smaller differences are chance."""
+_STORE_STEP_SECONDS = 0.02
+"""Seconds of store latency that count as one step: nearly a round trip to
+another region. Smaller differences are noise."""
 
 REPORT_PATH = "/report"
 ASSIGN_PATH = "/assign"
@@ -51,12 +52,13 @@
     """An entry VM as registered in the store, under a lease.
 
     Attributes:
-        id: Its identifier.
-        boot: Identifier of the run of its daemon.
-        address: Where peers reach it.
-        zone: Its availability zone.
-        strength: From 0 to 1, how well its processor and link suit a leader.
-        store_seconds: Shortest time in which the store has answered it.
+        id: Identifier of the VM.
+        boot: Identifier of the daemon's incarnation.
+        address: Address at which peers reach the VM.
+        zone: Availability zone of the VM.
+        strength: How well its processor and link suit a leader, from 0 to 1.
+        store_seconds: Lowest latency of the store observed by the VM, in
+            seconds.
     """
 
     id: str
@@ -68,24 +70,24 @@
 
     @property
     def order(self) -> tuple[float, int]:
-        """Sorts VMs by how well they suit a leader, the best first.
+        """Sort key of VMs by suitability as the leader, the best first.
 
-        A leader in another region than the store waits longer for each change
-        of a table, and loses the store when the regions are cut off.
+        A leader in another region than the store waits longer for each table
+        update, and loses the store when the regions are partitioned.
         """
-        return -self.strength, int(self.store_seconds / _STORE_STEP)
+        return -self.strength, int(self.store_seconds / _STORE_STEP_SECONDS)
 
 
 class TargetNews(msgspec.Struct, frozen=True, array_like=True):
-    """What became of a target's registration.
+    """A change of a target's registration.
 
     Attributes:
-        target: As it registered itself last, without `warm_at`, which is a
-            time of one VM's clock.
+        target: The latest registration, without `warm_at`, which is a time of
+            one VM's clock.
         revision: The store's revision of the change.
-        gone: Whether the registration has vanished.
-        warm_left: Seconds for which it is slow after its start.
-        age: Seconds since that change, at most.
+        gone: Whether the registration was removed.
+        warm_left: Remaining seconds of the target's warm-up.
+        age: Upper bound of the seconds since the change.
     """
 
     target: directory.Target
@@ -96,16 +98,16 @@
 
 
 class News(msgspec.Struct, frozen=True):
-    """What a VM knows from the store that another one does not.
+    """Changes from the store that the receiving VM has not seen yet.
 
     Attributes:
         after: Revision after which `targets` begins.
-        revision: Revision up to which it is complete.
+        revision: Revision up to which `targets` is complete.
         targets: Changed registrations.
-        configuration: The configuration, None if the other one has it or
-            `change` tells it.
-        change: What has changed in the configuration that the other one has.
-        evacuations: Evacuated zones, None if the other one knows them.
+        configuration: The whole configuration, None if the receiver has it or
+            `change` is enough.
+        change: Changes relative to the receiver's configuration.
+        evacuations: Evacuated zones, None if the receiver has them.
     """
 
     after: int
@@ -117,12 +119,12 @@
 
 
 class Miss(msgspec.Struct, frozen=True, array_like=True):
-    """A target rejected a key that it should own.
+    """A key that was rejected by the target recorded as its owner.
 
     Attributes:
         service: Name of the service.
         key: The key.
-        target: The target.
+        target: Identifier of the target.
     """
 
     service: str
@@ -131,11 +133,11 @@
 
 
 class Ended(msgspec.Struct, frozen=True, array_like=True):
-    """A run of a target that is known to be over.
+    """A target's incarnation that has ended.
 
     Attributes:
         target: Identifier of the target.
-        born: Unix milliseconds of the run's start.
+        born: Start of the incarnation in Unix milliseconds.
     """
 
     target: str
@@ -143,12 +145,12 @@
 
 
 class Leaving(msgspec.Struct, frozen=True, array_like=True):
-    """A run of a target that has said in an answer that it leaves.
+    """A target's incarnation that announced its shutdown in a response.
 
     Attributes:
         target: Identifier of the target.
-        born: Unix milliseconds of the run's start.
-        age: Seconds since it was first heard.
+        born: Start of the incarnation in Unix milliseconds.
+        age: Seconds since the announcement was first received.
     """
 
     target: str
@@ -157,43 +159,46 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """What a VM tells its leader.
+    """A VM's periodic load and health report to its leader.
 
     Attributes:
-        vm: The VM.
-        store: Whether its last call to the store was answered.
-        keys: Keys asked for since the last report, by service.
-        under_way: Requests under way by target.
-        waiting: Requests that wait for a target that owns their key, and
-            those that were refused for want of room there since the last
-            report.
-        work: Mean seconds of a request by service.
-        factors: How slow targets are, compared to the mean.
-        alive: Targets that answered it since the last report.
-        deaths: Requests that were running on targets when these died, as far
-            as they were confirmed since the last report.
-        ended: Runs of targets that are known to be over.
-        misses: Keys rejected by targets that should own them.
-        versions: Versions of its assignments by service.
-        seen: Store revision up to which it knows all registrations.
-        configuration: Version of the configuration that it knows; -1 for none.
-        configuration_seen: Store revision up to which that is the newest.
-        news: What it has learned from the store by itself.
-        stopping: Whether it is about to end, and should be no target's gate.
-        longer: Seconds until grants that it gave as a leader and that were
-            longer than usual, and those of leaders before it, have run out;
-            None if it has not led since it started.
-        epoch: Epoch of the leader that it follows; -1 for none.
-        promised: Seconds until its last promise to a leader, as a witness,
-            ends; negative for one that has ended, None for none.
-        evacuations: Evacuated zones that it knows.
-        limits: Limits of targets that its leader does not know.
-        leaving: Targets that leave by their own word, as far as this leader
-            has not been told.
-        resting: Seconds for which targets want nothing from this VM, where
-            keys should move for it.
-        seen_at: Time of the leader's clock at which nothing was registered
-            after `seen`, None if this VM does not follow the store.
+        vm: The reporting VM.
+        store: Whether the VM's last call to the store succeeded.
+        keys: Requested keys since the last report, by service.
+        under_way: Requests in flight by target.
+        waiting: Requests, by target, that are queued for the owner of their
+            key, or were refused since the last report because the owner was at
+            capacity.
+        work: Mean duration of a request in seconds, by service.
+        factors: Slowness of targets, relative to the mean.
+        alive: Targets that responded to the VM since the last report.
+        deaths: Requests that were in progress on targets when these crashed,
+            for crashes confirmed since the last report.
+        ended: Incarnations of targets that have ended.
+        misses: Keys rejected by the targets recorded as their owners.
+        versions: Versions of the VM's assignments by service.
+        seen: Store revision up to which the VM has all registrations.
+        configuration: Version of the VM's configuration; -1 for none.
+        configuration_seen: Store revision up to which that version is the
+            newest.
+        news: Changes that the VM read from the store itself.
+        stopping: Whether the VM is shutting down, and so should not be an
+            admission gate.
+        longer: Seconds until the last extended grant expires that this VM, as
+            a leader, or an earlier leader gave; None if the VM has not led
+            since it started.
+        epoch: Epoch of the leader that the VM follows; -1 for none.
+        promised: Seconds until the VM's last promise as a witness expires;
+            negative for an expired one, None for none.
+        evacuations: Evacuated zones in the VM's view.
+        limits: Limits of targets that the leader does not have.
+        leaving: Targets that announced their shutdown and that were not yet
+            reported to this leader.
+        resting: Seconds of backoff that targets requested from this VM, for
+            backoffs long enough to move keys.
+        seen_at: Time of the leader's clock at which `seen` was the newest
+            revision of the registrations, None if this VM does not watch the
+            store.
         configuration_at: The same for the configuration and evacuations.
     """
 
@@ -218,7 +223,7 @@
     epoch: int = -1
     promised: float | None = None
     evacuations: _Evacuations = _Evacuations()
-    limits: dict[str, _LimitNews] = {}
+    limits: dict[str, _LimitUpdate] = {}
     leaving: tuple[Leaving, ...] = ()
     resting: dict[str, float] = {}
     seen_at: float | None = None
@@ -226,35 +231,39 @@
 
 
 class ReportReply(msgspec.Struct, frozen=True):
-    """A leader's answer to a report, or where the leader is.
+    """A leader's response to a report, or another VM's hint to the leader.
+
+    A leader also sends it unrequested, as an update.
 
     Attributes:
-        leader: The leader as this VM knows it.
-        leading: Whether this VM is it.
+        leader: The leader that the responding VM has recorded.
+        leading: Whether the responding VM is that leader.
         confirmed: Seconds since the leader saw its entry in the store.
-        longer: Seconds until grants that were longer than usual, its own and
-            those of leaders before it, have run out.
-        under_way: Requests of all other VMs by target.
-        gates: Address of the VM that admits requests, by contended target.
-        assignments: Those that the reporting VM does not have.
-        differences: Changes of those that it has.
-        news: What it does not know from the store.
-        seen: Store revision up to which the leader knows all registrations.
-        configuration: Version of the configuration that the leader knows.
-        configuration_seen: Store revision up to which that is the newest.
-        store: Whether the leader learns what the store holds, by itself or
-            from watchers, so that VMs may rely on its news.
-        deaths: What all VMs have reported of such requests.
-        watchers: VMs that are asked to follow the store as well.
-        vms: How many VMs report.
-        take_over: Whether the reporting VM is asked to lead.
-        evacuations: Evacuated zones that the leader knows.
-        limits: Limits of targets that the leader knows.
-        leaving: Targets that have lately said that they leave.
-        stamp: The leader's clock when it made the answer, or a message with
-            news that it sends without being asked.
-        seen_age: Seconds since nothing was registered after `seen`, None if
-            the leader cannot tell.
+        longer: Seconds until the last extended grant of this leader and of
+            earlier ones expires.
+        under_way: Requests of all other VMs in flight, by target.
+        gates: Addresses of the admission gates of contended targets, by
+            target.
+        assignments: Whole assignments that the reporting VM does not have.
+        differences: Changes of assignments that it has.
+        news: Changes from the store that it does not have.
+        seen: Store revision up to which the leader has all registrations.
+        configuration: Version of the leader's configuration.
+        configuration_seen: Store revision up to which that version is the
+            newest.
+        store: Whether the leader follows the store, by itself or through
+            watchers, and VMs may rely on its updates.
+        deaths: Requests in progress on targets that crashed, as reported by
+            all VMs.
+        watchers: VMs that are requested to watch the store as well.
+        vms: Number of VMs that report.
+        take_over: Whether the reporting VM is requested to lead.
+        evacuations: Evacuated zones in the leader's view.
+        limits: Limits of targets in the leader's view.
+        leaving: Targets that recently announced their shutdown.
+        stamp: The leader's clock when it made the response or update.
+        seen_age: Seconds since `seen` was the newest revision of the
+            registrations, None if the leader has no such time.
         configuration_age: The same for the configuration and evacuations.
     """
 
@@ -276,7 +285,7 @@
     vms: int = 0
     take_over: bool = False
     evacuations: _Evacuations = _Evacuations()
-    limits: dict[str, _LimitNews] = {}
+    limits: dict[str, _LimitUpdate] = {}
     leaving: tuple[Leaving, ...] = ()
     stamp: float | None = None
     seen_age: float | None = None
@@ -284,19 +293,19 @@
 
 
 class Taken(msgspec.Struct, frozen=True):
-    """A VM's word that it has heard what its leader told it.
+    """A VM's acknowledgement of an update from its leader.
 
-    It says no more: what the VM knows now stands in its next report, and a
-    leader tells every VM several times a second.
+    It is empty: the VM's next report carries the state of its view, and a
+    leader sends every VM several updates a second.
     """
 
 
 class Relay(msgspec.Struct, frozen=True):
-    """What a leader tells several VMs of a zone through one of them.
+    """A leader's update for several VMs of a zone, sent through one of them.
 
     Attributes:
-        told: The encoded message, for its receiver as well.
-        addresses: The other VMs that it is for.
+        told: The encoded update, which also applies to the relaying VM.
+        addresses: Addresses of the other VMs that it is for.
     """
 
     told: bytes
@@ -304,22 +313,24 @@
 
 
 class Relayed(msgspec.Struct, frozen=True):
-    """What became of a message for several VMs.
+    """The outcome of a relayed update.
 
     Attributes:
-        missed: Addresses of those that did not answer.
+        missed: Addresses of the VMs that did not respond.
     """
 
     missed: tuple[str, ...] = ()
 
 
 class ExtensionRequest(msgspec.Struct, frozen=True):
-    """A leader that lost the store asks a witness for a promise.
+    """A leader's request to a witness to extend the leader lease.
+
+    A leader sends it when it has lost the store.
 
     Attributes:
         epoch: Epoch of the leader.
-        boot: Run of the witness that it has named.
-        seconds: For how long it would go on giving orders.
+        boot: Incarnation of the witness that the leader has named.
+        seconds: Seconds for which the leader would go on giving orders.
     """
 
     epoch: int
@@ -328,22 +339,22 @@
 
 
 class ExtensionReply(msgspec.Struct, frozen=True):
-    """A witness's answer.
+    """A witness's response to an `ExtensionRequest`.
 
     Attributes:
-        promised: Whether it has made the promise.
+        promised: Whether the witness promised the extension.
     """
 
     promised: bool
 
 
 class Heard(msgspec.Struct, frozen=True):
-    """What a VM knows of the leader.
+    """A VM's view of the leader.
 
     Attributes:
-        leader: The leader as this VM knows it.
-        seconds: Since it was heard.
-        assignments: What it told.
+        leader: The leader that the VM has recorded.
+        seconds: Seconds since the VM last received a message from it.
+        assignments: Assignments received from it.
     """
 
     leader: leadership.LeaderEntry | None
@@ -352,46 +363,46 @@
 
 
 def vm_group(vm: str) -> str:
-    """Returns the prefix of the keys of a sixteenth of all VMs, one VM's.
+    """Returns the store prefix of the group that a VM's entry belongs to.
 
-    It is enough to find some others, and hundreds of VMs that read it at the
-    same time read little.
+    A group is a sixteenth of all VMs: enough to find some peers, and little to
+    read when hundreds of VMs do so at the same time.
     """
     return f"{VM_PREFIX}{zlib.crc32(vm.encode()) % 16:x}/"
 
 
 def vm_key(vm: str) -> str:
-    """Returns the store's key of a VM's entry."""
+    """Returns the store key of a VM's entry."""
     return vm_group(vm) + vm
 
 
 def table_key(service: str) -> str:
-    """Returns the store's key of a service's table."""
+    """Returns the store key of a service's range table."""
     return TABLE_PREFIX + service
 
 
 def encode(message: msgspec.Struct) -> bytes:
     """Returns a message as JSON, compressed if it is large."""
     body = msgspec.json.encode(message)
-    if len(body) < _COMPRESS_FROM:
+    if len(body) < _COMPRESS_FROM_BYTES:
         return body
     return zlib.compress(body, _COMPRESS_LEVEL)
 
 
 def decode(body: bytes, kind: type[_T]) -> _T:
-    """Reads a message.
+    """Decodes a message.
 
     Args:
-        body: What `encode` returned.
+        body: Bytes as returned by `encode`.
         kind: Type of the message.
 
     Raises:
-        msgspec.DecodeError: It is none.
+        msgspec.DecodeError: The body is no message of that type.
     """
-    if body[:1] == _COMPRESSED:
-        unpacker = zlib.decompressobj()
+    if body[:1] == _ZLIB_FIRST_BYTE:
+        decompressor = zlib.decompressobj()
         try:
-            body = unpacker.decompress(body, _MESSAGE_BYTES)
+            body = decompressor.decompress(body, _MAX_MESSAGE_BYTES)
         except zlib.error as error:
             raise msgspec.DecodeError(str(error)) from error
     return msgspec.json.decode(body, type=kind)
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/peer_calls.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/peer_calls.py
@@ -1,14 +1,14 @@
-"""Calls from one entry VM to another."""
+"""Requests from one entry VM to another."""
 
 from mimosastile_gateway import events
 from mimosastile_gateway import http_client
 
-_CONNECT_SECONDS = 0.3
-_IDLE_SECONDS = 5.0
+_CONNECT_TIMEOUT_SECONDS = 0.3
+_MAX_IDLE_SECONDS = 5.0
 
 
 class PeerCalls:
-    """Sends messages to peers; one that is not answered is only logged."""
+    """Sends messages to peers; failures are logged and not raised."""
 
     __slots__ = ("_events", "_pool")
 
@@ -25,31 +25,32 @@
         *,
         fresh: bool = False,
     ) -> bytes | None:
-        """Sends a message and returns the answer.
+        """Sends a message to a peer and returns the response.
 
         Args:
-            address: Where the peer hears.
-            path: What is asked.
-            body: The message.
-            timeout: Longest wait in seconds for the answer.
-            fresh: Whether to take a new connection, as others may have fallen
-                silent.
+            address: Address on which the peer listens.
+            path: Path of the request.
+            body: The encoded message.
+            timeout: Longest wait for the response, in seconds.
+            fresh: Whether to open a new connection, as pooled ones may be
+                broken.
 
         Returns:
-            The answer; None if the peer is silent or refuses.
+            The body of the response; None if the peer does not respond or
+            refuses the request.
         """
         if fresh:
             self._pool.forget(address)
         try:
-            answer = await http_client.call(
+            response = await http_client.call(
                 self._pool,
                 address,
                 "POST",
                 path,
                 body,
                 timeout=timeout,
-                connect=_CONNECT_SECONDS,
-                idle=_IDLE_SECONDS,
+                connect=_CONNECT_TIMEOUT_SECONDS,
+                idle=_MAX_IDLE_SECONDS,
             )
         except (
             http_client.NotSentError,
@@ -58,7 +59,7 @@
             self._events.write(
                 "peers", "peer_silent", peer=address, path=path, why=str(error)
             )
-            # Connections that fall silent do so together.
+            # Connections to one peer usually break together.
             self._pool.forget(address)
             return None
-        return answer.body if answer.status == 200 else None
+        return response.body if response.status == 200 else None
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/telling.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/telling.py
@@ -1,4 +1,4 @@
-"""What a leader tells VMs: all that they lack, as little as that can be."""
+"""Dissemination of cluster state from the leader to all VMs, as deltas."""
 
 import asyncio
 from collections.abc import Collection
@@ -25,62 +25,63 @@
 _Evacuations = eligibility.Evacuations
 
 REPORT_FRESH = 1.5
-"""Seconds for which a VM's report counts."""
-_PAUSE = 0.02
-"""Seconds for which changes of an assignment are gathered before VMs are told:
-a change of many ranges is granted within some of them."""
-_CALL_SECONDS = 2.0
-"""Longest wait for a VM's answer. Breaking off sooner and beginning again
-would fill a narrow link with what nobody gets to read."""
+"""Age in seconds up to which a VM's report is valid."""
+_BATCH_SECONDS = 0.02
+"""Time over which changes are gathered before an update is sent: the grants of
+a change of many ranges spread over a few such intervals."""
+_CALL_TIMEOUT_SECONDS = 2.0
+"""Longest wait for a VM's response. Aborting and resending sooner would fill a
+narrow link with data that is never read."""
 _HELD_UP_SECONDS = 0.5
-"""Wait for a VM's answer after which it is told another way, if the way of
-reports is free: a quarter of the time within which changes have to be in
-force."""
-_LOOK_SECONDS = 0.1
-"""Time between two looks whether that is so."""
+"""Wait for a VM's response after which the update takes another path, provided
+that reports get through: a quarter of the time within which changes have to be
+in force."""
+_HELD_UP_CHECK_SECONDS = 0.1
+"""Interval of further checks whether reports get through."""
 _SLOW_SECONDS = 0.3
-"""Seconds after which an unanswered message may be lost: far more than the way
-to another region and back."""
-_SMALL = 50
-"""Routes, targets and key ranges, a hundred bytes each, that the answer to a
-report may hold."""
-_RELAY_LEAST = 3
-"""VMs of another zone from which one passes a message on to the others."""
-_KEPT = 64
-"""Earlier assignments kept, to tell VMs what has changed since; a VM that is
-further behind gets the whole."""
+"""Seconds after which an unacknowledged update may be lost: far more than a
+round trip to another region."""
+_SMALL_UPDATE_ITEMS = 50
+"""Largest number of routes, targets and key ranges, of a hundred bytes each, in
+the response to a report."""
+_MIN_RELAY_VMS = 3
+"""Number of VMs in another zone from which an update is sent to one of them and
+relayed to the others."""
+_ASSIGNMENT_HISTORY_SIZE = 64
+"""Number of earlier assignments kept to send VMs only the changes since; a VM
+that is further behind gets the whole assignment."""
 
 
 class _Vm:
-    """What a VM knows, and how it is told more.
+    """A VM's last reported view, and the progress of updates to it.
 
     Attributes:
-        report: Its last report, with what it has been told since.
-        at: When it reported.
-        telling: Whether a message is on its way to it.
-        since: When that one was sent.
-        missed: Whether the last one got lost; it then hears all with the
-            answer to its report, if anything reaches it.
-        answered: Whether it was told so.
+        report: The VM's last report, with the updates acknowledged since.
+        at: Time at which the report was received.
+        sending: Whether an update to the VM is in flight.
+        since: Time at which that update was sent.
+        missed: Whether the last update got lost; the VM then gets everything
+            with the response to its next report.
+        answered: Whether such a response was sent.
     """
 
-    __slots__ = ("answered", "at", "missed", "report", "since", "telling")
+    __slots__ = ("answered", "at", "missed", "report", "since", "sending")
 
     def __init__(self, report: messages.Report, at: float) -> None:
         self.report = report
         self.at = at
-        self.telling = False
+        self.sending = False
         self.since = 0.0
         self.missed = False
         self.answered = False
 
 
-class _Known(msgspec.Struct, frozen=True):
-    """What a message makes its receiver know.
+class _View(msgspec.Struct, frozen=True):
+    """The view of a VM once it has received an update.
 
     Attributes:
-        versions: Of assignments, by service.
-        seen: Store revision up to which it knows all registrations.
+        versions: Versions of assignments, by service.
+        seen: Store revision up to which the VM has all registrations.
         configuration: Version of the configuration.
         evacuations: Evacuated zones.
     """
@@ -92,7 +93,7 @@
 
 
 class _Batch:
-    """VMs that lack the same."""
+    """An encoded update and the VMs that need it."""
 
     __slots__ = ("body", "vms")
 
@@ -102,12 +103,12 @@
 
 
 class Lacking(msgspec.Struct, frozen=True):
-    """What a VM does not know.
+    """State that a VM is missing.
 
     Attributes:
-        assignments: Those that it does not have.
-        differences: Changes of those that it has.
-        news: What it does not know from the store.
+        assignments: Whole assignments that the VM does not have.
+        differences: Changes of assignments that it has.
+        news: Changes from the store that it does not have.
     """
 
     assignments: tuple[_Assignment, ...]
@@ -115,11 +116,11 @@
     news: messages.News | None
 
     def urgent(self) -> "Lacking":
-        """Returns as much of it as fits into a few packets.
+        """Returns as much of this state as fits into a few packets.
 
         Registrations go first, then routes, then owners of keys.
         """
-        left = _SMALL
+        left = _SMALL_UPDATE_ITEMS
         news = self.news
         if news is not None:
             left -= len(news.targets)
@@ -129,10 +130,10 @@
             if change is not None and len(change.routes) > left:
                 change = None
             left -= len(change.routes) if change else 0
-            holds = news.targets or change or news.evacuations
+            needed = news.targets or change or news.evacuations
             news = (
                 msgspec.structs.replace(news, configuration=None, change=change)
-                if holds
+                if needed
                 else None
             )
         spans = sum(len(d.spans) for d in self.differences)
@@ -141,17 +142,17 @@
 
     @property
     def nothing(self) -> bool:
-        """Whether it knows everything."""
+        """Whether the VM is up to date."""
         return not (self.assignments or self.differences or self.news)
 
 
 class Telling:
-    """Keeps what VMs reported, and tells them what is new.
+    """Stores the VMs' reports and sends VMs updates of what they are missing.
 
-    Each VM has one message at most on its way, and what happens meanwhile goes
-    into the next one: a VM behind a full link gets fewer and larger ones. In
-    another zone one VM gets a message and passes it on to the others; while it
-    is silent, the next one does.
+    At most one update per VM is in flight; later changes go into the next one,
+    so a VM behind a full link gets fewer and larger updates. In another zone,
+    one VM receives an update and relays it to the others; if it does not
+    respond, the next VM is tried.
     """
 
     __slots__ = (
@@ -162,9 +163,9 @@
         "_events",
         "_here",
         "_tasks",
-        "_told",
+        "_published",
         "_vms",
-        "_wanted",
+        "_update_due",
         "_zone",
     )
 
@@ -177,15 +178,15 @@
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
-        """Makes one that tells nobody.
+        """Creates an inactive sender; `begin` starts it.
 
         Args:
             here: Identifier of this VM.
-            zone: Its availability zone.
-            calls: The way to peers.
-            known: What this VM believes.
+            zone: Availability zone of this VM.
+            calls: Sends messages to peers.
+            known: The cluster state of this VM.
             timer: The clock.
-            log: Where it logs.
+            log: The event log.
         """
         self._here = here
         self._zone = zone
@@ -195,28 +196,28 @@
         self._events = log
         self._entry: leadership.LeaderEntry | None = None
         self._vms: dict[str, _Vm] = {}
-        self._told: dict[
+        self._published: dict[
             tuple[str, tuple[int, ...]], assignments.Assignment
         ] = {}
-        self._wanted = asyncio.Event()
+        self._update_due = asyncio.Event()
         self._tasks: set[asyncio.Task[object]] = set()
-        known.subscribe(self._wanted.set)
+        known.subscribe(self._update_due.set)
 
     def begin(self, entry: leadership.LeaderEntry) -> None:
-        """Begins to tell, as a leader with an entry."""
+        """Starts sending updates as the leader with the given entry."""
         self._entry = entry
         self._vms = {}
-        self._told = {}
-        self._start(self._tell_on())
+        self._published = {}
+        self._start(self._send_updates())
 
     def announce(self, vms: Iterable[messages.VmEntry]) -> None:
-        """Tells VMs at once who leads.
+        """Sends VMs the new leader's entry at once.
 
-        Each would otherwise go on asking the former leader, and follow the
-        store by itself meanwhile.
+        Otherwise each VM would go on sending reports to the former leader, and
+        would follow the store by itself in the meantime.
 
         Args:
-            vms: All VMs that are registered.
+            vms: All registered VMs.
         """
         body = messages.encode(messages.ReportReply(self._entry, leading=True))
         for vm in vms:
@@ -224,7 +225,7 @@
                 self._start(self._announce(vm, body))
 
     def ask_to_lead(self, vms: Iterable[messages.VmEntry]) -> None:
-        """Asks VMs at once to take over.
+        """Requests VMs at once to take over as the leader.
 
         Args:
             vms: The VMs.
@@ -240,10 +241,10 @@
         gates: Mapping[str, str],
         named: Mapping[str, limits.LimitNews],
     ) -> None:
-        """Tells all VMs at once of targets that have got a gate.
+        """Sends all VMs the new admission gates of targets at once.
 
         Args:
-            gates: Addresses of the VMs that admit, by target.
+            gates: Addresses of the admission gates, by target.
             named: Limits of targets.
         """
         body = messages.encode(
@@ -259,13 +260,13 @@
             if report.vm.id != self._here:
                 zones.setdefault(report.vm.zone, []).append(report.vm)
         for zone, vms in zones.items():
-            if zone == self._zone or len(vms) < _RELAY_LEAST:
+            if zone == self._zone or len(vms) < _MIN_RELAY_VMS:
                 for vm in vms:
                     self._start(self._announce(vm, body))
             else:
-                # A VM that it does not reach learns the same with the answer
-                # to its report.
-                first, *others = sorted(vms, key=_rank)
+                # A VM that the relay does not reach gets the same with the
+                # response to its report.
+                first, *others = sorted(vms, key=_relay_order)
                 self._start(self._through(first, others, body))
 
     async def _through(
@@ -274,32 +275,32 @@
         others: Iterable[messages.VmEntry],
         body: bytes,
     ) -> bytes | None:
-        """Has a VM take a message and pass it on to others of its zone.
+        """Sends an update to a VM, which relays it to others of its zone.
 
         Args:
-            first: The VM.
-            others: The others.
-            body: The message.
+            first: The VM that relays the update.
+            others: The other VMs of the zone.
+            body: The encoded update.
 
         Returns:
-            The answer of that VM, None if there is none.
+            The relaying VM's response, None if there is none.
         """
         relay = messages.Relay(body, tuple(vm.address for vm in others))
         return await self._calls.call(
             first.address,
             messages.RELAY_PATH,
             messages.encode(relay),
-            _CALL_SECONDS,
+            _CALL_TIMEOUT_SECONDS,
         )
 
     def stop(self) -> None:
-        """Tells nobody any more."""
+        """Stops sending updates."""
         self._entry = None
         for task in self._tasks:
             task.cancel()
 
     def take(self, report: messages.Report) -> None:
-        """Takes a VM's report."""
+        """Stores a VM's report."""
         now = self._clock.now()
         vm = self._vms.get(report.vm.id)
         if vm is None:
@@ -308,10 +309,10 @@
             vm.missed = vm.answered = False
         vm.report = report
         vm.at = now
-        self._wanted.set()
+        self._update_due.set()
 
     def fresh(self) -> dict[str, messages.Report]:
-        """Returns the reports that still count, by VM."""
+        """Returns the reports that are still valid, by VM."""
         return {
             name: vm.report
             for name, vm in self._vms.items()
@@ -319,20 +320,20 @@
         }
 
     def publish(self, present: assignments.Assignment) -> None:
-        """Has VMs told of an assignment, unless it says what they know."""
-        known = self._beliefs.assignments.get(present.service)
-        if known is not None and assignments.same(known, present):
+        """Sends VMs an assignment, unless it equals the current one."""
+        current = self._beliefs.assignments.get(present.service)
+        if current is not None and assignments.same(current, present):
             return
         self._beliefs.take_assignment(present)
-        self._told[present.service, present.version] = present
-        while len(self._told) > _KEPT:
-            del self._told[next(iter(self._told))]
+        self._published[present.service, present.version] = present
+        while len(self._published) > _ASSIGNMENT_HISTORY_SIZE:
+            del self._published[next(iter(self._published))]
 
     def answer(self, report: messages.Report) -> Lacking:
-        """Returns what a VM hears with the answer to its report.
+        """Returns the state that goes into the response to a VM's report.
 
-        Usually nothing: answers are then small and quick, and a VM whose
-        leader is slow to answer takes it for lost.
+        Usually that is none, which keeps responses small and fast: a VM whose
+        leader responds slowly considers the leader lost.
         """
         vm = self._vms.get(report.vm.id)
         nothing = Lacking((), (), None)
@@ -341,14 +342,14 @@
         if vm.missed:
             vm.answered = True
             return self.lacking(report)
-        if vm.telling and self._clock.now() - vm.since > _SLOW_SECONDS:
-            # Its connection may have fallen silent; that a target leaves or a
-            # route has changed cannot wait until this is known.
+        if vm.sending and self._clock.now() - vm.since > _SLOW_SECONDS:
+            # The VM's connection may be broken. That a target leaves or a
+            # route has changed cannot wait until this is certain.
             return self.lacking(report).urgent()
         return nothing
 
     def lacking(self, report: messages.Report) -> Lacking:
-        """Returns what a VM does not know by its report."""
+        """Returns the state that a VM is missing according to its report."""
         whole, changed = self._newer_than(report.versions)
         news = self._beliefs.news_after(
             report.seen, report.configuration, report.evacuations
@@ -361,42 +362,46 @@
         tuple[assignments.Assignment, ...],
         tuple[assignments.Difference, ...],
     ]:
-        """Returns assignments that a VM lacks, and changes of others."""
+        """Returns assignments newer than a VM's versions.
+
+        Returns:
+            Whole assignments, and changes of those that the VM has.
+        """
         whole, changed = [], []
         for name, present in self._beliefs.assignments.items():
             version = versions.get(name)
             if version is not None and tuple(version) >= present.version:
                 continue
-            old = self._told.get((name, tuple(version or ())))
+            old = self._published.get((name, tuple(version or ())))
             if old is None:
                 whole.append(present)
             else:
                 changed.append(assignments.difference(old, present))
         return tuple(whole), tuple(changed)
 
-    async def _tell_on(self) -> None:
-        """Tells VMs what they lack, as soon as they lack it."""
+    async def _send_updates(self) -> None:
+        """Sends each VM what it is missing, as soon as anything is."""
         while True:
-            await self._wanted.wait()
-            await asyncio.sleep(_PAUSE)
-            self._wanted.clear()
+            await self._update_due.wait()
+            await asyncio.sleep(_BATCH_SECONDS)
+            self._update_due.clear()
             for zone, batch in self._batches():
-                if zone == self._zone or len(batch.vms) < _RELAY_LEAST:
+                if zone == self._zone or len(batch.vms) < _MIN_RELAY_VMS:
                     for vm in batch.vms:
-                        self._start(self._tell(batch.body, vm))
+                        self._start(self._send(batch.body, vm))
                 else:
                     self._start(self._relay(batch))
 
     def _batches(self) -> list[tuple[str, _Batch]]:
-        """Returns, by zone, VMs that lack the same, and what it is."""
+        """Returns the updates due, each with its zone and receivers."""
         bodies: dict[bytes, bytes] = {}
         batches: dict[tuple[str, bytes], _Batch] = {}
         for vm in self._vms.values():
             report = vm.report
             stale = not self._reports(vm)
-            if stale or vm.telling or vm.missed or report.vm.id == self._here:
+            if stale or vm.sending or vm.missed or report.vm.id == self._here:
                 continue
-            known = msgspec.json.encode(
+            view = msgspec.json.encode(
                 (
                     report.versions,
                     report.seen,
@@ -404,80 +409,87 @@
                     report.evacuations,
                 )
             )
-            if known not in bodies:
-                # Most VMs know the same; what they lack is worked out once.
-                bodies[known] = self._message(self.lacking(report))
-            if bodies[known]:
+            if view not in bodies:
+                # Most VMs have the same view; their update is encoded once.
+                bodies[view] = self._message(self.lacking(report))
+            if bodies[view]:
                 batch = batches.setdefault(
-                    (report.vm.zone, known), _Batch(bodies[known])
+                    (report.vm.zone, view), _Batch(bodies[view])
                 )
                 batch.vms.append(vm)
         return [(zone, batch) for (zone, _), batch in batches.items()]
 
-    async def _tell(self, body: bytes, vm: _Vm) -> None:
-        """Tells one VM what it lacks."""
-        told = self._begin_telling([vm])
-        await self._tell_begun(body, vm, told)
+    async def _send(self, body: bytes, vm: _Vm) -> None:
+        """Sends an update to one VM."""
+        view = self._begin_sending([vm])
+        await self._send_begun(body, vm, view)
 
-    async def _tell_begun(self, body: bytes, vm: _Vm, told: _Known) -> None:
-        """Tells one VM what it lacks, over another connection if need be."""
-        answer = None
+    async def _send_begun(self, body: bytes, vm: _Vm, view: _View) -> None:
+        """Sends an update to one VM and retries once over a new connection.
+
+        Args:
+            body: The encoded update.
+            vm: The VM, for which `_begin_sending` was called.
+            view: The VM's view once it has received the update.
+        """
+        response = None
         for fresh in (False, True):
             began = self._clock.now()
-            answer = await self._unless_held_up(
+            response = await self._unless_held_up(
                 self._calls.call(
                     vm.report.vm.address,
                     messages.ASSIGN_PATH,
                     body,
-                    _CALL_SECONDS,
+                    _CALL_TIMEOUT_SECONDS,
                     fresh=fresh,
                 ),
                 () if fresh else (vm,),
             )
-            if answer is not None or vm.at <= began:
+            if response is not None or vm.at <= began:
                 break
-        self._end_telling([vm], told, missed=answer is None)
+        self._end_sending([vm], view, missed=response is None)
 
     async def _unless_held_up(
         self, calling: Coroutine[Any, Any, bytes | None], vms: Iterable[_Vm]
     ) -> bytes | None:
-        """Returns the answer to a message.
+        """Awaits a call, but gives it up early if reports overtake it.
 
         Args:
             calling: The call.
-            vms: VMs whose reports show that the way is free. The call is given
-                up early only then; a full link would be filled further.
+            vms: VMs whose reports show that the path is free. Only then is the
+                call given up early; resending would add load to a full link.
 
         Returns:
-            The answer, None if there is none.
+            The response, None if there is none.
         """
         began = self._clock.now()
         vms = list(vms)
         call = asyncio.ensure_future(calling)
-        patience = _HELD_UP_SECONDS
+        timeout = _HELD_UP_SECONDS
         try:
-            while not (await asyncio.wait((call,), timeout=patience))[0]:
+            while not (await asyncio.wait((call,), timeout=timeout))[0]:
                 if any(vm.at > began for vm in vms):
                     return None
-                patience = _LOOK_SECONDS
+                timeout = _HELD_UP_CHECK_SECONDS
             return call.result()
         finally:
             call.cancel()
 
     async def _relay(self, batch: _Batch) -> None:
-        """Tells VMs of one zone what they lack, through one of them.
+        """Sends an update to VMs of one zone, through one of them.
 
-        One that does not answer is given up alone; another one has the message
-        for the rest.
+        If the relaying VM does not respond, only that VM is given up, and
+        another one relays the update to the rest.
         """
-        told = self._begin_telling(batch.vms)
+        view = self._begin_sending(batch.vms)
         began = self._clock.now()
         left = batch.vms
-        while len(left) >= _RELAY_LEAST:
+        while len(left) >= _MIN_RELAY_VMS:
             first, *others = sorted(
-                left, key=lambda vm: (vm.at <= began, _rank(vm.report.vm))
+                left,
+                key=lambda vm: (vm.at <= began, _relay_order(vm.report.vm)),
             )
-            answer = await self._unless_held_up(
+            response = await self._unless_held_up(
                 self._through(
                     first.report.vm,
                     (vm.report.vm for vm in others),
@@ -485,31 +497,31 @@
                 ),
                 others,
             )
-            relayed = self._relayed(answer)
+            relayed = self._relayed(response)
             if relayed is not None:
                 missed = set(relayed.missed)
                 reached = [
                     vm for vm in left if vm.report.vm.address not in missed
                 ]
-                self._end_telling(reached, told, missed=False)
+                self._end_sending(reached, view, missed=False)
                 left = [vm for vm in left if vm.report.vm.address in missed]
                 break
             left = [vm for vm in others if self._reports(vm)]
             lost = [first, *(vm for vm in others if not self._reports(vm))]
-            self._note_not_told(batch, lost)
-            self._end_telling(lost, told, missed=True)
+            self._log_missed(batch, lost)
+            self._end_sending(lost, view, missed=True)
         if left:
-            self._note_not_told(batch, left)
+            self._log_missed(batch, left)
             await asyncio.gather(
-                *(self._tell_begun(batch.body, vm, told) for vm in left)
+                *(self._send_begun(batch.body, vm, view) for vm in left)
             )
 
     def _reports(self, vm: _Vm) -> bool:
-        """Whether a VM's last report still counts."""
+        """Whether a VM's last report is still valid."""
         return self._clock.now() - vm.at < REPORT_FRESH
 
-    def _note_not_told(self, batch: _Batch, missed: Collection[_Vm]) -> None:
-        """Logs that a message for a zone has not reached some VMs."""
+    def _log_missed(self, batch: _Batch, missed: Collection[_Vm]) -> None:
+        """Logs that an update for a zone has not reached all its VMs."""
         self._events.write(
             "leader",
             "zone_not_told",
@@ -520,50 +532,52 @@
             bytes=len(batch.body),
         )
 
-    def _relayed(self, answer: bytes | None) -> messages.Relayed | None:
-        """Reads the answer of a VM that was to pass a message on."""
-        if answer is None:
+    def _relayed(self, response: bytes | None) -> messages.Relayed | None:
+        """Decodes a relaying VM's response; returns None if it is unusable."""
+        if response is None:
             return None
         try:
-            return messages.decode(answer, messages.Relayed)
+            return messages.decode(response, messages.Relayed)
         except msgspec.DecodeError as error:
             self._events.write("leader", "relay_unreadable", why=str(error))
             return None
 
-    def _begin_telling(self, vms: Iterable[_Vm]) -> _Known:
+    def _begin_sending(self, vms: Iterable[_Vm]) -> _View:
+        """Marks an update to VMs as in flight; returns their view after it."""
         for vm in vms:
-            vm.telling = True
+            vm.sending = True
             vm.since = self._clock.now()
-        known = self._beliefs
-        return _Known(
-            known.versions(), known.seen, known.version, known.evacuations
+        state = self._beliefs
+        return _View(
+            state.versions(), state.seen, state.version, state.evacuations
         )
 
-    def _end_telling(
-        self, vms: Iterable[_Vm], told: _Known, *, missed: bool
+    def _end_sending(
+        self, vms: Iterable[_Vm], view: _View, *, missed: bool
     ) -> None:
+        """Records whether an update to VMs was missed or acknowledged."""
         for vm in vms:
-            vm.telling = False
+            vm.sending = False
             vm.missed = missed
             if not missed:
                 vm.report = msgspec.structs.replace(
                     vm.report,
-                    versions=told.versions,
-                    seen=max(vm.report.seen, told.seen),
+                    versions=view.versions,
+                    seen=max(vm.report.seen, view.seen),
                     configuration=max(
-                        vm.report.configuration, told.configuration
+                        vm.report.configuration, view.configuration
                     ),
                     evacuations=max(
                         vm.report.evacuations,
-                        told.evacuations,
-                        key=lambda known: known.revision,
+                        view.evacuations,
+                        key=lambda evacuations: evacuations.revision,
                     ),
                 )
-        # More may have happened meanwhile.
-        self._wanted.set()
+        # There may have been further changes in the meantime.
+        self._update_due.set()
 
     def _message(self, lacking: Lacking) -> bytes:
-        """Returns the message with what VMs lack, empty for nothing."""
+        """Returns an encoded update, empty if nothing is missing."""
         if lacking.nothing:
             return b""
         return messages.encode(
@@ -578,9 +592,9 @@
         )
 
     async def _announce(self, vm: messages.VmEntry, body: bytes) -> None:
-        # A VM that does not hear it finds the leader in the store.
+        # A VM that misses the announcement finds the leader in the store.
         await self._calls.call(
-            vm.address, messages.ASSIGN_PATH, body, _CALL_SECONDS
+            vm.address, messages.ASSIGN_PATH, body, _CALL_TIMEOUT_SECONDS
         )
 
     def _start(self, work: Coroutine[Any, Any, object]) -> None:
@@ -591,6 +605,6 @@
         task.add_done_callback(self._tasks.discard)
 
 
-def _rank(vm: messages.VmEntry) -> tuple[tuple[float, int], str]:
-    """Sorts VMs by how well they suit to pass messages on, the best first."""
+def _relay_order(vm: messages.VmEntry) -> tuple[tuple[float, int], str]:
+    """Sort key of VMs by suitability as a relay, the best first."""
     return vm.order, vm.id
