--- a/packages/mimosastile-gateway/src/mimosastile_gateway/peers.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/peers.py
@@ -1,4 +1,4 @@
-"""Membership of entry VMs, and each VM's exchange with its leader."""
+"""Membership of entry VMs: registration, reports to the leader, failover."""
 
 import asyncio
 import collections
@@ -29,86 +29,96 @@
 from mimosastile_gateway import watching
 
 _SESSION_SHARE = 0.3
-"""Part of a lease after which it is renewed: two more tries fit in."""
-_CALL_SECONDS = leading.ANSWER_SECONDS
-"""Longest wait for a peer: the way to the far region and back, sixteen times,
-or one lost packet that is sent again."""
-_RELAY_SECONDS = 0.3
-"""Longest wait for a VM of the same zone that a leader's message is passed on
-to. The leader waits for this VM for longer than that, and tells those that have
-not answered by itself."""
+"""Part of a session lease after which it is renewed; leaves time for two
+retries."""
+_CALL_TIMEOUT_SECONDS = leading.ANSWER_SECONDS
+"""Longest wait for a peer's response: sixteen round trips to the farthest
+region, or the retransmission of one lost packet."""
+_RELAY_TIMEOUT_SECONDS = 0.3
+"""Longest wait for a VM of the same zone to which a leader's update is relayed.
+It is shorter than the leader's wait for this VM; the leader itself sends the
+update to those that have not responded."""
 _KEYS_PER_REPORT = 256
-"""Keys in one report; beyond that they are a sample."""
-_FACTOR_NEWS = 0.1
-"""Change of a target's speed that a leader is told of."""
-_START_GRACE = 2.0
-"""Seconds after its start, by half more or less, for which a VM waits for a
-leader before it reads the store by itself. When all VMs start at once one leads
-within a second, and its news are a tenth of what the store would tell each."""
-_LED_START_GRACE = 6.0
-"""The same while a leader is known that does not answer yet: hundreds of VMs
-that start together are told within some seconds, unless they fill the links
-with their own reading."""
+"""Largest number of keys in one report; the first keys serve as a sample."""
+_MIN_FACTOR_CHANGE = 0.1
+"""Relative change of a target's slowness from which it is reported."""
+_START_GRACE_SECONDS = 2.0
+"""Mean time for which a VM waits for a leader after its start before it reads
+the store by itself; jitter changes it by up to a half. When all VMs start at
+once, one leads within a second, and its updates are a tenth of the size of what
+each VM would read from the store."""
+_LED_START_GRACE_SECONDS = 6.0
+"""The same while a leader is recorded that does not respond yet: hundreds of
+VMs that start together get their updates within a few seconds, unless they fill
+the links with their own reads."""
 _FEW_VMS = 30
-"""Up to this many VMs take over in order of rank, and read all they need."""
-_PATIENCE_PER_VM = 0.012
-"""Seconds for each VM over which those that have lost their leader begin to
-read the configuration."""
-_PATIENCE_MOST = 1.2
-"""The most of that: another one leads after about a second."""
-_NEARNESS = 10.0
-"""Multiple of the store's distance for which a VM that does not know the others
-lets them go first: a leader in another region changes tables slowly."""
-_NEARNESS_MOST = 0.5
-"""Longest such wait, in seconds."""
-_VMS_SECONDS = 30.0
-"""For how long a list of VMs will do to ask some of them."""
-_LOOK_SECONDS = 0.6
-"""Time over which VMs look for a leader that do not know how many they are."""
-_LOOK_SECONDS_PER_VM = 0.02
-"""The same for each VM where there are many: one that looks has taken over
-before the next ten do."""
-_LOTS = 1 << 32
-_HURRIED_SECONDS = 0.3
-"""Shortest time between two reports when a target is full."""
-_FIND_SECONDS = 2.0
-"""Seconds without a leader after which a VM looks for one in the store, and
-between two such looks."""
-_ASKED_PEERS = 3
-"""Peers asked whether they hear the leader before it is replaced."""
+"""Largest number of VMs that take over in order of rank, and that all read the
+complete state from the store."""
+_JITTER_SECONDS_PER_VM = 0.012
+"""Seconds for each VM over which VMs that have lost their leader start to read
+the configuration."""
+_MAX_JITTER_SECONDS = 1.2
+"""Upper bound of that time: there is a new leader after about a second."""
+_LATENCY_WAIT_FACTOR = 10.0
+"""Multiple of the store's latency for which a VM without knowledge of the other
+VMs lets them take over first: a leader in another region than the store updates
+tables slowly."""
+_MAX_LATENCY_WAIT_SECONDS = 0.5
+"""Upper bound of that wait."""
+_VM_LIST_MAX_AGE_SECONDS = 30.0
+"""Age up to which a list of VMs is used to select peers for a query."""
+_LOOKUP_SECONDS = 0.6
+"""Time over which VMs that do not know their number spread their lookups of the
+leader."""
+_LOOKUP_SECONDS_PER_VM = 0.02
+"""The same for each VM if there are many: the first VM that looks has taken
+over before the next ten look."""
+_HASH_RANGE = 1 << 32
+_MIN_EARLY_REPORT_SECONDS = 0.3
+"""Shortest time from a report to an early one, sent since a target is at
+capacity."""
+_FIND_LEADER_SECONDS = 2.0
+"""Time without a leader after which a VM looks for one in the store, and
+interval of such lookups."""
+_QUERIED_PEERS = 3
+"""Number of peers that are queried whether they receive messages from the
+leader, before it is replaced."""
 
 
 class Peers:
-    """Registers this VM, reports to the leader, replaces a lost one."""
+    """Registers this VM, reports to the leader and replaces a failed leader."""
 
     __slots__ = (
         "_address",
         "_admitting",
         "_alive",
-        "_answered",
         "_beliefs",
         "_boot",
         "_calls",
         "_casualties",
         "_clock",
+        "_confirmed_leaving",
         "_deaths",
         "_ended",
         "_events",
-        "_fellows",
-        "_follows_asked",
+        "_follow_requested",
         "_follows_store",
         "_found_at",
-        "_heard_at",
         "_keys",
         "_leader",
+        "_leader_responded",
+        "_leader_seen_at",
         "_misses",
         "_news_evacuations",
         "_news_seen",
         "_news_version",
+        "_peers",
+        "_refused",
         "_report_due",
-        "_reported_leaving",
         "_reported_at",
+        "_reported_leaving",
         "_rooms",
+        "_sent_factors",
         "_session",
         "_settings",
         "_stamp",
@@ -116,12 +126,9 @@
         "_started_at",
         "_store",
         "_store_seconds",
+        "_synced_leader",
         "_tasks",
-        "_turned_away",
         "_turns",
-        "_told_factors",
-        "_told_leader",
-        "_told_leaving",
         "_vms",
         "_vms_read_at",
         "_watching",
@@ -159,37 +166,37 @@
         self._address = configured.vm.peers
         self._session = 0
         self._report_due = asyncio.Event()
-        self._answered = asyncio.Event()
+        self._leader_responded = asyncio.Event()
         self._start_spread = 1.0
         self._started_at = float("-inf")
         self._found_at = float("-inf")
         self._reported_at = float("-inf")
         self._store_seconds = 0.0
-        self._heard_at = float("-inf")
+        self._leader_seen_at = float("-inf")
         self._keys: dict[str, list[int]] = collections.defaultdict(list)
         self._alive: set[str] = set()
         self._deaths: list[quarantine.Death] = []
         self._ended: list[messages.Ended] = []
         self._misses: list[messages.Miss] = []
-        self._turned_away: collections.Counter[str] = collections.Counter()
+        self._refused: collections.Counter[str] = collections.Counter()
         self._vms = 1
         self._vms_read_at = float("-inf")
-        self._fellows: tuple[messages.VmEntry, ...] = ()
-        self._told_factors: dict[str, float] = {}
-        self._told_leader: leadership.LeaderEntry | None = None
+        self._peers: tuple[messages.VmEntry, ...] = ()
+        self._sent_factors: dict[str, float] = {}
+        self._synced_leader: leadership.LeaderEntry | None = None
         self._stamp: currency.Stamp | None = None
-        self._told_leaving: dict[str, int] = {}
+        self._confirmed_leaving: dict[str, int] = {}
         self._reported_leaving: dict[str, messages.Leaving] = {}
         self._news_seen = 0
         self._news_version = -1
         self._news_evacuations = eligibility.Evacuations()
-        self._follows_asked = False
+        self._follow_requested = False
         self._follows_store = True
         self._tasks: list[asyncio.Task[None]] = []
 
     @property
     def entry(self) -> messages.VmEntry:
-        """This VM as its peers know it."""
+        """The entry under which this VM is registered."""
         vm = self._settings.vm
         return messages.VmEntry(
             vm.id,
@@ -202,18 +209,18 @@
 
     @property
     def count(self) -> int:
-        """How many VMs share the work, as far as is known; at least 1."""
+        """Number of VMs that share the load, as far as known; at least 1."""
         return max(len(self._beliefs.vms), self._vms, 1)
 
     def listens_on(self, address: str) -> None:
-        """Takes the address on which this VM hears its peers."""
+        """Sets the address on which this VM listens for its peers."""
         self._address = address
         self._leader.address = address
         self._admitting.address = address
 
     def start(self) -> None:
-        """Registers this VM and begins to report."""
-        self._heard_at = self._started_at = self._clock.now()
+        """Starts the tasks that register this VM and send its reports."""
+        self._leader_seen_at = self._started_at = self._clock.now()
         self._start_spread = 0.5 + self._clock.random()
         self._tasks = [
             asyncio.create_task(self._register(), name="register"),
@@ -221,66 +228,69 @@
         ]
 
     def abort(self) -> None:
-        """Ends reporting at once."""
+        """Cancels all tasks at once, without deregistration."""
         for task in self._tasks:
             task.cancel()
 
     async def stop(self) -> None:
-        """Takes this VM out of the list."""
+        """Cancels all tasks and deregisters this VM."""
         self.abort()
         if self._session:
             await self._store.end_session(self._session)
 
     def asked(self, service: str, key: int) -> None:
-        """Notes a request for a key."""
+        """Records a request for a key."""
         keys = self._keys[service]
         if len(keys) < _KEYS_PER_REPORT:
             keys.append(key)
 
     def answered(self, target: str) -> None:
-        """Notes that a target answers."""
+        """Records that a target responds."""
         self._alive.add(target)
 
     def died(self, deaths: list[quarantine.Death]) -> None:
-        """Notes confirmed deaths of targets."""
+        """Records confirmed crashes of targets."""
         self._deaths.extend(deaths)
 
     def ended(self, target: directory.Target) -> None:
-        """Notes that another target answers at a target's address."""
+        """Records that another target responds at a target's address."""
         self._ended.append(messages.Ended(target.id, target.born))
         self._beliefs.end_target(target.id, target.born)
 
     def turned_away(self, target: str) -> None:
-        """Notes a request for which a target had no room.
+        """Records a request that was refused since a target is at capacity.
 
-        Requests that are refused at once do not wait anywhere; the leader
-        would not see that more is wanted of the target.
+        Requests that are refused at once are in no queue; without this record
+        the leader would not see the demand for the target.
         """
-        self._turned_away[target] += 1
+        self._refused[target] += 1
         self.hurry()
 
     def hurry(self) -> None:
-        """Reports soon, since a target is full that has no gate yet."""
-        if self._clock.now() - self._reported_at > _HURRIED_SECONDS:
+        """Triggers an early report.
+
+        Used when a target without an admission gate is at capacity.
+        """
+        if self._clock.now() - self._reported_at > _MIN_EARLY_REPORT_SECONDS:
             self._report_due.set()
 
     async def ask_leader(self, seconds: float) -> None:
-        """Reports soon and waits until the leader has answered.
+        """Triggers an early report and waits for the leader's response.
 
         Args:
             seconds: Longest wait.
         """
         self.hurry()
-        await clock.wait(self._answered, seconds)
+        await clock.wait(self._leader_responded, seconds)
 
     def missed(self, service: str, key: int, target: str) -> None:
-        """Notes that a target rejected a key that it should own."""
+        """Records that a target rejected a key that it should own."""
         if len(self._misses) < _KEYS_PER_REPORT:
             self._misses.append(messages.Miss(service, key, target))
 
     def heard(self) -> messages.Heard:
-        """Returns what this VM knows of the leader."""
-        seconds = self._clock.now() - self._heard_at
+        """Returns this VM's view of the leader, for a peer's query."""
+        seconds = self._clock.now() - self._leader_seen_at
         if self._leader.leading:
             seconds = 0.0
         return messages.Heard(
@@ -289,26 +299,26 @@
             tuple(self._beliefs.assignments.values()),
         )
 
-    def _made_at(self, told: messages.ReportReply) -> float | None:
-        """Returns when the present leader made a message, or earlier.
+    def _made_at(self, update: messages.ReportReply) -> float | None:
+        """Returns a time at or before which the leader made an update.
 
         Returns:
-            The time; None if it cannot be told, as nothing is known of that
-            leader's clock.
+            The time; None if this VM has no estimate of that leader's clock.
         """
-        stamp = self._stamp if told.leader == self._told_leader else None
-        if stamp is None or told.stamp is None:
+        stamp = self._stamp if update.leader == self._synced_leader else None
+        if stamp is None or update.stamp is None:
             return None
-        return stamp.from_peer(told.stamp)
+        return stamp.from_peer(update.stamp)
 
-    def _take_told(
+    def _apply_update(
         self, reply: messages.ReportReply, made_at: float | None
     ) -> None:
-        """Takes what a leader has told of keys, targets and configuration.
+        """Applies a leader's update of keys, targets and configuration.
 
         Args:
-            reply: What it has told.
-            made_at: When it has made that, or earlier; None if unknown.
+            reply: The response or update that contains them.
+            made_at: Time at or before which the leader made it, None if
+                unknown.
         """
         self._beliefs.learn_limits(reply.limits)
         self._beliefs.learn_leaving(reply.leaving)
@@ -330,13 +340,17 @@
                 pause = least
                 await asyncio.sleep(most)
             else:
-                # Registrations of all VMs are most of what is asked of a
-                # store that is down; they are not urgent.
+                # Most requests to a store that is down are registrations of
+                # VMs, which are not urgent.
                 await asyncio.sleep(pause * (0.5 + self._clock.random()))
                 pause = min(pause * 2, most)
 
     async def _registered(self) -> bool:
-        """Renews the lease of this VM's entry, or makes both."""
+        """Renews the lease of this VM's entry, or creates both.
+
+        Returns:
+            Whether that succeeded.
+        """
         if self._session:
             kept = await self._store.keep_session(self._session)
             if isinstance(kept, result.Ok):
@@ -350,12 +364,12 @@
             else:
                 self._beliefs.note_store(ok=False, why=kept.err_value.detail)
             return False
-        asked = self._clock.now()
+        requested_at = self._clock.now()
         opened = await self._store.open_session(self._settings.store.session)
         if isinstance(opened, result.Err):
             return False
-        took = self._clock.now() - asked
-        self._store_seconds = min(self._store_seconds or took, took)
+        latency = self._clock.now() - requested_at
+        self._store_seconds = min(self._store_seconds or latency, latency)
         session = opened.ok_value.id
         entry = self.entry
         write = ports.Write(
@@ -367,15 +381,19 @@
         if isinstance(written, result.Err):
             return False
         self._session = session
-        if self._told_leader is None:
-            # No leader has answered this VM yet. An old answer will do for
-            # finding one, and costs a tenth.
+        if self._synced_leader is None:
+            # No leader has responded to this VM yet. A stale read is enough to
+            # find one, and costs a tenth.
             await self._list_leader()
         self._report_due.set()
         return True
 
     async def read_store(self) -> bool:
-        """Reads leader and tables from the store."""
+        """Reads the leader and all tables from the store.
+
+        Returns:
+            Whether the store responded.
+        """
         listed = await self._store.list(messages.STORE_PREFIX)
         if isinstance(listed, result.Err):
             self._beliefs.note_store(ok=False, why=listed.err_value.detail)
@@ -386,12 +404,12 @@
         return True
 
     async def _read_vms(self) -> None:
-        """Reads some VMs that are registered, all if they are few.
+        """Reads the registered VMs, or only some if there are many.
 
-        What was read lately will do.
+        A recent list is reused.
         """
         now = self._clock.now()
-        if self._fellows and now - self._vms_read_at < _VMS_SECONDS:
+        if self._peers and now - self._vms_read_at < _VM_LIST_MAX_AGE_SECONDS:
             return
         self._vms_read_at = now
         here = self._settings.vm.id
@@ -401,16 +419,17 @@
             if isinstance(listed, result.Err):
                 return
             found = self._beliefs.read_vms(listed.ok_value.items)
-            self._fellows = tuple(vm for vm in found if vm.id != here)
-            if len(self._fellows) >= _ASKED_PEERS:
+            self._peers = tuple(vm for vm in found if vm.id != here)
+            if len(self._peers) >= _QUERIED_PEERS:
                 return
         listed = await self._store.list(messages.VM_PREFIX, stale=True)
         if isinstance(listed, result.Ok):
             self._beliefs.take_vms(listed.ok_value.items)
-            everyone = self._beliefs.vms.values()
-            self._fellows = tuple(vm for vm in everyone if vm.id != here)
+            registered = self._beliefs.vms.values()
+            self._peers = tuple(vm for vm in registered if vm.id != here)
 
     def _take_item(self, item: ports.Item) -> None:
+        """Applies a leader entry or a table from the store."""
         try:
             if item.key == messages.LEADER_KEY:
                 self._take_leader(
@@ -418,9 +437,9 @@
                 )
             elif item.key.startswith(messages.TABLE_PREFIX):
                 table = messages.decode(item.value, ranges.RangeTable)
-                every = {part.piece for part in table.ranges}
+                pieces = {part.piece for part in table.ranges}
                 self._beliefs.take_assignment(
-                    assignments.of_table(table, (0, table.version), every)
+                    assignments.of_table(table, (0, table.version), pieces)
                 )
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             self._events.write(
@@ -428,8 +447,9 @@
             )
 
     def _take_leader(self, entry: leadership.LeaderEntry) -> None:
+        """Follows a leader if its epoch is later than the current one's."""
         if self._beliefs.take_leader(entry):
-            self._heard_at = self._clock.now()
+            self._leader_seen_at = self._clock.now()
             self._leader.outranked_by(entry)
             self._report_due.set()
 
@@ -438,9 +458,9 @@
     async def _report_on(self) -> None:
         """Reports at intervals, and at once when there is a new leader.
 
-        When all VMs have been lost, nobody is served before one leads again
-        and has heard them; waiting for the next interval each time is half of
-        that.
+        After an outage of all VMs, no caller is served until one VM leads and
+        has received the others' reports. Half of that time would be waiting
+        for the next interval.
         """
         while True:
             configured = self._settings.leader
@@ -451,6 +471,7 @@
             await self._report_once()
 
     async def _report_once(self) -> None:
+        """Reports to the leader; looks for one if there is no response."""
         self._reported_at = self._clock.now()
         report = self._make_report()
         if self._leader.leading:
@@ -459,43 +480,46 @@
             return
         leader = self._beliefs.leader
         if leader is not None and leader.vm != self._settings.vm.id:
-            answer = await self._send_report(leader.address, report)
-            if answer is not None:
-                self._take_reply(answer)
-                if answer.leading:
+            sent_reply = await self._send_report(leader.address, report)
+            if sent_reply is not None:
+                self._take_reply(sent_reply)
+                if sent_reply.leading:
                     return
         await self._without_leader()
 
     async def _without_leader(self) -> None:
-        """Does what a VM does whose leader was not heard just now."""
-        silent = self._clock.now() - self._heard_at
+        """Falls back to the store after the leader did not respond."""
+        silent = self._clock.now() - self._leader_seen_at
         leader = self._beliefs.leader
         if silent > self._grace():
-            # Its own watch is all that it has, and may have fallen silent.
+            # Now the VM depends on its own watch, which may be broken.
             self._follow_store(
-                True, patience=self._patience(), closely=self._few
+                True, read_delay=self._read_delay(), closely=self._few
             )
         if leader is None or leader.vm == self._settings.vm.id:
-            # Nobody leads, or an earlier run of this daemon did.
+            # There is no leader, or an earlier incarnation of this daemon led.
             await self._replace_leader(silent + self._settings.leader.suspect)
         elif silent > self._settings.leader.suspect:
             await self._replace_leader(silent)
 
     def _grace(self) -> float:
-        """Returns how long this VM waits before it looks for itself.
+        """Returns the seconds to wait before this VM follows the store itself.
 
-        While VMs start, targets register as well; each VM that followed that by
-        itself would read as much as all others.
+        While VMs start, targets register as well; each VM that watched the
+        store by itself would read all these registrations.
         """
         led = self._beliefs.leader is not None
-        grace = self._start_spread * (_LED_START_GRACE if led else _START_GRACE)
+        grace = self._start_spread * (
+            _LED_START_GRACE_SECONDS if led else _START_GRACE_SECONDS
+        )
         started = self._clock.now() - self._started_at > grace
         return 0.0 if started and self._beliefs.seen else grace
 
     def _make_report(self) -> messages.Report:
+        """Returns the next report and resets what was recorded for it."""
         keys, self._keys = dict(self._keys), collections.defaultdict(list)
         misses, self._misses = tuple(self._misses), []
-        wanted, self._turned_away = self._turned_away, collections.Counter()
+        wanted, self._refused = self._refused, collections.Counter()
         wanted.update(self._turns.waiting())
         wanted.update(self._admitting.waiting())
         ended, self._ended = tuple(self._ended), []
@@ -525,7 +549,7 @@
             self._leader.witness.promised(),
             self._beliefs.evacuations,
             self._beliefs.limits.unknown_to_leader(self._clock.now()),
-            self._untold_leaving(),
+            self._unreported_leaving(),
             self._beliefs.rests.long(self._clock.now()),
             *self._complete_at(),
         )
@@ -534,11 +558,11 @@
         """Returns when this VM's views of the store were complete.
 
         Returns:
-            Times of the leader's clock; None for those that it cannot name or
-            has from the leader itself.
+            Times of the leader's clock, for registrations and configuration;
+            None for those that are unknown or come from the leader itself.
         """
         stamp = self._stamp
-        same = self._told_leader == self._beliefs.leader
+        same = self._synced_leader == self._beliefs.leader
         if stamp is None or not same or not self._follows_store:
             return None, None
         views = self._beliefs.registrations.at, self._beliefs.operated.at
@@ -547,56 +571,56 @@
         )
         return seen, operated
 
-    def _untold_leaving(self) -> tuple[messages.Leaving, ...]:
-        """Returns targets whose leaving the leader has not heard from here.
+    def _unreported_leaving(self) -> tuple[messages.Leaving, ...]:
+        """Returns leaving targets that were not reported to the leader yet.
 
-        Its next answer shows that it has.
+        The next response to a report confirms that the leader received them.
         """
         self._reported_leaving = self._beliefs.leaving_news()
         return tuple(
-            run
-            for name, run in self._reported_leaving.items()
-            if self._told_leaving.get(name) != run.born
+            leaving
+            for name, leaving in self._reported_leaving.items()
+            if self._confirmed_leaving.get(name) != leaving.born
         )
 
     def _changed_factors(self) -> dict[str, float]:
-        """Returns what the leader does not know of targets' speeds."""
-        told = self._told_factors
+        """Returns slowness factors that changed since the leader got them."""
+        sent = self._sent_factors
         changed = {
             target: factor
             for target, factor in self._rooms.factors().items()
-            if abs(factor - told.get(target, 1.0)) > _FACTOR_NEWS * factor
+            if abs(factor - sent.get(target, 1.0)) > _MIN_FACTOR_CHANGE * factor
         }
-        told.update(changed)
+        sent.update(changed)
         return changed
 
     def _own_news(self) -> messages.News | None:
-        """Returns what this VM has read from the store and its leader lacks.
+        """Returns changes from the store that the leader is missing.
 
-        A leader that is cut off from the store learns it from those that it
-        has asked to follow the store as well. Until it has answered, this VM
-        does not know what it lacks, and would tell it everything.
+        A leader that is cut off from the store gets them from the VMs that it
+        has requested to watch the store as well. Before its first response,
+        this VM does not know what is missing and would send everything.
         """
-        answered = self._told_leader == self._beliefs.leader
-        if self._leader.leading or not answered or not self._follows_asked:
+        synced = self._synced_leader == self._beliefs.leader
+        if self._leader.leading or not synced or not self._follow_requested:
             return None
         return self._beliefs.news_after(
             self._news_seen, self._news_version, self._news_evacuations
         )
 
     def _rely(self, reply: messages.ReportReply) -> None:
-        """Decides whether this VM follows the store itself."""
+        """Decides from a leader's response whether to follow the store."""
         here = self._settings.vm.id
         chosen = here in reply.watchers or self._leader.leading
-        asked = self._reported_at
+        reported_at = self._reported_at
         self._beliefs.note_views(
             reply.seen,
-            None if reply.seen_age is None else asked - reply.seen_age,
+            None if reply.seen_age is None else reported_at - reply.seen_age,
             reply.configuration,
             reply.evacuations,
             None
             if reply.configuration_age is None
-            else asked - reply.configuration_age,
+            else reported_at - reply.configuration_age,
         )
         self._news_seen = reply.seen
         self._news_version = reply.configuration
@@ -606,29 +630,36 @@
             reply.configuration_seen,
             reply.evacuations.zones,
         )
-        self._follows_asked = chosen or not reply.store
-        self._follow_store(self._follows_asked)
+        self._follow_requested = chosen or not reply.store
+        self._follow_store(self._follow_requested)
+
+    def _read_delay(self) -> float:
+        """Returns the mean delay of large reads after the loss of a leader.
 
-    def _patience(self) -> float:
-        """Returns for how long this VM lets a next leader tell it first."""
+        The next leader usually sends its update within that time.
+        """
         if self.count == 1:
             # There may be hundreds.
-            return _PATIENCE_MOST
-        return min(_PATIENCE_PER_VM * self.count, _PATIENCE_MOST)
+            return _MAX_JITTER_SECONDS
+        return min(_JITTER_SECONDS_PER_VM * self.count, _MAX_JITTER_SECONDS)
 
     def _follow_store(
-        self, follows: bool, *, patience: float = 0.0, closely: bool = False
+        self, follows: bool, *, read_delay: float = 0.0, closely: bool = False
     ) -> None:
-        """Has this VM follow the store itself, or rely on its leader."""
+        """Switches between following the store and relying on the leader."""
         self._follows_store = follows
         self._watching.rely_on_leader(
             not follows,
-            patience=patience,
+            read_delay=read_delay,
             closely=closely or self._leader.leading,
         )
 
     def _works(self) -> dict[str, float]:
-        """Returns the mean work of each keyed service's own routes."""
+        """Returns the mean request duration of services with their own route.
+
+        Returns:
+            Seconds by service.
+        """
         configuration = self._beliefs.configuration
         if configuration is None:
             return {}
@@ -641,16 +672,17 @@
     async def _send_report(
         self, address: str, report: messages.Report
     ) -> messages.ReportReply | None:
-        answer = await self._calls.call(
+        """Sends a report; returns None without a readable response."""
+        response = await self._calls.call(
             address,
             messages.REPORT_PATH,
             messages.encode(report),
-            _CALL_SECONDS,
+            _CALL_TIMEOUT_SECONDS,
         )
-        if answer is None:
+        if response is None:
             return None
         try:
-            return messages.decode(answer, messages.ReportReply)
+            return messages.decode(response, messages.ReportReply)
         except msgspec.DecodeError as error:
             self._events.write(
                 "peers", "reply_unreadable", peer=address, why=str(error)
@@ -658,93 +690,102 @@
             return None
 
     def _take_reply(self, reply: messages.ReportReply) -> None:
+        """Applies the response to a report."""
         now = self._clock.now()
         if reply.leader is not None:
             self._take_leader(reply.leader)
         if not reply.leading:
             return
-        self._heard_at = now
+        self._leader_seen_at = now
         self._leader.hear(reply)
         self._vms = reply.vms
         for death in reply.deaths:
             self._casualties.learn(death, now)
         if reply.stamp is not None:
             self._stamp = currency.Stamp(reply.stamp, self._reported_at, now)
-        if reply.leader != self._told_leader:
-            # A new leader knows nothing of what was told to the one before.
-            self._told_leader = reply.leader
-            self._told_factors = {}
-            self._told_leaving = {}
+        if reply.leader != self._synced_leader:
+            # A new leader has nothing of what its predecessor received.
+            self._synced_leader = reply.leader
+            self._sent_factors = {}
+            self._confirmed_leaving = {}
         else:
-            self._told_leaving = {
-                name: run.born for name, run in self._reported_leaving.items()
+            self._confirmed_leaving = {
+                name: leaving.born
+                for name, leaving in self._reported_leaving.items()
             }
         self._rooms.learn_others(reply.under_way, now)
         self._rooms.learn_gates(reply.gates, now)
         self._beliefs.limits.take_told(reply.limits, now)
-        self._take_told(reply, self._reported_at)
+        self._apply_update(reply, self._reported_at)
         self._rely(reply)
-        self._answered.set()
-        self._answered = asyncio.Event()
+        self._leader_responded.set()
+        self._leader_responded = asyncio.Event()
         if reply.take_over:
             self._take_over_soon()
 
     def _take_over_soon(self) -> None:
-        """Takes over on the leader's demand."""
-        task = asyncio.create_task(self._take_over("asked to"))
+        """Starts to take over as the leader, at the leader's request."""
+        task = asyncio.create_task(self._take_over("requested by leader"))
         self._tasks.append(task)
         task.add_done_callback(self._tasks.remove)
 
-    def take_push(self, told: messages.ReportReply) -> None:
-        """Takes assignments that a leader has sent without being asked."""
-        if told.leader is not None:
-            self._take_leader(told.leader)
+    def take_push(self, update: messages.ReportReply) -> None:
+        """Applies an update that a leader has sent unrequested."""
+        if update.leader is not None:
+            self._take_leader(update.leader)
         leader = self._beliefs.leader
-        if not told.leading or told.leader != leader:
+        if not update.leading or update.leader != leader:
             return
-        self._rooms.learn_new_gates(told.gates)
-        self._take_told(told, self._made_at(told))
-        if told.take_over:
+        self._rooms.learn_new_gates(update.gates)
+        self._apply_update(update, self._made_at(update))
+        if update.take_over:
             self._take_over_soon()
 
     async def relay(self, relay: messages.Relay) -> messages.Relayed:
-        """Takes what a leader tells a zone, and passes it on in the zone."""
-        passing = asyncio.gather(
+        """Applies a leader's update for a zone, and relays it in the zone.
+
+        Returns:
+            The VMs that did not respond.
+        """
+        relaying = asyncio.gather(
             *(
                 self._calls.call(
-                    address, messages.ASSIGN_PATH, relay.told, _RELAY_SECONDS
+                    address,
+                    messages.ASSIGN_PATH,
+                    relay.told,
+                    _RELAY_TIMEOUT_SECONDS,
                 )
                 for address in relay.addresses
             )
         )
-        # Others need not wait until this VM has taken it.
+        # Lets the calls start before this VM applies the update itself.
         await asyncio.sleep(0)
         self.take_push(messages.decode(relay.told, messages.ReportReply))
-        answers = await passing
+        responses = await relaying
         return messages.Relayed(
             tuple(
                 address
-                for address, answer in zip(
-                    relay.addresses, answers, strict=True
+                for address, response in zip(
+                    relay.addresses, responses, strict=True
                 )
-                if answer is None
+                if response is None
             )
         )
 
     # Replacing a leader.
 
     async def _replace_leader(self, silent: float) -> None:
-        """Finds the present leader, or becomes it.
+        """Finds the current leader, or takes over.
 
         Args:
-            silent: Seconds for which none was heard.
+            silent: Seconds since the last message of a leader.
         """
         limit = self._settings.leader.suspect
-        if silent < limit + self._look_wait():
+        if silent < limit + self._lookup_wait():
             await self._find_leader(silent)
             return
         if self._beliefs.leader is None:
-            wait = self._turn_wait(None)
+            wait = self._take_over_wait(None)
             if silent < limit + wait:
                 await self._find_leader(silent)
                 return
@@ -752,38 +793,44 @@
             return
         leader = self._beliefs.leader
         if leader is not None and leader.vm != self._settings.vm.id:
-            if self._clock.now() - self._heard_at < limit:
-                # The store named another one just now.
+            if self._clock.now() - self._leader_seen_at < limit:
+                # The store has just named a new leader.
                 return
             await self._read_vms()
-            wait = self._turn_wait(leader)
-            if silent < limit + wait or await self._others_hear(leader):
+            wait = self._take_over_wait(leader)
+            if silent < limit + wait or await self._peers_reach(leader):
                 return
-        await self._take_over("nobody heard the leader")
+        await self._take_over("leader reached by no peer")
 
     async def _find_leader(self, silent: float) -> None:
-        """Looks for a leader that has not announced itself here.
+        """Looks up a leader whose announcement has not reached this VM.
 
         Args:
-            silent: Seconds for which none was heard.
+            silent: Seconds since the last message of a leader.
         """
         now = self._clock.now()
         if self._beliefs.leader is not None:
             return
-        if silent < _FIND_SECONDS or now - self._found_at < _FIND_SECONDS:
+        if (
+            silent < _FIND_LEADER_SECONDS
+            or now - self._found_at < _FIND_LEADER_SECONDS
+        ):
             return
         self._found_at = now
         await self._list_leader()
 
     async def _list_leader(self) -> None:
-        """Reads who led some seconds ago, which costs a tenth of a call."""
+        """Reads the leader's entry by a stale read, for a tenth of the cost.
+
+        The entry may be a few seconds old.
+        """
         listed = await self._store.list(messages.LEADER_KEY, stale=True)
         if isinstance(listed, result.Ok):
             for item in listed.ok_value.items:
                 self._take_item(item)
 
     async def _read_leader(self) -> bool:
-        """Reads who leads; returns whether the store answered."""
+        """Reads the leader's entry; returns whether the store responded."""
         read = await self._store.read(messages.LEADER_KEY)
         if isinstance(read, result.Err):
             self._beliefs.note_store(ok=False, why=read.err_value.detail)
@@ -797,44 +844,47 @@
     def _few(self) -> bool:
         """Whether all VMs may read lists and tables when a leader is lost.
 
-        A VM that has heard of no other one may be one of hundreds.
+        Not if this VM has no record of any other: it may be one of hundreds.
         """
         return 1 < self.count <= _FEW_VMS
 
-    def _look_wait(self) -> float:
-        """Returns how long this VM waits before it reads anything, in seconds.
+    def _lookup_wait(self) -> float:
+        """Returns the seconds to wait before this VM reads from the store.
 
-        Lists of hundreds of VMs and tables of thousands of ranges, read by
-        all VMs at once, keep the link between regions full for longer than
-        any of them waits for an answer, and so for ever. The first few find
-        out what there is to find, and the next leader announces itself.
+        If all VMs read lists of hundreds of VMs and tables of thousands of
+        ranges at once, these fill the link between regions for longer than any
+        VM waits for a response; the retries would keep it full for ever. The
+        first few VMs are enough to look, and the next leader announces itself.
         """
         if self.count == 1:
-            nearness = min(_NEARNESS * self._store_seconds, _NEARNESS_MOST)
-            return _LOOK_SECONDS * self._lot() + nearness
+            latency_wait = min(
+                _LATENCY_WAIT_FACTOR * self._store_seconds,
+                _MAX_LATENCY_WAIT_SECONDS,
+            )
+            return _LOOKUP_SECONDS * self._jitter() + latency_wait
         if self._few:
             return 0.0
-        return _LOOK_SECONDS_PER_VM * self.count * self._lot()
+        return _LOOKUP_SECONDS_PER_VM * self.count * self._jitter()
 
-    def _lot(self) -> float:
-        """Returns a number from 0 to 1, another one in each epoch."""
+    def _jitter(self) -> float:
+        """Returns a pseudo-random number from 0 to 1, new for each epoch."""
         leader = self._beliefs.leader
         epoch = leader.epoch if leader else 0
-        mixed = f"{self._settings.vm.id}/{self._boot}/{epoch}".encode()
-        return zlib.crc32(mixed) / _LOTS
+        seed = f"{self._settings.vm.id}/{self._boot}/{epoch}".encode()
+        return zlib.crc32(seed) / _HASH_RANGE
 
-    def _turn_wait(self, leader: leadership.LeaderEntry | None) -> float:
-        """Returns how long this VM lets others go first, in seconds."""
+    def _take_over_wait(self, leader: leadership.LeaderEntry | None) -> float:
+        """Returns the seconds for which better VMs may take over first."""
         configured = self._settings.leader
         weakness = 1.0 - self._settings.vm.strength
         if self._few:
             ranked = configured.rank_wait * self._rank(leader)
         else:
-            ranked = self._look_wait()
+            ranked = self._lookup_wait()
         return ranked + configured.weak_wait * weakness
 
     def _rank(self, leader: leadership.LeaderEntry | None) -> int:
-        """Returns how many VMs go before this one."""
+        """Returns the number of VMs that should take over before this one."""
         epoch = leader.epoch if leader else 0
         former = leader.vm if leader else ""
         here = self._settings.vm
@@ -842,57 +892,75 @@
         def order(
             entry: messages.VmEntry,
         ) -> tuple[bool, tuple[float, int], int]:
-            # Of equally good ones the hash decides, anew with each epoch.
-            mixed = f"{entry.id}/{epoch}".encode()
-            return entry.id == former, entry.order, zlib.crc32(mixed)
+            # Ties are broken by a hash that changes with each epoch.
+            seed = f"{entry.id}/{epoch}".encode()
+            return entry.id == former, entry.order, zlib.crc32(seed)
 
-        everyone = {**self._beliefs.vms, here.id: self.entry}
-        ranked = sorted(everyone.values(), key=order)
+        candidates = {**self._beliefs.vms, here.id: self.entry}
+        ranked = sorted(candidates.values(), key=order)
         return [entry.id for entry in ranked].index(here.id)
 
-    async def _others_hear(self, leader: leadership.LeaderEntry) -> bool:
-        """Asks some peers whether they hear the leader.
+    async def _peers_reach(self, leader: leadership.LeaderEntry) -> bool:
+        """Queries a few peers whether they receive the leader's messages.
 
-        A VM that is cut off from the leader alone would otherwise replace it,
-        and two such VMs would replace each other for ever.
+        Without this check, a VM that is cut off from the leader alone would
+        replace it, and two such VMs would replace each other for ever.
         """
         others = [
             entry
-            for entry in self._fellows or self._beliefs.vms.values()
+            for entry in self._peers or self._beliefs.vms.values()
             if entry.id not in (leader.vm, self._settings.vm.id)
         ]
         others.sort(key=lambda _: self._clock.random())
-        answers = await asyncio.gather(
+        responses = await asyncio.gather(
             *(
                 self._calls.call(
-                    entry.address, messages.HEARD_PATH, b"{}", _CALL_SECONDS
+                    entry.address,
+                    messages.HEARD_PATH,
+                    b"{}",
+                    _CALL_TIMEOUT_SECONDS,
                 )
-                for entry in others[:_ASKED_PEERS]
+                for entry in others[:_QUERIED_PEERS]
             )
         )
-        for body in answers:
-            if body is not None and self._is_heard(body, leader):
+        for body in responses:
+            if body is not None and self._is_reached(body, leader):
                 return True
         return False
 
-    def _is_heard(self, body: bytes, leader: leadership.LeaderEntry) -> bool:
+    def _is_reached(self, body: bytes, leader: leadership.LeaderEntry) -> bool:
+        """Evaluates a peer's view of the leader, and applies what is newer.
+
+        Args:
+            body: The peer's encoded response.
+            leader: The leader that this VM does not reach.
+
+        Returns:
+            Whether the peer has recently received messages from that leader,
+            or follows a later one.
+        """
         try:
-            heard = messages.decode(body, messages.Heard)
+            view = messages.decode(body, messages.Heard)
         except msgspec.DecodeError as error:
             self._events.write("peers", "reply_unreadable", why=str(error))
             return False
-        if heard.leader is None or heard.leader.epoch < leader.epoch:
+        if view.leader is None or view.leader.epoch < leader.epoch:
             return False
-        if heard.leader.epoch > leader.epoch:
-            self._take_leader(heard.leader)
+        if view.leader.epoch > leader.epoch:
+            self._take_leader(view.leader)
             return True
-        fresh = heard.seconds < self._settings.leader.suspect
+        fresh = view.seconds < self._settings.leader.suspect
         if fresh:
-            for assignment in heard.assignments:
+            for assignment in view.assignments:
                 self._beliefs.take_assignment(assignment)
         return fresh
 
     async def _take_over(self, why: str) -> None:
+        """Takes over as the leader, and then follows the store.
+
+        Args:
+            why: The reason, for the log.
+        """
         if await self._leader.take_over(why):
-            self._heard_at = self._clock.now()
+            self._leader_seen_at = self._clock.now()
             self._follow_store(True)
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/telling.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/telling.py
@@ -65,7 +65,7 @@
         answered: Whether such a response was sent.
     """
 
-    __slots__ = ("answered", "at", "missed", "report", "since", "sending")
+    __slots__ = ("answered", "at", "missed", "report", "sending", "since")
 
     def __init__(self, report: messages.Report, at: float) -> None:
         self.report = report
@@ -162,10 +162,10 @@
         "_entry",
         "_events",
         "_here",
-        "_tasks",
         "_published",
-        "_vms",
+        "_tasks",
         "_update_due",
+        "_vms",
         "_zone",
     )
 
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/watching.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/watching.py
@@ -1,4 +1,4 @@
-"""Keeps beliefs fresh from the platform's store."""
+"""Watches of the platform's store that keep the cluster state current."""
 
 import asyncio
 from collections.abc import Callable
@@ -21,38 +21,38 @@
 from mimosastile_gateway import settings
 
 _T = TypeVar("_T")
-_AT_ONCE = 0.5
-"""Seconds within which a watch answers that has not waited for a change: more
-than a slow store takes for an answer."""
-_SLACK_SECONDS = 1.0
-"""Seconds beyond its wait after which a watch is taken for silent, twice as
-many after a failure: a large configuration takes part of a second over a small
-link, and to break it off again and again would bring nothing."""
-_RETRY_WAIT = 0.5
-"""Longest wait in seconds of a watch that follows a failed one: it shows soon
-whether the store is back."""
+_IMMEDIATE_SECONDS = 0.5
+"""Time in seconds within which a watch returns if changes existed when it
+started: more than a slow store takes to respond."""
+_TIMEOUT_SLACK_SECONDS = 1.0
+"""Time beyond its wait after which a watch has failed, doubled after a failure.
+A large configuration takes part of a second over a narrow link; repeated
+time-outs during its transfer would never let it arrive."""
+_RETRY_WAIT_SECONDS = 0.5
+"""Wait in seconds of a watch after a failed one; a short one detects early that
+the store is available again."""
 
 
 class Watching:
-    """Lists two prefixes, then follows their changes.
+    """Lists two prefixes of the store, then watches their changes.
 
-    A watch may fall silent without an end, may be cut, and its history may be
-    dropped. After a failure it goes on from where it stopped; after a lost
-    history everything is listed anew. A watch's wait is short, so that a
-    silent one is found. It begins when it is told that the leader cannot be
-    relied on.
+    A watch may hang, its connection may be cut, and the store may drop its
+    history. After a failure a new watch continues at the last revision; after a
+    dropped history, the prefix is listed again. Watches wait only briefly, so
+    that one that hangs is detected. Watching starts once `rely_on_leader`
+    reports that the leader cannot be relied on.
     """
 
     __slots__ = (
-        "_anew",
         "_beliefs",
         "_clock",
         "_closely",
         "_events",
         "_needed",
-        "_patience",
+        "_paused",
+        "_read_delay",
         "_records",
-        "_resting",
+        "_restart",
         "_settings",
         "_store",
         "_tasks",
@@ -73,48 +73,48 @@
         self._beliefs = known
         self._clock = timer
         self._events = log
-        self._patience = 0.0
+        self._read_delay = 0.0
         self._closely = False
-        self._anew = asyncio.Event()
+        self._restart = asyncio.Event()
         self._needed = asyncio.Event()
-        self._resting = asyncio.Event()
-        self._resting.set()
+        self._paused = asyncio.Event()
+        self._paused.set()
         self._tasks: list[asyncio.Task[None]] = []
 
     def rely_on_leader(
-        self, relies: bool, *, patience: float = 0.0, closely: bool = False
+        self, relies: bool, *, read_delay: float = 0.0, closely: bool = False
     ) -> None:
-        """Rests while a leader tells what the store holds, or goes on.
+        """Pauses watching while the leader sends updates, or resumes it.
 
-        Each waiting watch is a call that is paid for, and their number would
-        grow with the VMs. A VM that cannot rely on its leader any more goes on
-        where it stopped.
+        Each waiting watch is a call that costs money, and their number would
+        grow with the number of VMs. A VM that cannot rely on its leader any
+        more resumes at the last revision that it has.
 
         Args:
-            relies: Whether the leader's news are fresh.
-            patience: Seconds, by half more or less, to wait before anything
-                large is read. A configuration is hundreds of kilobytes, and
-                when a leader is lost all VMs turn to the store at the same
-                moment; most hear the next leader sooner than they would have
-                read it.
-            closely: Whether others rely on this VM, so that its watches must
-                not be silent for long.
+            relies: Whether the leader's updates are current.
+            read_delay: Mean delay in seconds of a large read; jitter changes
+                it by up to a half. A configuration is hundreds of kilobytes,
+                and after the loss of a leader all VMs turn to the store at the
+                same moment. Most get the next leader's update sooner than they
+                could read the configuration.
+            closely: Whether other VMs rely on this one, so that watches that
+                hang must be detected sooner.
         """
         resumes = not relies and not self._needed.is_set()
         if resumes or (closely and not self._closely):
-            # A watch that has waited since long ago may have fallen silent.
-            self._anew.set()
+            # A watch that has waited for long may hang.
+            self._restart.set()
         self._closely = closely
-        self._patience = patience
+        self._read_delay = read_delay
         if relies:
             self._needed.clear()
-            self._resting.set()
+            self._paused.set()
         else:
-            self._resting.clear()
+            self._paused.clear()
             self._needed.set()
 
     def start(self) -> None:
-        """Begins to follow."""
+        """Starts the tasks that follow the two prefixes."""
         self._tasks = [
             asyncio.create_task(
                 self._follow(
@@ -139,7 +139,7 @@
         ]
 
     def stop(self) -> None:
-        """Stops following."""
+        """Cancels the tasks."""
         for task in self._tasks:
             task.cancel()
 
@@ -151,68 +151,68 @@
         listed: Callable[[ports.Listing], None],
         changed: Callable[[ports.Changes, float | None], None],
     ) -> None:
-        """Follows one prefix.
+        """Follows one prefix for ever.
 
         Args:
-            prefix: Beginning of the keys.
-            seen: Returns the revision up to which this VM knows them, 0 if it
-                does not. A leader may have told it: then nothing is read that
-                is known already.
-            view: Until when this VM's view of them was complete.
-            listed: Takes a whole list.
-            changed: Takes changes, and the earliest time of them; None for
-                now.
+            prefix: Prefix of the keys.
+            seen: Returns the revision up to which this VM's view is complete,
+                0 if there is none. A leader's update may have advanced it; then
+                only later changes are read.
+            view: Records when this VM's view was complete.
+            listed: Applies a whole list.
+            changed: Applies changes, given the earliest time at which they may
+                have happened, None for now.
         """
         lost = False
         while True:
-            await self._turn(prefix, whole=lost or not seen())
+            await self._until_needed(prefix, whole=lost or not seen())
             if lost or not seen():
                 found = await self._list(prefix)
                 if found is None:
                     continue
-                listing, asked = found
+                listing, requested_at = found
                 listed(listing)
-                view.note(asked)
+                view.note(requested_at)
             await self._follow_from(prefix, seen, view, changed)
             lost = True
 
     async def _list(self, prefix: str) -> tuple[ports.Listing, float] | None:
-        """Reads everything, unless a leader can be relied on meanwhile.
+        """Lists a prefix; gives up once the leader can be relied on again.
 
-        Thousands of registrations that a hundred VMs read over one narrow
-        link keep it full for longer than the leader needs to tell them.
+        Thousands of registrations that a hundred VMs read over one narrow link
+        fill it for longer than the leader needs to send its updates.
 
         Returns:
-            The list, and when it was asked for; None if it was given up.
+            The list and the time of its request; None if it was given up.
         """
         for failures in itertools.count(1):
-            asked = self._clock.now()
-            found = await self._unless(self._resting, self._store.list(prefix))
+            requested_at = self._clock.now()
+            found = await self._unless(self._paused, self._store.list(prefix))
             if found is None:
                 return None
             if isinstance(found, result.Ok):
                 self._beliefs.note_store(ok=True)
-                return found.ok_value, asked
+                return found.ok_value, requested_at
             self._beliefs.note_store(ok=False, why=found.err_value.detail)
             await self._unless(
-                self._resting, asyncio.sleep(self._pause(failures))
+                self._paused, asyncio.sleep(self._backoff(failures))
             )
-        raise AssertionError("counting ends")
+        raise AssertionError("itertools.count ended")
 
     async def _unless(
-        self, ended: asyncio.Event, work: Coroutine[Any, Any, _T]
+        self, cancelled: asyncio.Event, work: Coroutine[Any, Any, _T]
     ) -> _T | None:
-        """Returns what some work brings; None if something ends it before."""
+        """Returns a coroutine's result, None if an event is set before."""
         working = asyncio.ensure_future(work)
-        ending = asyncio.ensure_future(ended.wait())
+        cancelling = asyncio.ensure_future(cancelled.wait())
         try:
             await asyncio.wait(
-                (working, ending), return_when=asyncio.FIRST_COMPLETED
+                (working, cancelling), return_when=asyncio.FIRST_COMPLETED
             )
             return working.result() if working.done() else None
         finally:
             working.cancel()
-            ending.cancel()
+            cancelling.cancel()
 
     async def _follow_from(
         self,
@@ -221,37 +221,40 @@
         view: currency.Currency,
         changed: Callable[[ports.Changes, float | None], None],
     ) -> None:
-        """Follows changes until the store has dropped their history."""
+        """Watches changes until the store has dropped their history.
+
+        The arguments are those of `_follow`.
+        """
         failures = 0
         while True:
-            await self._turn(prefix)
+            await self._until_needed(prefix)
             revision = seen()
             wait = self._wait(failures)
-            asked = self._clock.now()
-            brought = await self._watch(prefix, revision, wait, failures)
-            if brought is None:
+            started_at = self._clock.now()
+            watched = await self._watch(prefix, revision, wait, failures)
+            if watched is None:
                 continue
-            if isinstance(brought, result.Ok):
+            if isinstance(watched, result.Ok):
                 failures = 0
                 self._beliefs.note_store(ok=True)
-                at_once = self._clock.now() - asked < _AT_ONCE
-                # What came after a wait happened at its end.
-                since = view.at if at_once else None
-                changed(brought.ok_value, since)
-                moved = brought.ok_value.items or brought.ok_value.removed
-                waited = self._clock.now() - asked >= wait
-                # The store has answered a watch that brings nothing at the
-                # end of its wait, which began when it arrived there.
-                view.note(asked + (wait if waited and not moved else 0.0))
+                immediate = self._clock.now() - started_at < _IMMEDIATE_SECONDS
+                # Changes that ended a wait happened just now.
+                since = view.at if immediate else None
+                changed(watched.ok_value, since)
+                moved = watched.ok_value.items or watched.ok_value.removed
+                waited = self._clock.now() - started_at >= wait
+                # Without changes, the store responds at the end of the wait,
+                # which began when the request arrived there.
+                view.note(started_at + (wait if waited and not moved else 0.0))
                 if moved:
                     await asyncio.sleep(self._settings.watch_pause)
                 continue
-            lost = brought.err_value
-            dropped = isinstance(lost, ports.HistoryLost)
+            failure = watched.err_value
+            dropped = isinstance(failure, ports.HistoryLost)
             why = (
                 "history lost"
-                if isinstance(lost, ports.HistoryLost)
-                else lost.detail
+                if isinstance(failure, ports.HistoryLost)
+                else failure.detail
             )
             self._events.write(
                 "store",
@@ -264,14 +267,15 @@
                 return
             failures += 1
             if failures > 1:
-                # One that waits may be cut; the next one should not be.
+                # A single failure may be a cut connection during the wait; a
+                # second one means that the store is unavailable.
                 self._beliefs.note_store(ok=False, why=why)
-            await asyncio.sleep(self._pause(failures))
+            await asyncio.sleep(self._backoff(failures))
 
     def _wait(self, failures: int) -> float:
         """Returns the wait of the next watch, in seconds."""
         if failures:
-            return _RETRY_WAIT
+            return _RETRY_WAIT_SECONDS
         configured = self._settings
         if self._closely:
             return configured.watch_wait_leading
@@ -282,44 +286,49 @@
     ) -> (
         result.Result[ports.Changes, errors.Failure | ports.HistoryLost] | None
     ):
-        """Waits for changes; a watch that is silent has failed.
+        """Waits for changes; a watch without a response in time has failed.
 
         Returns:
-            What the watch brought; None if it is to begin again.
+            The changes or the failure; None if the watch has to be restarted.
         """
-        self._anew.clear()
-        slack = _SLACK_SECONDS * (2.0 if failures else 1.0)
+        self._restart.clear()
+        slack = _TIMEOUT_SLACK_SECONDS * (2.0 if failures else 1.0)
         try:
             async with asyncio.timeout(wait + slack):
                 return await self._unless(
-                    self._anew, self._store.watch(prefix, revision, wait)
+                    self._restart, self._store.watch(prefix, revision, wait)
                 )
         except TimeoutError:
             return errors.failed(errors.ErrorKind.STORE_UNKNOWN, "silent")
 
-    async def _turn(self, prefix: str, *, whole: bool = False) -> None:
-        """Waits until this VM has to look for itself.
+    async def _until_needed(self, prefix: str, *, whole: bool = False) -> None:
+        """Waits until this VM has to read the store itself.
 
         Args:
-            prefix: Beginning of the keys.
-            whole: Whether it would read all of them, not only changes.
+            prefix: Prefix of the keys.
+            whole: Whether the next read is a whole list, not only changes.
         """
         while True:
             await self._needed.wait()
             large = whole or prefix == self._records.operator_prefix
-            if not self._patience or not large:
+            if not self._read_delay or not large:
                 return
-            await asyncio.sleep(self._patience * (0.5 + self._clock.random()))
+            await asyncio.sleep(self._read_delay * (0.5 + self._clock.random()))
             if self._needed.is_set():
                 return
 
-    def _pause(self, failures: int) -> float:
-        """Returns the wait after some failures in a row, in seconds."""
-        longest = self._settings.retry_least * 2.0 ** min(failures - 1, 8)
-        pause = min(longest, self._settings.retry_most)
-        return pause * (0.5 + self._clock.random())
+    def _backoff(self, failures: int) -> float:
+        """Returns the exponential backoff with jitter, in seconds.
+
+        Args:
+            failures: Number of consecutive failures.
+        """
+        backoff = self._settings.retry_least * 2.0 ** min(failures - 1, 8)
+        bounded = min(backoff, self._settings.retry_most)
+        return bounded * (0.5 + self._clock.random())
 
-    def _configurations(self, items: Iterable[ports.Item]) -> None:
+    def _apply_configuration(self, items: Iterable[ports.Item]) -> None:
+        """Applies the configuration if it is among some items."""
         for item in items:
             if item.key != self._records.configuration_key:
                 continue
@@ -327,43 +336,48 @@
             if isinstance(read, result.Ok):
                 self._beliefs.take_configuration(read.ok_value, "store")
             else:
-                self._refuse("configuration", item, read.err_value)
+                self._log_malformed("configuration", item, read.err_value)
 
     def _configuration_listed(self, listing: ports.Listing) -> None:
-        self._configurations(listing.items)
+        """Applies the whole list of the operators' keys."""
+        self._apply_configuration(listing.items)
         zones = self._evacuated(item.key for item in listing.items)
-        self._take_evacuated(zones, listing.revision)
-        self._seen_configuration(listing.revision)
+        self._apply_evacuated(zones, listing.revision)
+        self._confirm_configuration(listing.revision)
 
     def _configuration_changed(
         self, changes: ports.Changes, since: float | None
     ) -> None:
-        self._configurations(changes.items)
+        self._apply_configuration(changes.items)
         begun = self._evacuated(item.key for item in changes.items)
         ended = self._evacuated(key for key, _ in changes.removed)
         if begun or ended:
             zones = set(self._beliefs.evacuations.zones)
-            self._take_evacuated((zones | begun) - ended, changes.revision)
-        self._seen_configuration(changes.revision)
+            self._apply_evacuated((zones | begun) - ended, changes.revision)
+        self._confirm_configuration(changes.revision)
 
     def _evacuated(self, keys: Iterable[str]) -> set[str]:
-        """Returns the zones that some keys evacuate."""
+        """Returns the zones for which there is an evacuation key."""
         zones = (self._records.evacuated_zone(key) for key in keys)
         return {zone for zone in zones if zone is not None}
 
-    def _take_evacuated(self, zones: Iterable[str], revision: int) -> None:
+    def _apply_evacuated(self, zones: Iterable[str], revision: int) -> None:
         self._beliefs.take_evacuations(
             eligibility.Evacuations(tuple(sorted(zones)), revision)
         )
 
-    def _seen_configuration(self, revision: int) -> None:
-        known = self._beliefs
-        known.confirm_configuration(
-            known.version, revision, known.evacuations.zones
+    def _confirm_configuration(self, revision: int) -> None:
+        """Records that the configuration is current up to a revision."""
+        state = self._beliefs
+        state.confirm_configuration(
+            state.version, revision, state.evacuations.zones
         )
 
     def _targets_listed(self, listing: ports.Listing) -> None:
-        self._beliefs.take_targets(self._read(listing.items), listing.revision)
+        """Applies the whole list of registrations."""
+        self._beliefs.take_targets(
+            self._decode(listing.items), listing.revision
+        )
 
     def _targets_changed(
         self, changes: ports.Changes, since: float | None
@@ -377,25 +391,25 @@
         self, items: Iterable[ports.Item], since: float | None
     ) -> None:
         items = list(items)
-        readable = self._read(items)
+        readable = self._decode(items)
         names = {target.id for target in readable}
         prefix = self._records.targets_prefix
         found = ((i.key.removeprefix(prefix), i.revision) for i in items)
-        # A registration that was overwritten by something unreadable names no
-        # target to use.
+        # A registration that was overwritten with malformed data counts as
+        # removed.
         unreadable = [
             (name, revision) for name, revision in found if name not in names
         ]
-        self._take(readable, unreadable, since)
+        self._apply(readable, unreadable, since)
 
     def _targets_removed(
         self, keys: Iterable[tuple[str, int]], since: float | None
     ) -> None:
         prefix = self._records.targets_prefix
         gone = [(key.removeprefix(prefix), revision) for key, revision in keys]
-        self._take([], gone, since)
+        self._apply([], gone, since)
 
-    def _take(
+    def _apply(
         self,
         targets: list[directory.Target],
         vanished: list[tuple[str, int]],
@@ -406,20 +420,20 @@
         times = {} if since is None else dict.fromkeys(names, since)
         self._beliefs.take_registrations(targets, vanished, times)
 
-    def _read(self, items: Iterable[ports.Item]) -> list[directory.Target]:
+    def _decode(self, items: Iterable[ports.Item]) -> list[directory.Target]:
         found = []
         for item in items:
             read = self._records.target(item, self._clock.now())
             if isinstance(read, result.Ok):
                 found.append(read.ok_value)
             else:
-                self._refuse("target", item, read.err_value)
+                self._log_malformed("target", item, read.err_value)
         return found
 
-    def _refuse(self, what: str, item: ports.Item, why: str) -> None:
+    def _log_malformed(self, kind: str, item: ports.Item, why: str) -> None:
         self._events.write(
             "store",
-            f"{what}_unreadable",
+            f"{kind}_unreadable",
             key=item.key,
             revision=item.revision,
             why=why,
--- a/tests/gateway/test_watching.py
+++ b/tests/gateway/test_watching.py
@@ -208,7 +208,7 @@
 
         async def main():
             made, _, _ = _watching(store)
-            made.rely_on_leader(False, patience=1.2)
+            made.rely_on_leader(False, read_delay=1.2)
             made.start()
             await asyncio.sleep(0.5)
             assert store.lists["servers/"] == 0
