--- a/tests/gateway/test_beliefs.py
+++ b/tests/gateway/test_beliefs.py
@@ -1,4 +1,4 @@
-"""What a VM comes to believe, whatever of it is lost on the way."""
+"""Tests of a VM's cluster state, also when updates are lost or reordered."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 from tests.gateway import fakes
 
 
-def _news(after, revision, *targets):
+def _update(after, revision, *targets):
     return messages.News(
         after,
         revision,
@@ -21,86 +21,86 @@
     )
 
 
-def _known():
+def _state():
     return fakes.known(fakes.VirtualClock(), fakes.Lines(), fakes.target("a"))
 
 
-def _play(check):
+def _run(check):
     async def main():
-        check(_known())
+        check(_state())
 
     virtual.run(main())
 
 
 class TestNews:
-    """News that build on each other."""
+    """Updates that build on earlier updates."""
 
-    def test_lost_news_are_not_taken_for_known(self):
-        """A leader's first message is lost and its second one arrives.
+    def test_lost_update_leaves_revision_unchanged(self):
+        """Guards against a lost update that is never repeated.
 
-        A target is about to leave, says the first. If the VM claimed to know
-        all up to the end of the second one, nobody would ever tell it, and it
-        would send requests to that target until it is gone.
+        The first of two updates is lost; it contains a target that leaves. If
+        the VM reported the revision of the second one, the leader would never
+        repeat the first, and the VM would go on sending requests to the target.
         """
 
-        def check(known):
-            known.take_news(_news(0, 5))
-            known.take_news(_news(7, 9, fakes.target("b", revision=9)))
-            assert known.seen == 5
-            assert known.directory.get("b")
+        def check(state):
+            state.take_news(_update(0, 5))
+            state.take_news(_update(7, 9, fakes.target("b", revision=9)))
+            assert state.seen == 5
+            assert state.directory.get("b")
             leaving = fakes.target("a", leaving=True, revision=6)
-            known.take_news(_news(5, 9, leaving))
-            assert known.seen == 9
-            standing = known.directory.get("a").standing
-            assert standing is directory.Standing.LEAVING
+            state.take_news(_update(5, 9, leaving))
+            assert state.seen == 9
+            status = state.directory.get("a").standing
+            assert status is directory.Standing.LEAVING
 
-        _play(check)
+        _run(check)
 
     def test_change_of_another_version(self):
-        """A change is told for a version that this VM does not have.
+        """A change relative to a version that this VM lacks is skipped.
 
-        It is left out, and the next report says which version the VM has.
+        The VM's next report names the version that it has.
         """
 
-        def check(known):
-            told = configurations.Change(5, 6)
-            known.take_news(messages.News(0, 1, change=told))
-            assert known.version == 1
-            told = configurations.Change(1, 6)
-            known.take_news(messages.News(0, 1, change=told))
-            assert known.version == 6
+        def check(state):
+            change = configurations.Change(5, 6)
+            state.take_news(messages.News(0, 1, change=change))
+            assert state.version == 1
+            change = configurations.Change(1, 6)
+            state.take_news(messages.News(0, 1, change=change))
+            assert state.version == 6
 
-        _play(check)
+        _run(check)
 
-    def test_whoever_is_behind_gets_a_change(self):
-        """A VM that knows the version before is told only what differs."""
+    def test_vm_one_version_behind_gets_a_change(self):
+        """A VM that has the previous version is sent only the changes."""
 
-        def check(known):
-            former = known.configuration
-            known.take_configuration(routes.Configuration(2, former.routes))
-            assert known.news_after(0, 1).change.base == 1
-            assert known.news_after(0, -1).configuration.version == 2
-            assert known.news_after(0, 2) is None
+        def check(state):
+            former = state.configuration
+            state.take_configuration(routes.Configuration(2, former.routes))
+            assert state.news_after(0, 1).change.base == 1
+            assert state.news_after(0, -1).configuration.version == 2
+            assert state.news_after(0, 2) is None
 
-        _play(check)
+        _run(check)
 
 
 class TestConfigurationSeen:
-    """Up to where the store is known to hold no newer configuration."""
+    """The store revision up to which the configuration is the newest."""
 
-    def test_other_version_says_nothing(self):
-        """A leader that knows another version confirms only that one."""
+    def test_other_version_is_no_confirmation(self):
+        """A leader with another version does not confirm this VM's version."""
 
-        def check(known):
-            known.confirm_configuration(1, 7)
-            known.confirm_configuration(2, 9)
-            assert known.configuration_seen == 7
+        def check(state):
+            state.confirm_configuration(1, 7)
+            state.confirm_configuration(2, 9)
+            assert state.configuration_seen == 7
 
-        _play(check)
+        _run(check)
 
 
 class TestEvacuations:
-    """Zones whose targets get nothing new."""
+    """Zones whose targets get no new requests."""
 
     @pytest.mark.parametrize(
         ("changes", "expected"),
@@ -111,61 +111,61 @@
             ([(("a",), 3), (("a", "b"), 4), (("b",), 4)], ("a", "b")),
         ],
     )
-    def test_newest_counts(self, changes, expected):
+    def test_newest_revision_wins(self, changes, expected):
         """Guards against an older view of the store that arrives late."""
 
-        def check(known):
+        def check(state):
             for zones, revision in changes:
-                known.take_evacuations(eligibility.Evacuations(zones, revision))
-            assert known.evacuations.zones == expected
+                state.take_evacuations(eligibility.Evacuations(zones, revision))
+            assert state.evacuations.zones == expected
 
-        _play(check)
+        _run(check)
 
     @pytest.mark.parametrize(("rate", "cold"), [(3.3, True), (0.0, False)])
-    def test_taken_back(self, rate, cold):
-        """Guards against full load on a zone that comes back cold."""
+    def test_zone_is_cold_after_evacuation(self, rate, cold):
+        """Guards against full load on a zone whose targets are cold."""
 
-        def check(known):
+        def check(state):
             service = routes.Service("s", cold_seconds=3.0, cold_rate=rate)
-            known.take_configuration(
+            state.take_configuration(
                 routes.Configuration(2, services={"s": service})
             )
-            known.take_target(fakes.target("x"))
-            known.take_evacuations(eligibility.Evacuations(("z",), 3))
-            assert not known.cold_targets()
-            known.take_evacuations(eligibility.Evacuations((), 4))
-            assert ("x" in known.cold_targets()) is cold
+            state.take_target(fakes.target("x"))
+            state.take_evacuations(eligibility.Evacuations(("z",), 3))
+            assert not state.cold_targets()
+            state.take_evacuations(eligibility.Evacuations((), 4))
+            assert ("x" in state.cold_targets()) is cold
 
-        _play(check)
+        _run(check)
 
     def test_owner_serves_until_it_is_released(self):
-        """Guards against a gap while the keys of a zone are moved."""
+        """Guards against refused requests while the keys of a zone move."""
 
         async def main():
-            known = _known()
-            known.take_evacuations(eligibility.Evacuations(("z",), 3))
-            assert known.owner_excluded("z", ()) is None
-            assert known.owner_excluded("z", ("q",)) is not None
+            state = _state()
+            state.take_evacuations(eligibility.Evacuations(("z",), 3))
+            assert state.owner_excluded("z", ()) is None
+            assert state.owner_excluded("z", ("q",)) is not None
             await asyncio.sleep(1.6)
-            assert known.owner_excluded("z", ()) is not None
+            assert state.owner_excluded("z", ()) is not None
 
         virtual.run(main())
 
-    def test_view_is_current_only_with_them(self):
-        """Guards against a watch that begins after a missed evacuation."""
+    def test_view_without_evacuation_is_not_current(self):
+        """Guards against a watch that starts after a missed evacuation."""
 
-        def check(known):
-            known.confirm_configuration(known.version, 7, ("z",))
-            assert known.configuration_seen == 0
-            known.take_evacuations(eligibility.Evacuations(("z",), 6))
-            known.confirm_configuration(known.version, 7, ("z",))
-            assert known.configuration_seen == 7
+        def check(state):
+            state.confirm_configuration(state.version, 7, ("z",))
+            assert state.configuration_seen == 0
+            state.take_evacuations(eligibility.Evacuations(("z",), 6))
+            state.confirm_configuration(state.version, 7, ("z",))
+            assert state.configuration_seen == 7
 
-        _play(check)
+        _run(check)
 
 
 class TestAbleOwners:
-    """Targets that should own keys."""
+    """The selection of targets that should own keys."""
 
     @pytest.mark.parametrize(
         ("evacuated", "regions", "cold", "expected"),
@@ -181,29 +181,29 @@
         ],
     )
     def test_filters(self, evacuated, regions, cold, expected):
-        """Guards against keys on targets that may not serve them."""
+        """Guards against assigning keys to targets that may not serve them."""
 
-        def check(known):
+        def check(state):
             service = routes.Service(
                 "s", keyed=True, cold_seconds=3.0, cold_rate=3.3
             )
             route = fakes.route(regions=regions)
-            known.take_configuration(
+            state.take_configuration(
                 routes.Configuration(2, (route,), {"s": service})
             )
             for name, zone in (("a", "z"), ("b", "z"), ("c", "far")):
                 warm_at = 3.0 if name in cold else 0.0
-                known.take_target(
+                state.take_target(
                     fakes.target(name, zone=zone, warm_at=warm_at)
                 )
-            known.take_evacuations(eligibility.Evacuations(evacuated, 3))
-            assert {t.id for t in known.able_owners(service)} == expected
+            state.take_evacuations(eligibility.Evacuations(evacuated, 3))
+            assert {t.id for t in state.able_owners(service)} == expected
 
-        _play(check)
+        _run(check)
 
 
 class TestViews:
-    """How old this VM's views of the store are."""
+    """The age of this VM's views of the store."""
 
     @pytest.mark.parametrize(
         ("seen", "version", "zones", "ages"),
@@ -215,18 +215,19 @@
             (4, 0, (), (2.0, 3.0)),
         ],
     )
-    def test_word_of_another_vm(self, seen, version, zones, ages):
-        """Guards against a VM that takes its view for complete as another is.
+    def test_view_of_another_vm(self, seen, version, zones, ages):
+        """Guards against an incomplete view that is considered current.
 
-        It says so only of a VM that knows all that the other one knows.
+        Another VM's complete view proves this VM's only if this VM has
+        everything that the other VM has.
         """
 
         async def main():
-            known = fakes.known(fakes.VirtualClock(), fakes.Lines())
-            known.seen = 5
+            state = fakes.known(fakes.VirtualClock(), fakes.Lines())
+            state.seen = 5
             await asyncio.sleep(10.0)
             evacuations = eligibility.Evacuations(zones, 9 if zones else 0)
-            known.note_views(seen, 8.0, version, evacuations, 7.0)
-            assert fakes.ages(known) == ages
+            state.note_views(seen, 8.0, version, evacuations, 7.0)
+            assert fakes.ages(state) == ages
 
         virtual.run(main())
--- a/tests/gateway/test_leaving_targets.py
+++ b/tests/gateway/test_leaving_targets.py
@@ -1,4 +1,4 @@
-"""Targets that say in their answers that they are about to end."""
+"""Tests of targets that announce their shutdown in responses."""
 
 import asyncio
 
@@ -11,155 +11,158 @@
 from tests.gateway import fleet
 
 DRAIN_SECONDS = 2.0
-"""Time in which a VM that was told sends on what callers ask for."""
+"""Time after the announcement within which a VM may still send requests."""
 
 
 def _leave(target):
-    """Has a target say that it leaves; returns when."""
+    """Lets a target announce its shutdown; returns the time."""
     target.says["server-leaving"] = "1"
     return virtual.now()
 
 
 def too_late(target):
-    """Returns requests that a VM sent on for too long after it was told."""
-    told = {}
-    for at, vm, said in target.passed:
-        if b"server-leaving" in said:
-            told.setdefault(vm, at)
+    """Returns requests that VMs sent too long after the announcement."""
+    notified = {}
+    for at, vm, headers in target.passed:
+        if b"server-leaving" in headers:
+            notified.setdefault(vm, at)
     return [
         arrival
         for arrival in target.arrivals
-        if arrival.sent > told.get(arrival.vm, 1e9) + DRAIN_SECONDS
+        if arrival.sent > notified.get(arrival.vm, 1e9) + DRAIN_SECONDS
     ]
 
 
-def _register(made, target, **changes):
-    made.revision += 1
-    made.take_target(
+def _register(cluster, target, **changes):
+    cluster.revision += 1
+    cluster.take_target(
         msgspec.structs.replace(
-            target.registration, revision=made.revision, **changes
+            target.registration, revision=cluster.revision, **changes
         )
     )
 
 
-def _play(scenario, vms=10, **sizes):
+def _run(scenario, vms=10, **sizes):
     async def main():
-        made = fleet.Fleet(vms, **sizes)
-        await made.ready()
-        made.revision = 10
-        await scenario(made)
-        made.end()
+        cluster = fleet.Fleet(vms, **sizes)
+        await cluster.ready()
+        cluster.revision = 10
+        await scenario(cluster)
+        cluster.end()
 
     virtual.run(main())
 
 
-class TestToldByAnswers:
-    """The store knows nothing of it yet."""
+class TestAnnouncedInResponses:
+    """Announcements that the store does not have yet."""
 
     @pytest.mark.parametrize("vms", [10, 88, 300])
-    @pytest.mark.parametrize("store_away", [False, True])
+    @pytest.mark.parametrize("store_fails", [False, True])
     @pytest.mark.parametrize("path", ["/s", "/p"])
-    def test_no_new_work(self, path, store_away, vms):
-        """Guards against work for a target that only the store ends."""
+    def test_no_new_work(self, path, store_fails, vms):
+        """Guards against requests to a leaving target before the store has it.
 
-        async def scenario(made):
+        VMs have only the announcement.
+        """
+
+        async def scenario(cluster):
             key = fleet.any_key if path == "/s" else None
-            await made.call(1.0, 120.0, path, key)
-            target = made.owner() if key else made.targets["p0"]
-            if store_away:
-                made.store.failing = fakes.UNKNOWN
+            await cluster.call(1.0, 120.0, path, key)
+            target = cluster.owner() if key else cluster.targets["p0"]
+            if store_fails:
+                cluster.store.failing = fakes.UNKNOWN
             _leave(target)
-            await made.call(9.0, 120.0, path, key)
+            await cluster.call(9.0, 120.0, path, key)
             assert too_late(target) == []
 
-        _play(scenario, vms)
+        _run(scenario, vms)
 
     @pytest.mark.parametrize("vms", [10, 88])
-    def test_all_vms_hear_of_it(self, vms):
-        """Guards against VMs that find out one by one."""
+    def test_all_vms_are_notified(self, vms):
+        """Guards against VMs that get the announcement one by one."""
 
-        async def scenario(made):
-            await made.call(1.0, 120.0, "/p")
-            target = made.targets["p0"]
+        async def scenario(cluster):
+            await cluster.call(1.0, 120.0, "/p")
+            target = cluster.targets["p0"]
             since = _leave(target)
-            await made.call(8.0, 120.0, "/p")
+            await cluster.call(8.0, 120.0, "/p")
             late = [a for a in target.arrivals if a.sent > since + 1.5]
             assert late == []
-            assert set(made.statuses) == {200}
+            assert set(cluster.statuses) == {200}
 
-        _play(scenario, vms)
+        _run(scenario, vms)
 
     def test_keys_move(self):
-        """Guards against keys that are refused until the store says it."""
+        """Guards against refused keys until the store has the change."""
 
-        async def scenario(made):
-            await made.call(1.0, 120.0, "/s", fleet.any_key)
-            target = made.owner()
+        async def scenario(cluster):
+            await cluster.call(1.0, 120.0, "/s", fleet.any_key)
+            target = cluster.owner()
             _leave(target)
-            await made.call(3.0, 120.0, "/s", fleet.any_key)
-            assert set(made.statuses) == {200}
-            assert made.owner() is not target
+            await cluster.call(3.0, 120.0, "/s", fleet.any_key)
+            assert set(cluster.statuses) == {200}
+            assert cluster.owner() is not target
 
-        _play(scenario)
+        _run(scenario)
 
-    def test_nobody_asks_for_its_keys(self):
-        """Guards against keys that stay where no caller hears of a leaving.
+    def test_no_requests_for_its_keys(self):
+        """Guards against keys that stay on a target without requests.
 
-        Its answers to the leader's orders say it as well.
+        Its responses to the leader's orders contain the announcement as well.
         """
 
-        async def scenario(made):
-            target = made.owner()
-            made.orders.notices[target.id] = reported.Notice(leaving=True)
+        async def scenario(cluster):
+            target = cluster.owner()
+            cluster.orders.notices[target.id] = reported.Notice(leaving=True)
             await asyncio.sleep(3.0)
-            assert made.owner() is not target
-            answer = await made.ask("vm-001", "/s", 0)
-            assert answer.status == 200
+            assert cluster.owner() is not target
+            response = await cluster.ask("vm-001", "/s", 0)
+            assert response.status == 200
             assert target.arrivals == []
 
-        _play(scenario)
+        _run(scenario)
 
     def test_keys_cannot_move(self):
-        """Guards against callers that wait for keys while the store is away."""
+        """Guards against callers that wait for keys in a store outage."""
 
-        async def scenario(made):
-            await made.call(1.0, 120.0, "/s", fleet.any_key)
-            target = made.owner()
-            made.store.failing = fakes.UNKNOWN
+        async def scenario(cluster):
+            await cluster.call(1.0, 120.0, "/s", fleet.any_key)
+            target = cluster.owner()
+            cluster.store.failing = fakes.UNKNOWN
             _leave(target)
-            await made.call(4.0, 120.0, "/s", fleet.any_key)
+            await cluster.call(4.0, 120.0, "/s", fleet.any_key)
             began = virtual.now()
-            answer = await made.ask("vm-001", "/s", 0)
-            assert answer.status == 503
+            response = await cluster.ask("vm-001", "/s", 0)
+            assert response.status == 503
             assert virtual.now() - began < 0.1
-            assert 0 < made.refusals[-1] <= 5.0
-            made.store.failing = None
+            assert 0 < cluster.refusals[-1] <= 5.0
+            cluster.store.failing = None
             await asyncio.sleep(3.0)
-            assert (await made.ask("vm-001", "/s", 0)).status == 200
+            assert (await cluster.ask("vm-001", "/s", 0)).status == 200
 
-        _play(scenario)
+        _run(scenario)
 
     def test_last_target_of_a_service(self):
-        """Guards against work for a target that leaves, for want of others."""
+        """Guards against requests to a leaving target that is the only one."""
 
-        async def scenario(made):
-            await made.call(1.0, 40.0, "/p")
-            target = made.targets["p0"]
+        async def scenario(cluster):
+            await cluster.call(1.0, 40.0, "/p")
+            target = cluster.targets["p0"]
             since = _leave(target)
-            await made.call(6.0, 40.0, "/p")
+            await cluster.call(6.0, 40.0, "/p")
             assert too_late(target) == []
             assert any(a.sent > since + 1.0 for a in target.arrivals)
             began = virtual.now()
-            answer = await made.ask("vm-001", "/p")
-            assert answer.status == 503
+            response = await cluster.ask("vm-001", "/p")
+            assert response.status == 503
             assert virtual.now() - began < 0.1
-            assert made.refusals[-1] > 0
+            assert cluster.refusals[-1] > 0
 
-        _play(scenario, plain=1)
+        _run(scenario, plain=1)
 
 
 class TestOtherSources:
-    """Registrations that come before, after or against an answer."""
+    """Registrations before and after an announcement, or contradicting it."""
 
     @pytest.mark.parametrize(
         "registered",
@@ -173,48 +176,47 @@
         ],
     )
     @pytest.mark.parametrize("first", [False, True])
-    def test_same_run(self, registered, first):
-        """Guards against a registration that takes an answer's word back.
+    def test_same_incarnation(self, registered, first):
+        """Guards against a registration that reverts an announcement.
 
-        Heartbeats are carried out late, and a registration that has lapsed
-        comes back.
+        Heartbeats take effect late, and an expired registration may come back.
         """
 
-        async def scenario(made):
-            calling = asyncio.create_task(made.call(10.0, 40.0, "/p"))
+        async def scenario(cluster):
+            calling = asyncio.create_task(cluster.call(10.0, 40.0, "/p"))
             await asyncio.sleep(1.0)
-            target = made.targets["p0"]
+            target = cluster.targets["p0"]
             if not first:
                 _leave(target)
             for changes in registered:
                 await asyncio.sleep(0.7)
                 if changes is not None:
-                    _register(made, target, **changes)
+                    _register(cluster, target, **changes)
                     continue
-                made.revision += 1
-                for vm in made.vms.values():
-                    vm.beliefs.lose_target(target.id, made.revision)
+                cluster.revision += 1
+                for vm in cluster.vms.values():
+                    vm.beliefs.lose_target(target.id, cluster.revision)
             if first:
                 _leave(target)
             await calling
             assert too_late(target) == []
 
-        _play(scenario, plain=2)
+        _run(scenario, plain=2)
 
-    def test_next_run(self):
-        """Guards against the word of a run that is over."""
+    def test_next_incarnation(self):
+        """Guards against the announcement of an earlier incarnation."""
 
-        async def scenario(made):
-            await made.call(1.0, 60.0, "/p")
-            target = made.targets["p0"]
+        async def scenario(cluster):
+            await cluster.call(1.0, 60.0, "/p")
+            target = cluster.targets["p0"]
             _leave(target)
-            await made.call(3.0, 60.0, "/p")
+            await cluster.call(3.0, 60.0, "/p")
             del target.says["server-leaving"]
             target.born += 1
-            _register(made, target)
+            _register(cluster, target)
             since = virtual.now()
-            await made.call(3.0, 60.0, "/p")
-            got = sum(a.at > since for a in target.arrivals)
-            assert got > 30
+            await cluster.call(3.0, 60.0, "/p")
+            received = sum(a.at > since for a in target.arrivals)
+            assert received > 30
 
-        _play(scenario, plain=2)
+        _run(scenario, plain=2)
--- a/tests/gateway/test_messages.py
+++ b/tests/gateway/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages between VMs, and whatever else arrives in their place."""
+"""Tests of the encoding of messages between VMs, and of malformed input."""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -17,25 +17,25 @@
 
 
 class TestCodec:
-    """What is sent is what is read."""
+    """Encoding and decoding of messages."""
 
     @pytest.mark.parametrize("count", [1, 500])
     def test_round_trip(self, count):
-        """Small messages are plain JSON, large ones compressed."""
+        """Small messages are plain JSON, large ones are compressed."""
         reply = _reply([f"target-{i}" for i in range(count)])
         body = messages.encode(reply)
         assert (body[:1] == b"{") is (count == 1)
         assert messages.decode(body, messages.ReportReply) == reply
 
     def test_large_messages_shrink(self):
-        """Names repeat; a leader's link carries them to every VM."""
+        """Guards against a leader's link filled by names that repeat."""
         reply = _reply([f"i-7f3a91c{i % 100:02}" for i in range(500)])
         assert len(messages.encode(reply)) * 3 < len(msgspec.json.encode(reply))
 
     @hypothesis.given(body=st.binary(max_size=200))
     @hypothesis.settings(derandomize=True, deadline=None)
     def test_any_bytes(self, body):
-        """Whatever arrives, it is a message or named as none."""
+        """Any input either decodes or raises one of two decoding errors."""
         for raw in (body, b"\x78" + body):
             try:
                 messages.decode(raw, messages.Report)
@@ -44,9 +44,10 @@
 
     @pytest.mark.parametrize("cut", [10, 100])
     def test_cut_short(self, cut):
-        """A compressed message without its end is none.
+        """A truncated compressed message is rejected.
 
-        Its last four bytes are a checksum, without which all of it is there.
+        At least ten bytes are cut off: the last four are only a checksum, and
+        without them the content is still complete.
         """
         body = messages.encode(_reply([f"target-{i}" for i in range(500)]))
         with pytest.raises(msgspec.DecodeError):
--- a/tests/gateway/test_news_in_time.py
+++ b/tests/gateway/test_news_in_time.py
@@ -1,4 +1,4 @@
-"""Changes reach every VM in time, whatever becomes of other VMs."""
+"""Tests that changes reach every VM in time, also when other VMs fail."""
 
 import asyncio
 
@@ -8,173 +8,180 @@
 from tests.gateway import fleet
 
 APPLY_SECONDS = 2.0
-"""From the acknowledgement of a version until all VMs serve by it."""
+"""Bound on the time from the acknowledgement of a version until all VMs use it.
+"""
 CONTACT_SECONDS = 3.0
-"""After a disruption of connections, until the bounds hold again."""
+"""Time after a disruption of connections until the bounds hold again."""
 DRAIN_SECONDS = 2.0
-"""From the acknowledgement of a leaving to a target's last new request."""
+"""Bound on the time from the acknowledgement that a target leaves until its
+last new request."""
 _LARGE = 200
-"""Routes of a change that does not fit into the answer to a report."""
+"""Number of routes of a change too large for the response to a report."""
 _ZONES = ("z", "far")
 
 
-def _play(scenario, vms, **sizes):
+def _run(scenario, vms, **sizes):
     async def main():
-        made = fleet.Fleet(vms, zones=_ZONES, watched=True, **sizes)
-        await made.ready()
-        # Until watchers are chosen and nothing is on its way.
+        cluster = fleet.Fleet(vms, zones=_ZONES, watched=True, **sizes)
+        await cluster.ready()
+        # Waits until watchers are selected and no update is in flight.
         await asyncio.sleep(3.0)
-        await scenario(made)
-        made.end()
+        await scenario(cluster)
+        cluster.end()
 
     virtual.run(main())
 
 
-def _heads(made, count):
-    """Returns the first VMs of the zone that the leader does not stand in."""
-    zone = made.leader().zone
-    others = [name for name, vm in made.vms.items() if vm.zone != zone]
+def _relays(cluster, count):
+    """Returns the first VMs outside the leader's zone, which are relays."""
+    zone = cluster.leader().zone
+    others = [name for name, vm in cluster.vms.items() if vm.zone != zone]
     return others[:count]
 
 
-async def _in_force(made, version, since, excluded):
-    """Waits for a version; returns by VM how long that took."""
+async def _in_force(cluster, version, since, excluded):
+    """Waits until VMs use a version; returns the seconds taken by VM."""
     took = {}
-    while len(took) < len(made.vms) - len(excluded):
+    while len(took) < len(cluster.vms) - len(excluded):
         assert virtual.now() < since + 30.0
-        for name, vm in made.vms.items():
+        for name, vm in cluster.vms.items():
             if name not in excluded and vm.beliefs.version >= version:
                 took.setdefault(name, virtual.now() - since)
         await asyncio.sleep(0.01)
     return took
 
 
-class TestVmThatPassesNewsOn:
-    """One VM hears for its zone, and falls silent."""
+class TestSilentRelay:
+    """A VM that should relay updates to its zone, but does not respond."""
 
     @pytest.mark.parametrize("vms", [10, 88, 300])
     @pytest.mark.parametrize("silent", [1, 2])
     def test_configuration(self, vms, silent):
-        """Guards against a zone that waits until a message is given up."""
+        """Guards against a zone that waits until an update times out."""
 
-        async def scenario(made):
-            heads = _heads(made, silent)
-            made.isolate(*heads)
-            since = made.write_configuration(3, _LARGE)
-            took = await _in_force(made, 3, since, heads)
+        async def scenario(cluster):
+            relays = _relays(cluster, silent)
+            cluster.isolate(*relays)
+            since = cluster.write_configuration(3, _LARGE)
+            took = await _in_force(cluster, 3, since, relays)
             assert max(took.values()) < APPLY_SECONDS
 
-        _play(scenario, vms)
+        _run(scenario, vms)
 
     @pytest.mark.parametrize("vms", [10, 88, 300])
     def test_leaving_target(self, vms):
-        """Guards against work for a target whose leaving waits for routes."""
+        """Guards against a leaving target delayed by an update of routes.
 
-        async def scenario(made):
-            heads = _heads(made, 1)
-            made.isolate(*heads)
-            made.write_configuration(3, _LARGE)
-            # The message with the version is on its way.
+        VMs would go on sending requests to the target in the meantime.
+        """
+
+        async def scenario(cluster):
+            relays = _relays(cluster, 1)
+            cluster.isolate(*relays)
+            cluster.write_configuration(3, _LARGE)
+            # The update with the version is now in flight.
             await asyncio.sleep(0.03)
-            target = made.targets["p0"]
-            since = made.leave(target)
-            callers = [name for name in made.vms if name not in heads]
-            await made.call(4.0, 600.0, "/p", vms=callers)
+            target = cluster.targets["p0"]
+            since = cluster.leave(target)
+            callers = [name for name in cluster.vms if name not in relays]
+            await cluster.call(4.0, 600.0, "/p", vms=callers)
             late = [
                 arrival
                 for arrival in target.arrivals
                 if arrival.at > since + DRAIN_SECONDS
             ]
             assert late == []
-            assert set(made.statuses) == {200}
+            assert set(cluster.statuses) == {200}
 
-        _play(scenario, vms, plain=12)
+        _run(scenario, vms, plain=12)
 
     def test_series(self):
-        """Guards against news that wait behind each other in a zone.
+        """Guards against updates that wait behind each other in a zone.
 
-        VMs of it fall silent in turn while versions and leavings follow on
+        The relays of the zone are isolated in turn while versions follow on
         each other.
         """
 
-        async def scenario(made):
-            heads = _heads(made, 2)
-            for version, head in enumerate(heads * 2, start=3):
-                made.isolate(head)
-                since = made.write_configuration(version, _LARGE)
-                took = await _in_force(made, version, since, [head])
+        async def scenario(cluster):
+            relays = _relays(cluster, 2)
+            for version, relay in enumerate(relays * 2, start=3):
+                cluster.isolate(relay)
+                since = cluster.write_configuration(version, _LARGE)
+                took = await _in_force(cluster, version, since, [relay])
                 assert max(took.values()) < APPLY_SECONDS
-                made.rejoin(head)
+                cluster.rejoin(relay)
                 await asyncio.sleep(1.0)
 
-        _play(scenario, 12)
+        _run(scenario, 12)
 
 
 class TestSilentWatches:
-    """All that wait for the store hear nothing more, and no end either."""
+    """All watches of the store hang without an error."""
 
     @pytest.mark.parametrize("vms", [10, 88, 300])
     @pytest.mark.parametrize("after", [0.1, 1.5])
     def test_leaving_and_configuration(self, vms, after):
-        """Guards against a leader that does not know and is relied on.
+        """Guards against a leader that is relied on but gets no changes.
 
-        Its other calls to the store are answered.
+        Its other calls to the store succeed.
         """
 
-        async def scenario(made):
-            made.store.silence()
+        async def scenario(cluster):
+            cluster.store.silence()
             silent = virtual.now()
             await asyncio.sleep(after)
-            target = made.targets["p0"]
-            since = made.leave(target)
-            made.write_configuration(3, 3)
+            target = cluster.targets["p0"]
+            since = cluster.leave(target)
+            cluster.write_configuration(3, 3)
             bound = max(since + DRAIN_SECONDS, silent + CONTACT_SECONDS)
-            await made.call(bound - since, 200.0, "/p")
-            behind = [
-                name for name, vm in made.vms.items() if vm.beliefs.version < 3
+            await cluster.call(bound - since, 200.0, "/p")
+            outdated = [
+                name
+                for name, vm in cluster.vms.items()
+                if vm.beliefs.version < 3
             ]
-            assert behind == []
-            await made.call(6.0, 200.0, "/p")
+            assert outdated == []
+            await cluster.call(6.0, 200.0, "/p")
             late = [a for a in target.arrivals if a.at > bound]
             assert late == []
 
-        _play(scenario, vms, plain=12)
+        _run(scenario, vms, plain=12)
 
 
 class TestUnknownRoutes:
-    """Requests for which a VM knows no route."""
+    """Requests for which a VM has no route."""
 
     @pytest.mark.parametrize("vms", [10, 88, 300])
-    def test_where_there_is_none(self, vms):
-        """Guards against callers who are told to come again in vain."""
+    def test_route_does_not_exist(self, vms):
+        """Guards against callers that are made to retry in vain."""
 
-        async def scenario(made):
-            for name in made.vms:
-                answer = await made.ask(name, "/nowhere")
-                assert answer.status == 404
+        async def scenario(cluster):
+            for name in cluster.vms:
+                response = await cluster.ask(name, "/nowhere")
+                assert response.status == 404
 
-        _play(scenario, vms)
+        _run(scenario, vms)
 
     @pytest.mark.parametrize("vms", [10, 88])
     @pytest.mark.parametrize("seconds", [2.0, 5.0, 20.0])
-    def test_vm_that_is_behind(self, vms, seconds):
-        """Guards against 404 for a route that was added long ago."""
+    def test_outdated_vm(self, vms, seconds):
+        """Guards against 404 from an isolated VM for a route added long ago."""
 
-        async def scenario(made):
-            behind = _heads(made, 2)
-            made.isolate(*behind)
-            made.write_configuration(3, 1)
+        async def scenario(cluster):
+            outdated = _relays(cluster, 2)
+            cluster.isolate(*outdated)
+            cluster.write_configuration(3, 1)
             await asyncio.sleep(seconds)
-            asked = virtual.now()
-            for name in behind:
-                answer = await made.ask(name, "/e3-0")
-                assert answer.status == 503
-                assert 0 < made.refusals[-1] < 1.0
-            assert virtual.now() - asked < 1.0
-            made.rejoin(*behind)
+            began = virtual.now()
+            for name in outdated:
+                response = await cluster.ask(name, "/e3-0")
+                assert response.status == 503
+                assert 0 < cluster.refusals[-1] < 1.0
+            assert virtual.now() - began < 1.0
+            cluster.rejoin(*outdated)
             await asyncio.sleep(APPLY_SECONDS)
-            for name in behind:
-                answer = await made.ask(name, "/e3-0")
-                assert answer.status == 200
+            for name in outdated:
+                response = await cluster.ask(name, "/e3-0")
+                assert response.status == 200
 
-        _play(scenario, vms)
+        _run(scenario, vms)
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -1,4 +1,4 @@
-"""A VM among its peers: when it reports, and what it asks the store."""
+"""Tests of a VM's reports to its leader, failover, and load on the store."""
 
 import asyncio
 import collections
@@ -24,11 +24,11 @@
 
 
 class Calls:
-    """A leader that answers reports, if it is there.
+    """Simulates a leader that responds to reports.
 
     Attributes:
-        reports: Reports with the time of each.
-        missing: Addresses that do not answer.
+        reports: Received reports, each with its time.
+        missing: Addresses that do not respond.
     """
 
     def __init__(self):
@@ -36,7 +36,7 @@
         self.missing = set()
 
     async def call(self, address, path, body, timeout, *, fresh=False):
-        """Answers a report."""
+        """Responds to a report."""
         if address in self.missing:
             return None
         if path == messages.REPORT_PATH:
@@ -48,7 +48,7 @@
 
 
 class Store(fakes.Store):
-    """Counts lists by prefix."""
+    """A store that counts lists by prefix."""
 
     def __init__(self):
         super().__init__()
@@ -60,8 +60,8 @@
         return await super().list(prefix, stale=stale)
 
 
-def _peers(configured, known, store, calls, timer, log):
-    """Makes a VM's part among its peers."""
+def _member(configured, state, store, calls, timer, log):
+    """Returns the membership of one VM."""
     vm = configured.vm.id
     leader = leading.Leading(
         configured,
@@ -69,7 +69,7 @@
         store,
         fakes.Orders(),
         calls,
-        known,
+        state,
         timer,
         log,
     )
@@ -78,13 +78,13 @@
         f"boot-{vm}",
         store,
         calls,
-        known,
+        state,
         room.Rooms(room.Place("z", "r"), {"z": "r"}, room.Policy()),
         leader,
         turns.Turns(),
-        admitting.Admitting(configured, datagrams.Channel(log), known, timer),
+        admitting.Admitting(configured, datagrams.Channel(log), state, timer),
         watching.Watching(
-            configured.store, store, records.Records(), known, timer, log
+            configured.store, store, records.Records(), state, timer, log
         ),
         casualties.Casualties(),
         timer,
@@ -92,14 +92,14 @@
     )
 
 
-def _play(scenario):
+def _run(scenario):
     async def main():
         timer, log = fakes.VirtualClock(), fakes.Lines()
-        known = fakes.known(timer, log, fakes.target("a"))
+        state = fakes.known(timer, log, fakes.target("a"))
         store, calls = Store(), Calls()
-        made = _peers(fakes.configured(), known, store, calls, timer, log)
-        await scenario(made, known, store, calls)
-        made.abort()
+        member = _member(fakes.configured(), state, store, calls, timer, log)
+        await scenario(member, state, store, calls)
+        member.abort()
 
     virtual.run(main())
 
@@ -109,232 +109,233 @@
 
 
 class TestReports:
-    """When a VM reports, and what."""
+    """The time and content of reports."""
 
     def test_at_once_to_a_new_leader(self):
-        """All VMs were lost; one leads again and says so.
+        """Guards against a late report after an outage of all VMs.
 
-        Nobody is served before VMs have heard configuration and targets, and
-        they hear them when they have reported.
+        No caller is served until VMs have the configuration and the targets,
+        which the new leader sends in response to reports.
         """
 
-        async def scenario(made, known, store, calls):
-            made.start()
+        async def scenario(member, state, store, calls):
+            member.start()
             await asyncio.sleep(0.05)
             began = virtual.now()
-            made.take_push(_announced())
+            member.take_push(_announced())
             await asyncio.sleep(0.05)
             assert calls.reports
             assert calls.reports[0][0] - began < 0.02
 
-        _play(scenario)
+        _run(scenario)
 
-    def test_refused_requests_are_wanted(self):
-        """A VM refuses at once what it has no turn for.
+    def test_refused_requests_count_as_demand(self):
+        """Guards against a VM that never gets a share of a contended target.
 
-        If only waiting requests counted as need, it would never get a turn,
-        and its callers would be refused for as long as the key is hot.
+        A VM refuses at once the requests for which it has no time slot. If only
+        waiting requests counted as demand, it would never get one, and would
+        refuse its callers for as long as the key is hot.
         """
 
-        async def scenario(made, known, store, calls):
-            made.start()
-            made.take_push(_announced())
-            made.turned_away("a")
-            made.turned_away("a")
+        async def scenario(member, state, store, calls):
+            member.start()
+            member.take_push(_announced())
+            member.turned_away("a")
+            member.turned_away("a")
             await asyncio.sleep(0.1)
             assert calls.reports[0][1].waiting == {"a": 2}
             await asyncio.sleep(0.5)
             assert calls.reports[-1][1].waiting == {}
 
-        _play(scenario)
+        _run(scenario)
 
 
 class TestViews:
-    """How old a VM takes its views of the store for."""
+    """The age of a VM's views of the store."""
 
-    @pytest.mark.parametrize("way", [0.01, 0.3])
-    def test_answer_that_takes_its_time(self, way):
-        """Guards against a leader's answer that is held up and looks fresh."""
+    @pytest.mark.parametrize("delay", [0.01, 0.3])
+    def test_delayed_response(self, delay):
+        """Guards against a view dated by the arrival of a delayed response."""
 
-        async def scenario(made, known, store, calls):
+        async def scenario(member, state, store, calls):
             reply = messages.ReportReply(
                 ENTRY,
                 leading=True,
                 store=True,
-                configuration=known.version,
+                configuration=state.version,
                 stamp=100.0,
                 seen_age=0.5,
                 configuration_age=0.7,
             )
-            made.take_push(_announced())
-            made._reported_at = virtual.now()
-            await asyncio.sleep(way)
-            made._take_reply(reply)
-            assert fakes.ages(known) == (
-                pytest.approx(0.5 + way),
-                pytest.approx(0.7 + way),
+            member.take_push(_announced())
+            member._reported_at = virtual.now()
+            await asyncio.sleep(delay)
+            member._take_reply(reply)
+            assert fakes.ages(state) == (
+                pytest.approx(0.5 + delay),
+                pytest.approx(0.7 + delay),
             )
 
-        _play(scenario)
+        _run(scenario)
 
-    @pytest.mark.parametrize("way", [0.0, 1.5])
-    def test_news_that_are_held_up(self, way):
-        """Guards against a grace that begins when late news arrive."""
+    @pytest.mark.parametrize("delay", [0.0, 1.5])
+    def test_delayed_update(self, delay):
+        """Guards against a grace period dated by a delayed update's arrival."""
 
-        async def scenario(made, known, store, calls):
-            made.take_push(_announced())
-            made._reported_at = virtual.now()
+        async def scenario(member, state, store, calls):
+            member.take_push(_announced())
+            member._reported_at = virtual.now()
             await asyncio.sleep(0.02)
-            made._take_reply(
+            member._take_reply(
                 messages.ReportReply(ENTRY, leading=True, stamp=100.01)
             )
             await asyncio.sleep(1.0)
             leaving = messages.TargetNews(
                 fakes.target("a", leaving=True, revision=7), 7, False, 0.0, 0.2
             )
-            told = messages.ReportReply(
+            update = messages.ReportReply(
                 ENTRY,
                 leading=True,
                 news=messages.News(0, 7, (leaving,)),
                 stamp=101.01,
             )
-            said_at = virtual.now() - 0.2
-            await asyncio.sleep(way)
-            made.take_push(told)
-            since = known.directory.get("a").since
-            assert said_at - 0.05 < since <= said_at
+            changed_at = virtual.now() - 0.2
+            await asyncio.sleep(delay)
+            member.take_push(update)
+            since = state.directory.get("a").since
+            assert changed_at - 0.05 < since <= changed_at
 
-        _play(scenario)
+        _run(scenario)
 
-    def test_told_to_a_leader(self):
-        """Guards against a leader that is cut off and takes its view for new.
+    def test_reported_to_a_leader(self):
+        """Guards against an outdated view of a leader that is cut off.
 
-        A VM that follows the store beside it names times of its clock.
+        A VM that also watches the store reports times of the leader's clock.
         """
 
-        async def scenario(made, known, store, calls):
-            made.take_push(_announced())
-            made._take_reply(
+        async def scenario(member, state, store, calls):
+            member.take_push(_announced())
+            member._take_reply(
                 messages.ReportReply(ENTRY, leading=True, stamp=100.0)
             )
             await asyncio.sleep(2.0)
-            known.registrations.note(virtual.now() - 0.5)
-            report = made._make_report()
+            state.registrations.note(virtual.now() - 0.5)
+            report = member._make_report()
             assert report.seen_at == pytest.approx(101.5)
             assert report.configuration_at is None
 
-        _play(scenario)
+        _run(scenario)
 
 
 class TestStore:
-    """What a VM reads when it starts."""
+    """Reads of the store during start-up and failover."""
 
-    @pytest.mark.parametrize(("told", "lists"), [(True, 0), (False, 1)])
-    def test_told_by_a_leader(self, told, lists):
-        """Whoever has heard a leader before it is registered reads nothing.
+    @pytest.mark.parametrize(("announced", "lists"), [(True, 0), (False, 1)])
+    def test_leader_before_registration(self, announced, lists):
+        """Guards against a hundred VMs that read all tables at once.
 
-        After a loss of power a hundred VMs would otherwise read all tables
-        at the same time.
+        That would happen after a power failure. A VM that has received a
+        leader's messages before its registration reads nothing.
         """
 
-        async def scenario(made, known, store, calls):
-            if told:
-                made.take_push(_announced())
-                await made._report_once()
+        async def scenario(member, state, store, calls):
+            if announced:
+                member.take_push(_announced())
+                await member._report_once()
                 assert calls.reports
-            assert await made._registered()
+            assert await member._registered()
             assert store.lists[messages.LEADER_KEY] == lists
             assert not store.lists[messages.STORE_PREFIX]
 
-        _play(scenario)
+        _run(scenario)
 
     def test_silent_leader(self):
-        """The leader falls silent; who else is there is read then."""
+        """The list of VMs is read only when the leader does not respond."""
 
-        async def scenario(made, known, store, calls):
+        async def scenario(member, state, store, calls):
             calls.missing = {"two:1"}
-            made.start()
-            made.take_push(_announced())
+            member.start()
+            member.take_push(_announced())
             await asyncio.sleep(0.5)
             assert not store.lists[messages.VM_PREFIX]
             await asyncio.sleep(3.0)
             assert store.lists[messages.VM_PREFIX]
-            assert known.leader.vm == "vm-1"
+            assert state.leader.vm == "vm-1"
 
-        _play(scenario)
+        _run(scenario)
 
 
 class TestFindsLeader:
-    """A VM that no announcement has reached."""
+    """A VM that has missed the leader's announcement."""
 
-    def test_looks_for_it(self):
-        """Guards against a VM that waits for its turn among hundreds.
+    def test_looks_up_the_leader(self):
+        """Guards against a VM without a leader for as long as its rank demands.
 
-        It registered after the leader's announcement, and would go after all
-        others in replacing a leader that is well.
+        It registered after the announcement. Among hundreds of VMs it would
+        wait for all others to take over, although the leader is healthy.
         """
 
-        async def scenario(made, known, store, calls):
+        async def scenario(member, state, store, calls):
             names = [f"vm-{n:03}" for n in range(300)]
-            known.vms = {
+            state.vms = {
                 n: messages.VmEntry(n, "b", "", "z", 1.0) for n in names
             }
             entry = leadership.LeaderEntry("vm-2", "b", 3, "two:1")
-            made.start()
+            member.start()
             await asyncio.sleep(0.5)
             store.items[messages.LEADER_KEY] = (msgspec.json.encode(entry), 9)
             await asyncio.sleep(5.0)
-            assert known.leader == entry
+            assert state.leader == entry
             assert calls.reports
 
-        _play(scenario)
+        _run(scenario)
 
 
-class TestOnsetOfACrowd:
-    """One key gets much of the traffic from one moment to the next."""
+class TestSuddenHotKey:
+    """One key suddenly gets much of the traffic."""
 
-    def test_full_target_is_reported_soon(self):
+    def test_full_target_is_reported_early(self):
         """Guards against a second in which all VMs send to a full target."""
 
-        async def scenario(made, known, store, calls):
-            known.vms = {f"vm-{n}": None for n in range(200)}
-            made.start()
-            made.take_push(_announced())
+        async def scenario(member, state, store, calls):
+            state.vms = {f"vm-{n}": None for n in range(200)}
+            member.start()
+            member.take_push(_announced())
             await asyncio.sleep(0.45)
             before = len(calls.reports)
-            made.turned_away("a")
+            member.turned_away("a")
             await asyncio.sleep(0.05)
             assert len(calls.reports) == before + 1
             assert calls.reports[-1][1].waiting == {"a": 1}
-            # Not with each request.
+            # Further requests cause no further reports.
             for _ in range(20):
-                made.turned_away("a")
+                member.turned_away("a")
                 await asyncio.sleep(0.01)
             assert len(calls.reports) == before + 1
 
-        _play(scenario)
+        _run(scenario)
 
-    def test_new_gate_is_told_at_once(self):
-        """Guards against a gate that VMs hear of with their next report."""
+    def test_new_gate_is_sent_at_once(self):
+        """Guards against new admission gates sent only with the next report."""
 
-        async def scenario(made, known, store, calls):
-            made.start()
-            made.take_push(_announced())
+        async def scenario(member, state, store, calls):
+            member.start()
+            member.take_push(_announced())
             await asyncio.sleep(0.1)
-            told = messages.ReportReply(
+            update = messages.ReportReply(
                 ENTRY, leading=True, gates={"a": "gate:1"}
             )
-            made.take_push(told)
-            assert made._rooms.gate("a", virtual.now()) == "gate:1"
+            member.take_push(update)
+            assert member._rooms.gate("a", virtual.now()) == "gate:1"
 
-        _play(scenario)
+        _run(scenario)
 
 
-class Crowd:
-    """Many VMs with one store; what one tells reaches the others.
+class Cluster:
+    """Many VMs with one store that exchange messages.
 
     Attributes:
-        vms: Their parts among peers, by address.
+        vms: The membership of each VM, by address.
     """
 
     def __init__(self, count, store):
@@ -346,10 +347,10 @@
             name = f"vm-{number:03}"
             vm = msgspec.structs.replace(base.vm, id=name, peers=name)
             log = fakes.Lines()
-            known = fakes.known(timer, log, fakes.target("a"))
-            self.vms[name] = _peers(
+            state = fakes.known(timer, log, fakes.target("a"))
+            self.vms[name] = _member(
                 msgspec.structs.replace(base, vm=vm),
-                known,
+                state,
                 store,
                 self,
                 timer,
@@ -357,7 +358,7 @@
             )
 
     async def call(self, address, path, body, timeout, *, fresh=False):
-        """Delivers a message after a while."""
+        """Delivers a message after a short delay."""
         await asyncio.sleep(0.01)
         other = self.vms.get(address)
         if other is None:
@@ -374,52 +375,52 @@
 
 
 class TestManyVms:
-    """What a store sees of hundreds of VMs."""
+    """The load of hundreds of VMs on the store."""
 
     @pytest.mark.parametrize("count", [12, 195, 600])
     def test_start(self, count):
-        """Guards against a start at which all VMs read all that there is.
+        """Guards against a start at which all VMs read the complete state.
 
-        Over a narrow link that takes longer than any of them waits, so each
-        asks again and the link stays full.
+        Over a narrow link that takes longer than any VM waits, so each VM
+        retries and the link stays full.
         """
         store = Store()
 
         async def main():
-            crowd = Crowd(count, store)
-            for vm in crowd.vms.values():
+            cluster = Cluster(count, store)
+            for vm in cluster.vms.values():
                 vm.start()
             await asyncio.sleep(4.0)
-            leaders = {vm._beliefs.leader for vm in crowd.vms.values()}
+            leaders = {vm._beliefs.leader for vm in cluster.vms.values()}
             assert len(leaders) == 1
             whole = store.lists[messages.VM_PREFIX]
             whole += store.lists[messages.STORE_PREFIX]
             assert whole < 80
-            for vm in crowd.vms.values():
+            for vm in cluster.vms.values():
                 vm._leader.step_down("end")
                 vm.abort()
 
         virtual.run(main())
 
     def test_lost_leader(self):
-        """Guards against hundreds of VMs that read everything at a loss."""
+        """Guards against a full read by hundreds of VMs on leader loss."""
         store = Store()
 
         async def main():
-            crowd = Crowd(200, store)
-            for vm in crowd.vms.values():
+            cluster = Cluster(200, store)
+            for vm in cluster.vms.values():
                 vm.start()
             await asyncio.sleep(4.0)
-            first = crowd.vms["vm-000"]._beliefs.leader
-            lost = crowd.vms.pop(first.vm)
+            first = cluster.vms["vm-000"]._beliefs.leader
+            lost = cluster.vms.pop(first.vm)
             lost._leader.step_down("killed")
             lost.abort()
             store.lists.clear()
             await asyncio.sleep(4.0)
-            epochs = {vm._beliefs.leader.epoch for vm in crowd.vms.values()}
+            epochs = {vm._beliefs.leader.epoch for vm in cluster.vms.values()}
             assert epochs == {first.epoch + 1}
             assert store.lists[messages.VM_PREFIX] < 40
-            for vm in crowd.vms.values():
+            for vm in cluster.vms.values():
                 vm._leader.step_down("end")
                 vm.abort()
 
--- a/tests/gateway/test_resting_targets.py
+++ b/tests/gateway/test_resting_targets.py
@@ -1,4 +1,4 @@
-"""Targets that turn requests away and say for how long they want nothing."""
+"""Tests of targets that reject requests and ask for a backoff."""
 
 import asyncio
 
@@ -7,144 +7,149 @@
 from mimosastile_standins import virtual
 from tests.gateway import fleet
 
-MOST_REQUESTS = 2
-TOLD_SECONDS = 0.5
+MAX_REQUESTS = 2
+REACTION_SECONDS = 0.5
+"""Time within which a VM has to start the backoff."""
 
 
-def _rest(target, seconds, *, runs=True):
-    """Has a target turn all requests away; returns when."""
+def _reject(target, seconds, *, runs=True):
+    """Lets a target reject all requests with Retry-After; returns the time."""
     target.says["retry-after"] = seconds
     target.rejects = True
     target.runs = runs
     return virtual.now()
 
 
-def most_beyond(target, seconds):
-    """Returns the most requests of a VM that reach a target in its rest."""
-    asked = [
-        (at, vm) for at, vm, said in target.passed if b"retry-after" in said
+def max_requests_in_backoff(target, seconds):
+    """Returns the largest number of a VM's requests during a backoff."""
+    notified = [
+        (at, vm)
+        for at, vm, headers in target.passed
+        if b"retry-after" in headers
     ]
     return max(
         (
             sum(
-                a.vm == vm and at + TOLD_SECONDS < a.at < at + seconds
+                a.vm == vm and at + REACTION_SECONDS < a.at < at + seconds
                 for a in target.arrivals
             )
-            for at, vm in asked
+            for at, vm in notified
         ),
         default=0,
     )
 
 
-def _play(scenario, vms=10, **sizes):
+def _run(scenario, vms=10, **sizes):
     async def main():
-        made = fleet.Fleet(vms, **sizes)
-        await made.ready()
-        await scenario(made)
-        made.end()
+        cluster = fleet.Fleet(vms, **sizes)
+        await cluster.ready()
+        await scenario(cluster)
+        cluster.end()
 
     virtual.run(main())
 
 
-class TestRest:
-    """A 503 with Retry-After."""
+class TestBackoff:
+    """Responses with status 503 and Retry-After."""
 
     @pytest.mark.parametrize("path", ["/s", "/p"])
     @pytest.mark.parametrize("runs", [False, True])
     @pytest.mark.parametrize("seconds", ["0.9", "2.5", "7200"])
-    def test_nothing_more_from_that_vm(self, seconds, runs, path):
-        """Guards against a target that is asked on after it has asked to."""
+    def test_vm_sends_no_more_requests(self, seconds, runs, path):
+        """Guards against requests to a target that asked for a backoff."""
 
-        async def scenario(made):
+        async def scenario(cluster):
             key = fleet.any_key if path == "/s" else None
-            await made.call(1.0, 120.0, path, key)
-            target = made.owner() if key else made.targets["p0"]
-            _rest(target, seconds, runs=runs)
-            await made.call(6.0, 120.0, path, key)
-            assert most_beyond(target, float(seconds)) <= MOST_REQUESTS
+            await cluster.call(1.0, 120.0, path, key)
+            target = cluster.owner() if key else cluster.targets["p0"]
+            _reject(target, seconds, runs=runs)
+            await cluster.call(6.0, 120.0, path, key)
+            assert (
+                max_requests_in_backoff(target, float(seconds)) <= MAX_REQUESTS
+            )
 
-        _play(scenario)
+        _run(scenario)
 
     @pytest.mark.parametrize("path", ["/s", "/p"])
     def test_used_again_afterwards(self, path):
-        """Guards against a rest that outlasts what was asked for."""
+        """Guards against a backoff longer than the target asked for."""
 
-        async def scenario(made):
+        async def scenario(cluster):
             key = fleet.any_key if path == "/s" else None
-            await made.call(1.0, 120.0, path, key)
-            target = made.owner() if key else made.targets["p0"]
-            _rest(target, "1.5")
-            await made.call(3.0, 120.0, path, key)
+            await cluster.call(1.0, 120.0, path, key)
+            target = cluster.owner() if key else cluster.targets["p0"]
+            _reject(target, "1.5")
+            await cluster.call(3.0, 120.0, path, key)
             target.rejects = False
             del target.says["retry-after"]
             await asyncio.sleep(1.5)
             since = virtual.now()
-            await made.call(8.0, 120.0, path, key)
-            got = sum(a.at > since for a in target.arrivals)
-            assert got > 80
+            await cluster.call(8.0, 120.0, path, key)
+            received = sum(a.at > since for a in target.arrivals)
+            assert received > 80
 
-        _play(scenario)
+        _run(scenario)
 
     @pytest.mark.parametrize("seconds", ["0", "-1", "soon", "1e9", ""])
-    def test_nothing_to_wait_for(self, seconds):
-        """Guards against a target that is left alone for a word of nonsense."""
+    def test_invalid_retry_after(self, seconds):
+        """Guards against a backoff for a Retry-After that is invalid."""
 
-        async def scenario(made):
-            target = made.targets["p0"]
-            _rest(target, seconds, runs=False)
-            await made.call(1.0, 120.0, "/p")
+        async def scenario(cluster):
+            target = cluster.targets["p0"]
+            _reject(target, seconds, runs=False)
+            await cluster.call(1.0, 120.0, "/p")
             target.rejects = False
             since = virtual.now()
-            await made.call(6.0, 120.0, "/p")
-            got = sum(a.at > since for a in target.arrivals)
-            assert got > 30
+            await cluster.call(6.0, 120.0, "/p")
+            received = sum(a.at > since for a in target.arrivals)
+            assert received > 30
 
-        _play(scenario)
+        _run(scenario)
 
     def test_only_owner_of_a_key(self):
-        """Guards against callers that wait for an owner that rests long."""
+        """Guards against callers that wait for an owner in a long backoff."""
 
-        async def scenario(made):
-            await made.call(1.0, 120.0, "/s", fleet.any_key)
-            target = made.owner()
-            _rest(target, "7200", runs=False)
-            await made.call(4.0, 60.0, "/s", lambda _: 0)
+        async def scenario(cluster):
+            await cluster.call(1.0, 120.0, "/s", fleet.any_key)
+            target = cluster.owner()
+            _reject(target, "7200", runs=False)
+            await cluster.call(4.0, 60.0, "/s", lambda _: 0)
             began = virtual.now()
-            answer = await made.ask("vm-003", "/s", 0)
-            if answer.status == 503:
+            response = await cluster.ask("vm-003", "/s", 0)
+            if response.status == 503:
                 assert virtual.now() - began < 0.1
-                assert 0 < made.refusals[-1] <= 5.0
+                assert 0 < cluster.refusals[-1] <= 5.0
 
-        _play(scenario)
+        _run(scenario)
 
-    def test_keys_leave_an_owner_that_rests_for_long(self):
-        """Guards against keys that nobody serves until a rest of hours ends."""
+    def test_keys_move_from_an_owner_in_a_long_backoff(self):
+        """Guards against keys that are not served during hours of backoff."""
 
-        async def scenario(made):
-            await made.call(1.0, 120.0, "/s", fleet.any_key)
-            target = made.owner()
-            _rest(target, "7200", runs=False)
-            await made.call(6.0, 120.0, "/s", fleet.any_key)
-            made.statuses.clear()
-            await made.call(3.0, 120.0, "/s", fleet.any_key)
-            assert set(made.statuses) == {200}
+        async def scenario(cluster):
+            await cluster.call(1.0, 120.0, "/s", fleet.any_key)
+            target = cluster.owner()
+            _reject(target, "7200", runs=False)
+            await cluster.call(6.0, 120.0, "/s", fleet.any_key)
+            cluster.statuses.clear()
+            await cluster.call(3.0, 120.0, "/s", fleet.any_key)
+            assert set(cluster.statuses) == {200}
 
-        _play(scenario)
+        _run(scenario)
 
-    def test_next_run(self):
-        """Guards against the rest of a run that is over."""
+    def test_next_incarnation(self):
+        """Guards against the backoff of an earlier incarnation."""
 
-        async def scenario(made):
-            target = made.targets["p0"]
-            _rest(target, "7200", runs=False)
-            await made.call(2.0, 120.0, "/p")
+        async def scenario(cluster):
+            target = cluster.targets["p0"]
+            _reject(target, "7200", runs=False)
+            await cluster.call(2.0, 120.0, "/p")
             target.rejects = False
             target.says.clear()
             target.born = 2
-            made.take_target(target.registration)
+            cluster.take_target(target.registration)
             since = virtual.now()
-            await made.call(4.0, 120.0, "/p")
-            got = sum(a.at > since for a in target.arrivals)
-            assert got > 30
+            await cluster.call(4.0, 120.0, "/p")
+            received = sum(a.at > since for a in target.arrivals)
+            assert received > 30
 
-        _play(scenario)
+        _run(scenario)
--- a/tests/gateway/test_telling.py
+++ b/tests/gateway/test_telling.py
@@ -1,4 +1,4 @@
-"""How VMs hear what a leader knows."""
+"""Tests of the dissemination of updates from the leader to all VMs."""
 
 import asyncio
 
@@ -17,7 +17,16 @@
 
 
 class Calls:
-    """Keeps what is sent to peers."""
+    """Records messages to peers, and simulates peers that do not respond.
+
+    Attributes:
+        sent: Each receiver's address with its update.
+        relayed: Addresses of VMs that relayed an update.
+        dead: Addresses that fail at once.
+        silent: Addresses that never respond.
+        slow: Seconds until any address responds.
+        times: Address and start time of each call.
+    """
 
     def __init__(self):
         self.sent = []
@@ -28,7 +37,7 @@
         self.times = []
 
     async def call(self, address, path, body, timeout, *, fresh=False):
-        """Keeps one message."""
+        """Records one message and returns the response of its receiver."""
         self.times.append((address, virtual.now()))
         if self.slow > timeout or address in self.silent:
             await asyncio.sleep(timeout)
@@ -42,9 +51,9 @@
             self.relayed.append(address)
             addresses = (address, *relay.addresses)
             body = relay.told
-        told = messages.decode(body, messages.ReportReply)
+        update = messages.decode(body, messages.ReportReply)
         reached = [a for a in addresses if a not in self.dead]
-        self.sent.extend((a, told) for a in reached)
+        self.sent.extend((a, update) for a in reached)
         missed = tuple(a for a in addresses if a in self.dead)
         return messages.encode(messages.Relayed(missed))
 
@@ -53,198 +62,204 @@
     return messages.VmEntry(name, "b", f"{name}:1", zone)
 
 
-def _play(scenario):
+def _run(scenario):
     async def main():
         timer = fakes.VirtualClock()
-        known = fakes.known(timer, fakes.Lines(), fakes.target("a"))
+        state = fakes.known(timer, fakes.Lines(), fakes.target("a"))
         calls = Calls()
-        made = telling.Telling("vm-1", "z", calls, known, timer, fakes.Lines())
-        made.begin(ENTRY)
-        made.announce([_vm("vm-1"), _vm("vm-2"), _vm("vm-3")])
+        sender = telling.Telling(
+            "vm-1", "z", calls, state, timer, fakes.Lines()
+        )
+        sender.begin(ENTRY)
+        sender.announce([_vm("vm-1"), _vm("vm-2"), _vm("vm-3")])
         await asyncio.sleep(0.1)
-        await scenario(made, known, calls)
-        made.stop()
+        await scenario(sender, state, calls)
+        sender.stop()
 
     virtual.run(main())
 
 
 class TestBegin:
-    """A VM begins to lead."""
+    """The first messages of a new leader."""
 
-    def test_all_registered_vms_hear_of_it(self):
-        """A leader dies and another one takes over.
+    def test_announced_to_all_registered_vms(self):
+        """Guards against VMs that go on reporting to a failed leader.
 
-        VMs that go on reporting to the dead one would hear of no change until
-        they have read the store, all at the same time.
+        They would get no update until they have read the store, and would all
+        do that at the same time.
         """
 
-        async def scenario(made, known, calls):
+        async def scenario(sender, state, calls):
             assert {address for address, _ in calls.sent} == {
                 "vm-2:1",
                 "vm-3:1",
             }
-            assert all(told.leader == ENTRY for _, told in calls.sent)
+            assert all(update.leader == ENTRY for _, update in calls.sent)
 
-        _play(scenario)
+        _run(scenario)
 
 
 class TestNews:
-    """Changes go out at once, and only what is new in them."""
+    """Changes are sent at once, as deltas."""
 
     @pytest.mark.parametrize("behind", [0, 1])
     def test_configuration(self, behind):
-        """A VM that knows the version before is told what has changed."""
+        """A VM that has the previous version is sent only the changes."""
 
-        async def scenario(made, known, calls):
+        async def scenario(sender, state, calls):
             report = messages.Report(
-                _vm("vm-2"), True, configuration=known.version - behind * 2
+                _vm("vm-2"), True, configuration=state.version - behind * 2
             )
-            made.take(report)
+            sender.take(report)
             calls.sent.clear()
-            known.take_configuration(routes.Configuration(2))
+            state.take_configuration(routes.Configuration(2))
             await asyncio.sleep(0.1)
-            ((address, told),) = calls.sent
+            ((address, update),) = calls.sent
             assert address == "vm-2:1"
-            whole = told.news.configuration is not None
+            whole = update.news.configuration is not None
             assert whole is bool(behind)
-            assert (told.news.change is not None) is not whole
+            assert (update.news.change is not None) is not whole
 
-        _play(scenario)
+        _run(scenario)
 
     @pytest.mark.parametrize(
-        ("knows", "told"),
+        ("current", "updated"),
         [((), True), (("east",), False), (("west",), True)],
     )
-    def test_evacuations(self, knows, told):
+    def test_evacuations(self, current, updated):
         """Guards against a VM that goes on sending to an evacuated zone."""
 
-        async def scenario(made, known, calls):
+        async def scenario(sender, state, calls):
             report = messages.Report(
                 _vm("vm-2"),
                 True,
-                configuration=known.version,
-                evacuations=eligibility.Evacuations(knows, 3),
+                configuration=state.version,
+                evacuations=eligibility.Evacuations(current, 3),
             )
-            made.take(report)
+            sender.take(report)
             await asyncio.sleep(0.1)
             calls.sent.clear()
-            known.take_evacuations(eligibility.Evacuations(("east",), 9))
+            state.take_evacuations(eligibility.Evacuations(("east",), 9))
             await asyncio.sleep(0.1)
             sent = [
                 reply.news.evacuations
                 for _, reply in calls.sent
                 if reply.news is not None
             ]
-            expected = [eligibility.Evacuations(("east",), 9)] if told else []
+            expected = (
+                [eligibility.Evacuations(("east",), 9)] if updated else []
+            )
             assert sent == expected
 
-        _play(scenario)
+        _run(scenario)
 
-    def test_nothing_twice(self):
-        """What a VM was told is not told again before it reports."""
+    def test_no_update_is_sent_twice(self):
+        """An acknowledged update is not sent again before the next report."""
 
-        async def scenario(made, known, calls):
-            made.take(messages.Report(_vm("vm-2"), True))
+        async def scenario(sender, state, calls):
+            sender.take(messages.Report(_vm("vm-2"), True))
             await asyncio.sleep(0.1)
             calls.sent.clear()
-            known.take_configuration(routes.Configuration(2))
+            state.take_configuration(routes.Configuration(2))
             await asyncio.sleep(0.1)
-            known.signal()
+            state.signal()
             await asyncio.sleep(0.1)
             assert len(calls.sent) == 1
 
-        _play(scenario)
+        _run(scenario)
 
     def test_assignment_by_difference(self):
-        """A VM that has the assignment before gets the changed keys alone."""
+        """A VM that has the previous assignment gets only the changed keys."""
 
-        async def scenario(made, known, calls):
+        async def scenario(sender, state, calls):
             old = assignments.Assignment("s", (1, 1), (0, 9), ("a", "b"))
-            made.publish(old)
-            lacking = made.lacking(messages.Report(_vm("vm-2"), True))
+            sender.publish(old)
+            lacking = sender.lacking(messages.Report(_vm("vm-2"), True))
             assert lacking.assignments == (old,)
             new = assignments.Assignment("s", (1, 2), (0, 9), ("a", "a"))
-            made.publish(new)
-            lacking = made.lacking(
+            sender.publish(new)
+            lacking = sender.lacking(
                 messages.Report(_vm("vm-2"), True, versions={"s": (1, 1)})
             )
-            (told,) = lacking.differences
-            assert assignments.apply(old, told).owner(10) == "a"
+            (difference,) = lacking.differences
+            assert assignments.apply(old, difference).owner(10) == "a"
             assert not lacking.assignments
 
-        _play(scenario)
+        _run(scenario)
 
 
 class TestRelay:
-    """VMs of another zone."""
+    """Updates to VMs of another zone."""
 
-    def test_one_passes_it_on(self):
-        """A configuration grows by a thousand routes.
+    def test_one_vm_relays_for_its_zone(self):
+        """Guards against a narrow link filled by copies of an update.
 
-        Sent to every VM beyond a narrow link by itself, it would take seconds,
-        and requests that cross the link would wait as long.
+        A change of a thousand routes, sent to each VM beyond the link, would
+        take seconds and delay the requests that cross it.
         """
 
-        async def scenario(made, known, calls):
+        async def scenario(sender, state, calls):
             for number in range(9):
                 vm = _vm(f"far-{number}", "far")
-                made.take(messages.Report(vm, True))
+                sender.take(messages.Report(vm, True))
             await asyncio.sleep(0.2)
             assert len(calls.relayed) == 1
             reached = {address for address, _ in calls.sent}
             assert {f"far-{n}:1" for n in range(9)} < reached
 
-        _play(scenario)
+        _run(scenario)
 
     @pytest.mark.parametrize("dead", [1, 2, 5])
-    def test_lost_relay(self, dead):
-        """Guards against a zone that waits for VMs which are dead.
+    def test_failed_relay(self, dead):
+        """Guards against a zone that waits for failed VMs.
 
-        Those that should pass the message on hear all with the answer to
-        their next report.
+        VMs that failed as relays get everything with the response to their
+        next report.
         """
 
-        async def scenario(made, known, calls):
+        async def scenario(sender, state, calls):
             calls.dead = {f"far-{n}:1" for n in range(dead)}
             reports = [
                 messages.Report(_vm(f"far-{n}", "far"), True) for n in range(6)
             ]
             for report in reports:
-                made.take(report)
-                assert made.answer(report).nothing
+                sender.take(report)
+                assert sender.answer(report).nothing
             calls.sent.clear()
             await asyncio.sleep(0.2)
             alive = [f"far-{n}:1" for n in range(dead, 6)]
             assert [address for address, _ in calls.sent] == alive
-            heard = [made.answer(report).nothing for report in reports]
-            assert heard == [False] * dead + [True] * len(alive)
+            current = [sender.answer(report).nothing for report in reports]
+            assert current == [False] * dead + [True] * len(alive)
             calls.dead.clear()
             calls.sent.clear()
-            made.take(reports[0])
+            sender.take(reports[0])
             await asyncio.sleep(0.1)
             assert [address for address, _ in calls.sent] == ["far-0:1"]
 
-        _play(scenario)
+        _run(scenario)
 
     @pytest.mark.parametrize("reports", [True, False])
     def test_silent_relays(self, reports):
-        """Guards against a wait that grows with each VM that is silent.
+        """Guards against a wait that grows with each unresponsive VM.
 
-        While nobody reports the link may be full; then nothing is sent twice.
+        While no VM reports, the link may be full; then nothing is sent twice.
         """
 
-        async def scenario(made, known, calls):
+        async def scenario(sender, state, calls):
             calls.silent = {"far-0:1", "far-1:1"}
             began = virtual.now()
             for n in range(6):
-                made.take(messages.Report(_vm(f"far-{n}", "far"), True))
+                sender.take(messages.Report(_vm(f"far-{n}", "far"), True))
             while virtual.now() < began + 1.4:
                 await asyncio.sleep(0.2)
-                told = {address for address, _ in calls.sent}
+                reached = {address for address, _ in calls.sent}
                 for n in range(2, 6) if reports else ():
-                    knows = known.version if f"far-{n}:1" in told else -1
+                    version = state.version if f"far-{n}:1" in reached else -1
                     vm = _vm(f"far-{n}", "far")
-                    made.take(messages.Report(vm, True, configuration=knows))
+                    sender.take(
+                        messages.Report(vm, True, configuration=version)
+                    )
             sent = [(n, at) for n, at in calls.times if n.startswith("far")]
             if reports:
                 assert [name for name, _ in sent] == ["far-0:1", "far-2:1"]
@@ -252,63 +267,64 @@
             else:
                 assert [name for name, _ in sent] == ["far-0:1"]
 
-        _play(scenario)
+        _run(scenario)
 
-    def test_one_of_them_missed_it(self):
-        """The message reaches all but one."""
+    def test_relay_misses_one_vm(self):
+        """A VM that a relay misses gets the update with its next report."""
 
-        async def scenario(made, known, calls):
+        async def scenario(sender, state, calls):
             calls.dead = {"far-2:1"}
             reports = [
                 messages.Report(_vm(f"far-{n}", "far"), True) for n in range(4)
             ]
             for report in reports:
-                made.take(report)
+                sender.take(report)
             await asyncio.sleep(0.2)
-            heard = [made.answer(report).nothing for report in reports]
-            assert heard == [True, True, False, True]
+            current = [sender.answer(report).nothing for report in reports]
+            assert current == [True, True, False, True]
 
-        _play(scenario)
+        _run(scenario)
 
 
 class TestSlowLink:
-    """A VM behind a full link."""
+    """Updates to a VM behind a full link."""
 
-    def test_one_message_at_a_time(self):
-        """The configuration changes ten times while one message travels.
+    def test_one_update_in_flight(self):
+        """Guards against updates that are out of date when they arrive.
 
-        Sending each version by itself would fill the link further with what
-        is old when it arrives. The VM gets two messages, and knows all then.
+        The configuration changes ten times while one update is in flight. One
+        update for each version would add load to the link; the VM gets the
+        newest version with the second update.
         """
 
-        async def scenario(made, known, calls):
+        async def scenario(sender, state, calls):
             calls.sent.clear()
             calls.slow = 1.0
-            made.take(messages.Report(_vm("vm-2"), True))
+            sender.take(messages.Report(_vm("vm-2"), True))
             for version in range(2, 12):
                 await asyncio.sleep(0.05)
-                known.take_configuration(routes.Configuration(version))
+                state.take_configuration(routes.Configuration(version))
             await asyncio.sleep(3.0)
-            told = [told for _, told in calls.sent]
-            assert len(told) == 2
-            assert told[-1].news.change.version == 11
+            updates = [update for _, update in calls.sent]
+            assert len(updates) == 2
+            assert updates[-1].news.change.version == 11
 
-        _play(scenario)
+        _run(scenario)
 
-    @pytest.mark.parametrize(("routes_more", "told"), [(3, True), (90, False)])
-    def test_silent_connection(self, routes_more, told):
-        """The connection to a VM has fallen silent without a reset.
+    @pytest.mark.parametrize(("routes_added", "sent"), [(3, True), (90, False)])
+    def test_silent_connection(self, routes_added, sent):
+        """Guards against a late update over a connection broken without reset.
 
-        It takes seconds until that shows. Small news that cannot wait come
-        with the answer to the VM's next report; large ones would fill a link
-        that is merely full.
+        It takes seconds to detect that. Small urgent updates go with the
+        response to the VM's next report; large ones do not, since they would
+        add load to a link that may just be full.
         """
 
-        async def scenario(made, known, calls):
+        async def scenario(sender, state, calls):
             calls.slow = 1.5
             report = messages.Report(_vm("vm-2"), True, configuration=1)
-            made.take(report)
-            more = tuple(
+            sender.take(report)
+            added = tuple(
                 routes.Route(
                     f"r-{n}",
                     "h",
@@ -318,14 +334,14 @@
                     1.0,
                     0.5,
                 )
-                for n in range(routes_more)
+                for n in range(routes_added)
             )
-            known.take_configuration(
-                routes.Configuration(2, more, known.configuration.services)
+            state.take_configuration(
+                routes.Configuration(2, added, state.configuration.services)
             )
             await asyncio.sleep(0.3)
-            assert made.answer(report).nothing
+            assert sender.answer(report).nothing
             await asyncio.sleep(0.4)
-            assert made.answer(report).nothing is not told
+            assert sender.answer(report).nothing is not sent
 
-        _play(scenario)
+        _run(scenario)
--- a/tests/gateway/test_watching.py
+++ b/tests/gateway/test_watching.py
@@ -1,4 +1,4 @@
-"""Following the store without reading what is known already."""
+"""Tests of store watches: resumption, load on the store, age of views."""
 
 import asyncio
 import collections
@@ -16,19 +16,19 @@
 
 
 class Store(fakes.Store):
-    """Counts calls, and answers watches as it is told.
+    """A store that counts calls, with scripted responses to watches.
 
     Attributes:
-        lists: How often each prefix was listed.
-        watches: Revisions from which watches went on.
-        moods: Failures that the next watches answer.
+        lists: Number of lists of each prefix.
+        watches: Revisions from which watches of the targets started.
+        scripted: Changes and failures that the next watches return.
     """
 
     def __init__(self):
         super().__init__()
         self.lists = collections.Counter()
         self.watches = []
-        self.moods = []
+        self.scripted = []
 
     async def list(self, prefix, *, stale=False):
         """Counts a list."""
@@ -36,88 +36,88 @@
         return await super().list(prefix, stale=stale)
 
     async def watch(self, prefix, after, wait):
-        """Notes a watch."""
+        """Records a watch and returns the next scripted response, if any."""
         if prefix == "servers/":
             self.watches.append(after)
-            if self.moods:
-                mood = self.moods.pop(0)
-                answers = isinstance(mood, ports.Changes)
-                return result.Ok(mood) if answers else result.Err(mood)
+            if self.scripted:
+                response = self.scripted.pop(0)
+                succeeds = isinstance(response, ports.Changes)
+                return result.Ok(response) if succeeds else result.Err(response)
         return await super().watch(prefix, after, wait)
 
 
-def _watching(store, *targets):
-    """Makes a VM's view of the store; returns it with its beliefs and log."""
+def _watcher(store, *targets):
+    """Returns a VM's store watcher, its cluster state and its log."""
     timer, log = fakes.VirtualClock(), fakes.Lines()
-    known = fakes.known(timer, log, *targets)
-    made = watching.Watching(
+    state = fakes.known(timer, log, *targets)
+    watcher = watching.Watching(
         settings.StoreSettings(address="127.0.0.1:1"),
         store,
         records.Records(),
-        known,
+        state,
         timer,
         log,
     )
-    return made, known, log
+    return watcher, state, log
 
 
-def _play(scenario, store, known_up_to=0):
+def _run(scenario, store, seen=0):
     async def main():
-        made, known, log = _watching(store, fakes.target("a"))
-        known.seen = known_up_to
-        made.rely_on_leader(False)
-        made.start()
+        watcher, state, log = _watcher(store, fakes.target("a"))
+        state.seen = seen
+        watcher.rely_on_leader(False)
+        watcher.start()
         await asyncio.sleep(2.0)
-        await scenario(known, log)
-        made.stop()
+        await scenario(state, log)
+        watcher.stop()
 
     virtual.run(main())
 
 
 class TestFollow:
-    """Where a VM begins that has to look for itself."""
+    """The revision from which a VM follows the store."""
 
-    @pytest.mark.parametrize(("known_up_to", "lists"), [(0, 1), (40, 0)])
-    def test_begins_where_it_is(self, known_up_to, lists):
-        """The leader dies and all VMs turn to the store at once.
+    @pytest.mark.parametrize(("seen", "lists"), [(0, 1), (40, 0)])
+    def test_starts_at_the_last_revision(self, seen, lists):
+        """Guards against lists by all VMs when the leader fails.
 
-        A hundred of them that read hundreds of registrations over the link
-        between regions would fill it; the next leader could not be heard.
+        A hundred VMs that read hundreds of registrations over the link between
+        regions would fill it, and delay the next leader's messages.
         """
         store = Store()
 
-        async def scenario(known, log):
+        async def scenario(state, log):
             assert store.lists["servers/"] == lists
-            assert store.watches[0] == (known_up_to or 1)
+            assert store.watches[0] == (seen or 1)
 
-        _play(scenario, store, known_up_to)
+        _run(scenario, store, seen)
 
-    def test_failed_watch_goes_on(self):
-        """A watch is cut; nothing is read twice for that."""
+    def test_failed_watch_resumes(self):
+        """Guards against a repeated list after a watch has failed."""
         store = Store()
-        store.moods = [fakes.UNKNOWN, fakes.UNAVAILABLE]
+        store.scripted = [fakes.UNKNOWN, fakes.UNAVAILABLE]
 
-        async def scenario(known, log):
+        async def scenario(state, log):
             assert store.lists["servers/"] == 0
             assert store.watches[:3] == [40, 40, 40]
             assert log.named("store_lost")
-            assert known.store_ok
+            assert state.store_ok
 
-        _play(scenario, store, 40)
+        _run(scenario, store, 40)
 
     def test_history_lost(self):
-        """The store has dropped what this VM missed: it reads all."""
+        """A prefix is listed again after the store has dropped its history."""
         store = Store()
-        store.moods = [ports.HistoryLost()]
+        store.scripted = [ports.HistoryLost()]
 
-        async def scenario(known, log):
+        async def scenario(state, log):
             assert store.lists["servers/"] == 1
 
-        _play(scenario, store, 40)
+        _run(scenario, store, 40)
 
 
 class TestEvacuations:
-    """Zones that operators evacuate and take back."""
+    """Zones that operators evacuate and put back into service."""
 
     @pytest.mark.parametrize(
         ("listed", "changes", "expected"),
@@ -135,11 +135,11 @@
             ),
         ],
     )
-    def test_taken(self, listed, changes, expected):
+    def test_evacuated_zones(self, listed, changes, expected):
         """Guards against an evacuation that is missed or outlives its end."""
 
-        class Changing(Store):
-            """Brings changes of what operators wrote."""
+        class Scripted(Store):
+            """A store with scripted changes of the operators' keys."""
 
             def __init__(self):
                 super().__init__()
@@ -163,23 +163,23 @@
                     )
                 )
 
-        async def scenario(known, log):
-            assert known.evacuations.zones == expected
+        async def scenario(state, log):
+            assert state.evacuations.zones == expected
             for zone in ("east", "west"):
-                allowed = known.eligibility.allows(zone, ())
+                allowed = state.eligibility.allows(zone, ())
                 assert allowed is (zone not in expected)
 
-        _play(scenario, Changing())
+        _run(scenario, Scripted())
 
 
-class TestRest:
-    """A leader can be relied on while a VM reads."""
+class TestPause:
+    """Reads while there is, or will soon be, a reliable leader."""
 
-    def test_reading_ends(self):
-        """Guards against a link kept full by lists that nobody needs."""
+    def test_list_is_cancelled(self):
+        """Guards against a link filled by lists that are not needed."""
 
         class Slow(Store):
-            """Lists take ten seconds."""
+            """A store whose lists take ten seconds."""
 
             async def list(self, prefix, *, stale=False):
                 self.lists[prefix] += 1
@@ -189,55 +189,50 @@
         store = Slow()
 
         async def main():
-            made, _, log = _watching(store)
-            made.rely_on_leader(False)
-            made.start()
+            watcher, _, log = _watcher(store)
+            watcher.rely_on_leader(False)
+            watcher.start()
             await asyncio.sleep(1.0)
             assert store.lists["servers/"] == 1
-            made.rely_on_leader(True)
+            watcher.rely_on_leader(True)
             await asyncio.sleep(20.0)
             assert store.lists["servers/"] == 1
             assert not log.named("targets_listed")
-            made.stop()
+            watcher.stop()
 
         virtual.run(main())
 
-    def test_lists_are_not_read_all_at_once(self):
-        """Guards against all VMs reading everything when a leader is lost."""
+    def test_lists_are_delayed(self):
+        """Guards against lists by all VMs at once when a leader is lost."""
         store = Store()
 
         async def main():
-            made, _, _ = _watching(store)
-            made.rely_on_leader(False, read_delay=1.2)
-            made.start()
+            watcher, _, _ = _watcher(store)
+            watcher.rely_on_leader(False, read_delay=1.2)
+            watcher.start()
             await asyncio.sleep(0.5)
             assert store.lists["servers/"] == 0
             await asyncio.sleep(2.0)
             assert store.lists["servers/"] == 1
-            made.stop()
+            watcher.stop()
 
         virtual.run(main())
 
 
-class Changing(Store):
-    """Answers one watch with a target that leaves.
-
-    Attributes:
-        leaves_at: When the store acknowledges that.
-        acknowledged: The time at which it did.
-    """
+class LeavingStore(Store):
+    """A store in which one target leaves at a given time."""
 
     def __init__(self, leaves_at):
         super().__init__()
         self._leaves_at = leaves_at
-        self._told = False
+        self._reported = False
 
     async def watch(self, prefix, after, wait):
-        """Answers at once, or when the target leaves."""
-        if prefix != "servers/" or self._told:
+        """Returns the target's change, at once or when the target leaves."""
+        if prefix != "servers/" or self._reported:
             return await super().watch(prefix, after, wait)
         await asyncio.sleep(max(self._leaves_at - virtual.now(), 0.0))
-        self._told = True
+        self._reported = True
         item = ports.Item("servers/a", _LEAVING, after + 1)
         return result.Ok(ports.Changes((item,), (), after + 1))
 
@@ -257,76 +252,77 @@
 )
 
 
-class TestLeavingHeardLate:
-    """A target leaves while nobody tells this VM what the store holds."""
+class TestLeavingReportedLate:
+    """Targets that leave while this VM does not follow the store."""
 
     @pytest.mark.parametrize(
         ("current", "followed", "leaves_at"),
         [(1.0, 3.0, 1.2), (1.0, 2.0, 1.9), (1.0, 1.1, 3.0), (0.0, 5.0, 2.0)],
     )
-    def test_time_counts_from_when_it_may_have_left(
+    def test_grace_starts_at_earliest_time_of_leaving(
         self, current, followed, leaves_at
     ):
-        """Guards against a grace that begins only when a VM hears of it.
+        """Guards against a grace period that starts at a late notification.
 
-        Its leader was lost, and it turned to the store seconds later.
+        The VM has lost its leader, and followed the store only seconds later.
         """
         drain = fakes.configured().bounds.drain
 
         async def main():
-            made, known, _ = _watching(
-                Changing(leaves_at), fakes.target("a", address="10.1.0.1:80")
+            watcher, state, _ = _watcher(
+                LeavingStore(leaves_at),
+                fakes.target("a", address="10.1.0.1:80"),
             )
-            known.seen = 40
-            made.start()
+            state.seen = 40
+            watcher.start()
             await asyncio.sleep(current)
-            known.registrations.note(virtual.now())
+            state.registrations.note(virtual.now())
             await asyncio.sleep(followed - current)
-            made.rely_on_leader(False)
+            watcher.rely_on_leader(False)
             await asyncio.sleep(max(leaves_at - followed, 0.0) + 0.1)
-            entry = known.directory.get("a")
+            entry = state.directory.get("a")
             assert entry.target.leaving
             assert entry.until < leaves_at + drain
             if leaves_at > followed + 1.0:
                 assert entry.until > leaves_at + drain / 2
-            made.stop()
+            watcher.stop()
 
         virtual.run(main())
 
     @pytest.mark.parametrize("listed", [False, True])
     @pytest.mark.parametrize("outage", [False, True])
-    def test_registrations_that_lapse_in_an_outage(self, outage, listed):
-        """Guards against targets that are well and get no work after an outage.
+    def test_registrations_expire_in_an_outage(self, outage, listed):
+        """Guards against healthy targets without requests after an outage.
 
-        All registrations have lapsed when the store is back, and come again
-        within two seconds.
+        All registrations have expired when the store is available again, and
+        are renewed within two seconds.
         """
         store = Store()
         if outage:
-            store.moods = [fakes.UNKNOWN, fakes.UNKNOWN, fakes.UNKNOWN]
+            store.scripted = [fakes.UNKNOWN, fakes.UNKNOWN, fakes.UNKNOWN]
         if listed:
-            store.moods.append(ports.HistoryLost())
+            store.scripted.append(ports.HistoryLost())
 
         async def main():
-            made, known, _ = _watching(store, fakes.target("a"))
-            known.seen = 40
-            made.start()
-            known.registrations.note(virtual.now())
+            watcher, state, _ = _watcher(store, fakes.target("a"))
+            state.seen = 40
+            watcher.start()
+            state.registrations.note(virtual.now())
             await asyncio.sleep(8.0)
-            made.rely_on_leader(False)
+            watcher.rely_on_leader(False)
             gone = ports.Changes((), (("servers/a", 41),), 41)
             if not listed:
-                store.moods.append(gone)
-            while known.directory.is_ready("a"):
+                store.scripted.append(gone)
+            while state.directory.is_ready("a"):
                 await asyncio.sleep(0.01)
-            left = known.directory.get("a").until - virtual.now()
+            left = state.directory.get("a").until - virtual.now()
             assert left > 0.4 if outage else left < 0.0
-            made.stop()
+            watcher.stop()
 
         virtual.run(main())
 
-    def test_news_of_a_leader(self):
-        """Guards against a grace that begins anew at each VM that is told."""
+    def test_leaders_update(self):
+        """Guards against a grace period that restarts at each notified VM."""
 
         async def main():
             timer, log = fakes.VirtualClock(), fakes.Lines()
@@ -334,64 +330,64 @@
             leader.take_target(fakes.target("a", leaving=True, revision=5))
             leader.seen = 5
             await asyncio.sleep(1.5)
-            news = leader.news_after(1, leader.version)
+            update = leader.news_after(1, leader.version)
             behind = fakes.known(timer, log, fakes.target("a"))
-            behind.take_news(news)
-            ends = [k.directory.get("a").until for k in (leader, behind)]
+            behind.take_news(update)
+            ends = [vm.directory.get("a").until for vm in (leader, behind)]
             assert ends[0] == ends[1]
 
         virtual.run(main())
 
 
 class TestAges:
-    """How old this VM's views are by its own watches."""
+    """The age of this VM's views by its own watches."""
 
-    @pytest.mark.parametrize("held_up", [0.0, 0.9])
-    def test_watch_without_change(self, held_up):
-        """Guards against an answer that is held up and makes a view fresh."""
+    @pytest.mark.parametrize("delay", [0.0, 0.9])
+    def test_watch_without_change(self, delay):
+        """Guards against a view dated by the arrival of a delayed response."""
 
-        class HeldUp(Store):
-            """Answers come late by some seconds."""
+        class Delayed(Store):
+            """A store whose responses to watches are delayed."""
 
             async def watch(self, prefix, after, wait):
-                brought = await super().watch(prefix, after, wait)
-                await asyncio.sleep(held_up)
-                return brought
+                response = await super().watch(prefix, after, wait)
+                await asyncio.sleep(delay)
+                return response
 
         async def main():
-            made, known, _ = _watching(HeldUp(), fakes.target("a"))
-            known.seen = known.configuration_seen = 40
-            made.rely_on_leader(False)
-            made.start()
+            watcher, state, _ = _watcher(Delayed(), fakes.target("a"))
+            state.seen = state.configuration_seen = 40
+            watcher.rely_on_leader(False)
+            watcher.start()
             wait = settings.StoreSettings(address="").watch_wait
-            await asyncio.sleep(wait + held_up + 0.01)
-            for age in fakes.ages(known):
-                assert age == pytest.approx(held_up + 0.01, abs=0.001)
-            made.stop()
+            await asyncio.sleep(wait + delay + 0.01)
+            for age in fakes.ages(state):
+                assert age == pytest.approx(delay + 0.01, abs=0.001)
+            watcher.stop()
 
         virtual.run(main())
 
     @pytest.mark.parametrize("leads_at", [0.0, 5.0])
     def test_silent_watches(self, leads_at):
-        """Guards against a leader whose watches have fallen silent.
+        """Guards against a leader whose watches hang unnoticed.
 
-        It may have been a watcher with a long wait when they did.
+        They may have started with a long wait, before the VM led.
         """
         store = fakes.WatchedStore()
-        contact = 3.0
+        contact_seconds = 3.0
 
         async def main():
-            made, known, _ = _watching(store, fakes.target("a"))
-            made.rely_on_leader(False)
-            made.start()
+            watcher, state, _ = _watcher(store, fakes.target("a"))
+            watcher.rely_on_leader(False)
+            watcher.start()
             await asyncio.sleep(leads_at)
-            made.rely_on_leader(False, closely=True)
+            watcher.rely_on_leader(False, closely=True)
             await asyncio.sleep(0.5)
             store.silence()
-            await asyncio.sleep(contact)
+            await asyncio.sleep(contact_seconds)
             for _ in range(100):
-                assert max(fakes.ages(known)) < contact
+                assert max(fakes.ages(state)) < contact_seconds
                 await asyncio.sleep(0.1)
-            made.stop()
+            watcher.stop()
 
         virtual.run(main())
