--- a/packages/mimosastile-gateway/src/mimosastile_gateway/peers.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/peers.py
@@ -75,7 +75,7 @@
 over before the next ten look."""
 _HASH_RANGE = 1 << 32
 _MIN_EARLY_REPORT_SECONDS = 0.3
-"""Shortest time from a report to an early one, sent since a target is at
+"""Shortest time from a report to an early one, sent because a target is at
 capacity."""
 _FIND_LEADER_SECONDS = 2.0
 """Time without a leader after which a VM looks for one in the store, and
@@ -258,7 +258,7 @@
         self._beliefs.end_target(target.id, target.born)
 
     def turned_away(self, target: str) -> None:
-        """Records a request that was refused since a target is at capacity.
+        """Records a request that was refused because a target is full.
 
         Requests that are refused at once are in no queue; without this record
         the leader would not see the demand for the target.
@@ -480,10 +480,10 @@
             return
         leader = self._beliefs.leader
         if leader is not None and leader.vm != self._settings.vm.id:
-            sent_reply = await self._send_report(leader.address, report)
-            if sent_reply is not None:
-                self._take_reply(sent_reply)
-                if sent_reply.leading:
+            response = await self._send_report(leader.address, report)
+            if response is not None:
+                self._take_reply(response)
+                if response.leading:
                     return
         await self._without_leader()
 
@@ -800,7 +800,7 @@
             wait = self._take_over_wait(leader)
             if silent < limit + wait or await self._peers_reach(leader):
                 return
-        await self._take_over("leader reached by no peer")
+        await self._take_over("no leader reachable")
 
     async def _find_leader(self, silent: float) -> None:
         """Looks up a leader whose announcement has not reached this VM.
