--- a/packages/mimosastile-gateway/src/mimosastile_gateway/telling.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/dissemination.py
@@ -13,8 +13,8 @@
 from mimosastile_core.gateway import eligibility
 from mimosastile_core.gateway import leadership
 from mimosastile_core.gateway import limits
-from mimosastile_gateway import beliefs
 from mimosastile_gateway import clock
+from mimosastile_gateway import cluster_state
 from mimosastile_gateway import events
 from mimosastile_gateway import messages
 from mimosastile_gateway import peer_calls
@@ -102,7 +102,7 @@
         self.vms: list[_Vm] = []
 
 
-class Lacking(msgspec.Struct, frozen=True):
+class MissingUpdates(msgspec.Struct, frozen=True):
     """State that a VM is missing.
 
     Attributes:
@@ -113,9 +113,9 @@
 
     assignments: tuple[_Assignment, ...]
     differences: tuple[_Difference, ...]
-    news: messages.News | None
+    news: messages.StateUpdate | None
 
-    def urgent(self) -> "Lacking":
+    def urgent(self) -> "MissingUpdates":
         """Returns as much of this state as fits into a few packets.
 
         Registrations go first, then routes, then owners of keys.
@@ -125,7 +125,7 @@
         if news is not None:
             left -= len(news.targets)
             if left < 0:
-                return Lacking((), (), None)
+                return MissingUpdates((), (), None)
             change = news.change
             if change is not None and len(change.routes) > left:
                 change = None
@@ -138,7 +138,7 @@
             )
         spans = sum(len(d.spans) for d in self.differences)
         small = spans <= left
-        return Lacking((), self.differences if small else (), news)
+        return MissingUpdates((), self.differences if small else (), news)
 
     @property
     def nothing(self) -> bool:
@@ -146,7 +146,7 @@
         return not (self.assignments or self.differences or self.news)
 
 
-class Telling:
+class Disseminator:
     """Stores the VMs' reports and sends VMs updates of what they are missing.
 
     At most one update per VM is in flight; later changes go into the next one,
@@ -174,7 +174,7 @@
         here: str,
         zone: str,
         calls: peer_calls.PeerCalls,
-        known: beliefs.Beliefs,
+        known: cluster_state.ClusterState,
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
@@ -239,7 +239,7 @@
     def spread(
         self,
         gates: Mapping[str, str],
-        named: Mapping[str, limits.LimitNews],
+        named: Mapping[str, limits.LimitUpdate],
     ) -> None:
         """Sends all VMs the new admission gates of targets at once.
 
@@ -329,14 +329,14 @@
         while len(self._published) > _ASSIGNMENT_HISTORY_SIZE:
             del self._published[next(iter(self._published))]
 
-    def answer(self, report: messages.Report) -> Lacking:
+    def answer(self, report: messages.Report) -> MissingUpdates:
         """Returns the state that goes into the response to a VM's report.
 
         Usually that is none, which keeps responses small and fast: a VM whose
         leader responds slowly considers the leader lost.
         """
         vm = self._vms.get(report.vm.id)
-        nothing = Lacking((), (), None)
+        nothing = MissingUpdates((), (), None)
         if vm is None:
             return nothing
         if vm.missed:
@@ -348,13 +348,13 @@
             return self.lacking(report).urgent()
         return nothing
 
-    def lacking(self, report: messages.Report) -> Lacking:
+    def lacking(self, report: messages.Report) -> MissingUpdates:
         """Returns the state that a VM is missing according to its report."""
         whole, changed = self._newer_than(report.versions)
         news = self._beliefs.news_after(
             report.seen, report.configuration, report.evacuations
         )
-        return Lacking(whole, changed, news)
+        return MissingUpdates(whole, changed, news)
 
     def _newer_than(
         self, versions: Mapping[str, assignments.Version]
@@ -576,7 +576,7 @@
         # There may have been further changes in the meantime.
         self._update_due.set()
 
-    def _message(self, lacking: Lacking) -> bytes:
+    def _message(self, lacking: MissingUpdates) -> bytes:
         """Returns an encoded update, empty if nothing is missing."""
         if lacking.nothing:
             return b""
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/peers.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
@@ -9,29 +9,29 @@
 
 from mimosastile_core import quarantine
 from mimosastile_core.gateway import assignments
-from mimosastile_core.gateway import casualties
-from mimosastile_core.gateway import currency
+from mimosastile_core.gateway import crash_detection
 from mimosastile_core.gateway import directory
 from mimosastile_core.gateway import eligibility
+from mimosastile_core.gateway import freshness
 from mimosastile_core.gateway import leadership
+from mimosastile_core.gateway import load_balancing
 from mimosastile_core.gateway import ranges
-from mimosastile_core.gateway import room
-from mimosastile_gateway import admitting
-from mimosastile_gateway import beliefs
+from mimosastile_gateway import admission_service
 from mimosastile_gateway import clock
+from mimosastile_gateway import cluster_state
 from mimosastile_gateway import events
-from mimosastile_gateway import leading
+from mimosastile_gateway import leader_role
 from mimosastile_gateway import messages
 from mimosastile_gateway import peer_calls
 from mimosastile_gateway import ports
 from mimosastile_gateway import settings
-from mimosastile_gateway import turns
-from mimosastile_gateway import watching
+from mimosastile_gateway import store_watching
+from mimosastile_gateway import wait_queues
 
 _SESSION_SHARE = 0.3
 """Part of a session lease after which it is renewed; leaves time for two
 retries."""
-_CALL_TIMEOUT_SECONDS = leading.ANSWER_SECONDS
+_CALL_TIMEOUT_SECONDS = leader_role.ANSWER_SECONDS
 """Longest wait for a peer's response: sixteen round trips to the farthest
 region, or the retransmission of one lost packet."""
 _RELAY_TIMEOUT_SECONDS = 0.3
@@ -85,7 +85,7 @@
 leader, before it is replaced."""
 
 
-class Peers:
+class Membership:
     """Registers this VM, reports to the leader and replaces a failed leader."""
 
     __slots__ = (
@@ -140,13 +140,13 @@
         boot: str,
         store: ports.StorePort,
         calls: peer_calls.PeerCalls,
-        known: beliefs.Beliefs,
-        rooms: room.Rooms,
-        leader: leading.Leading,
-        queues: turns.Turns,
-        places: admitting.Admitting,
-        watcher: watching.Watching,
-        dead: casualties.Casualties,
+        known: cluster_state.ClusterState,
+        rooms: load_balancing.LoadBalancer,
+        leader: leader_role.LeaderRole,
+        queues: wait_queues.WaitQueues,
+        places: admission_service.AdmissionService,
+        watcher: store_watching.StoreWatcher,
+        dead: crash_detection.CrashDetector,
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
@@ -176,17 +176,17 @@
         self._keys: dict[str, list[int]] = collections.defaultdict(list)
         self._alive: set[str] = set()
         self._deaths: list[quarantine.Death] = []
-        self._ended: list[messages.Ended] = []
-        self._misses: list[messages.Miss] = []
+        self._ended: list[messages.EndedTarget] = []
+        self._misses: list[messages.OwnershipMiss] = []
         self._refused: collections.Counter[str] = collections.Counter()
         self._vms = 1
         self._vms_read_at = float("-inf")
         self._peers: tuple[messages.VmEntry, ...] = ()
         self._sent_factors: dict[str, float] = {}
         self._synced_leader: leadership.LeaderEntry | None = None
-        self._stamp: currency.Stamp | None = None
+        self._stamp: freshness.ClockOffset | None = None
         self._confirmed_leaving: dict[str, int] = {}
-        self._reported_leaving: dict[str, messages.Leaving] = {}
+        self._reported_leaving: dict[str, messages.LeavingTarget] = {}
         self._news_seen = 0
         self._news_version = -1
         self._news_evacuations = eligibility.Evacuations()
@@ -254,7 +254,7 @@
 
     def ended(self, target: directory.Target) -> None:
         """Records that another target responds at a target's address."""
-        self._ended.append(messages.Ended(target.id, target.born))
+        self._ended.append(messages.EndedTarget(target.id, target.born))
         self._beliefs.end_target(target.id, target.born)
 
     def turned_away(self, target: str) -> None:
@@ -286,14 +286,14 @@
     def missed(self, service: str, key: int, target: str) -> None:
         """Records that a target rejected a key that it should own."""
         if len(self._misses) < _KEYS_PER_REPORT:
-            self._misses.append(messages.Miss(service, key, target))
+            self._misses.append(messages.OwnershipMiss(service, key, target))
 
-    def heard(self) -> messages.Heard:
+    def heard(self) -> messages.LeaderContact:
         """Returns this VM's view of the leader, for a peer's query."""
         seconds = self._clock.now() - self._leader_seen_at
         if self._leader.leading:
             seconds = 0.0
-        return messages.Heard(
+        return messages.LeaderContact(
             self._beliefs.leader,
             seconds,
             tuple(self._beliefs.assignments.values()),
@@ -571,7 +571,7 @@
         )
         return seen, operated
 
-    def _unreported_leaving(self) -> tuple[messages.Leaving, ...]:
+    def _unreported_leaving(self) -> tuple[messages.LeavingTarget, ...]:
         """Returns leaving targets that were not reported to the leader yet.
 
         The next response to a report confirms that the leader received them.
@@ -594,7 +594,7 @@
         sent.update(changed)
         return changed
 
-    def _own_news(self) -> messages.News | None:
+    def _own_news(self) -> messages.StateUpdate | None:
         """Returns changes from the store that the leader is missing.
 
         A leader that is cut off from the store gets them from the VMs that it
@@ -702,7 +702,9 @@
         for death in reply.deaths:
             self._casualties.learn(death, now)
         if reply.stamp is not None:
-            self._stamp = currency.Stamp(reply.stamp, self._reported_at, now)
+            self._stamp = freshness.ClockOffset(
+                reply.stamp, self._reported_at, now
+            )
         if reply.leader != self._synced_leader:
             # A new leader has nothing of what its predecessor received.
             self._synced_leader = reply.leader
@@ -940,7 +942,7 @@
             or follows a later one.
         """
         try:
-            view = messages.decode(body, messages.Heard)
+            view = messages.decode(body, messages.LeaderContact)
         except msgspec.DecodeError as error:
             self._events.write("peers", "reply_unreadable", why=str(error))
             return False
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/messages.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/messages.py
@@ -26,7 +26,7 @@
 _Assignment = assignments.Assignment
 _Difference = assignments.Difference
 _Evacuations = eligibility.Evacuations
-_LimitUpdate = limits.LimitNews
+_LimitUpdate = limits.LimitUpdate
 _COMPRESS_FROM_BYTES = 600
 """Size in bytes from which a message is compressed; smaller ones fit into one
 packet anyway."""
@@ -78,7 +78,7 @@
         return -self.strength, int(self.store_seconds / _STORE_STEP_SECONDS)
 
 
-class TargetNews(msgspec.Struct, frozen=True, array_like=True):
+class TargetUpdate(msgspec.Struct, frozen=True, array_like=True):
     """A change of a target's registration.
 
     Attributes:
@@ -97,7 +97,7 @@
     age: float = 0.0
 
 
-class News(msgspec.Struct, frozen=True):
+class StateUpdate(msgspec.Struct, frozen=True):
     """Changes from the store that the receiving VM has not seen yet.
 
     Attributes:
@@ -112,13 +112,13 @@
 
     after: int
     revision: int
-    targets: tuple[TargetNews, ...] = ()
+    targets: tuple[TargetUpdate, ...] = ()
     configuration: routes.Configuration | None = None
     change: configurations.Change | None = None
     evacuations: _Evacuations | None = None
 
 
-class Miss(msgspec.Struct, frozen=True, array_like=True):
+class OwnershipMiss(msgspec.Struct, frozen=True, array_like=True):
     """A key that was rejected by the target recorded as its owner.
 
     Attributes:
@@ -132,7 +132,7 @@
     target: str
 
 
-class Ended(msgspec.Struct, frozen=True, array_like=True):
+class EndedTarget(msgspec.Struct, frozen=True, array_like=True):
     """A target's incarnation that has ended.
 
     Attributes:
@@ -144,7 +144,7 @@
     born: int
 
 
-class Leaving(msgspec.Struct, frozen=True, array_like=True):
+class LeavingTarget(msgspec.Struct, frozen=True, array_like=True):
     """A target's incarnation that announced its shutdown in a response.
 
     Attributes:
@@ -211,20 +211,20 @@
     factors: dict[str, float] = {}
     alive: tuple[str, ...] = ()
     deaths: tuple[quarantine.Death, ...] = ()
-    ended: tuple[Ended, ...] = ()
-    misses: tuple[Miss, ...] = ()
+    ended: tuple[EndedTarget, ...] = ()
+    misses: tuple[OwnershipMiss, ...] = ()
     versions: dict[str, assignments.Version] = {}
     seen: int = 0
     configuration: int = -1
     configuration_seen: int = 0
-    news: News | None = None
+    news: StateUpdate | None = None
     stopping: bool = False
     longer: float | None = None
     epoch: int = -1
     promised: float | None = None
     evacuations: _Evacuations = _Evacuations()
     limits: dict[str, _LimitUpdate] = {}
-    leaving: tuple[Leaving, ...] = ()
+    leaving: tuple[LeavingTarget, ...] = ()
     resting: dict[str, float] = {}
     seen_at: float | None = None
     configuration_at: float | None = None
@@ -275,7 +275,7 @@
     gates: dict[str, str] = {}
     assignments: tuple[_Assignment, ...] = ()
     differences: tuple[_Difference, ...] = ()
-    news: News | None = None
+    news: StateUpdate | None = None
     seen: int = 0
     configuration: int = -1
     configuration_seen: int = 0
@@ -286,13 +286,13 @@
     take_over: bool = False
     evacuations: _Evacuations = _Evacuations()
     limits: dict[str, _LimitUpdate] = {}
-    leaving: tuple[Leaving, ...] = ()
+    leaving: tuple[LeavingTarget, ...] = ()
     stamp: float | None = None
     seen_age: float | None = None
     configuration_age: float | None = None
 
 
-class Taken(msgspec.Struct, frozen=True):
+class UpdateAck(msgspec.Struct, frozen=True):
     """A VM's acknowledgement of an update from its leader.
 
     It is empty: the VM's next report carries the state of its view, and a
@@ -348,7 +348,7 @@
     promised: bool
 
 
-class Heard(msgspec.Struct, frozen=True):
+class LeaderContact(msgspec.Struct, frozen=True):
     """A VM's view of the leader.
 
     Attributes:
--- a/tests/gateway/test_beliefs.py
+++ b/tests/gateway/test_cluster_state.py
@@ -14,10 +14,12 @@
 
 
 def _update(after, revision, *targets):
-    return messages.News(
+    return messages.StateUpdate(
         after,
         revision,
-        tuple(messages.TargetNews(t, t.revision, False, 0.0) for t in targets),
+        tuple(
+            messages.TargetUpdate(t, t.revision, False, 0.0) for t in targets
+        ),
     )
 
 
@@ -52,7 +54,7 @@
             state.take_news(_update(5, 9, leaving))
             assert state.seen == 9
             status = state.directory.get("a").standing
-            assert status is directory.Standing.LEAVING
+            assert status is directory.TargetStatus.LEAVING
 
         _run(check)
 
@@ -64,10 +66,10 @@
 
         def check(state):
             change = configurations.Change(5, 6)
-            state.take_news(messages.News(0, 1, change=change))
+            state.take_news(messages.StateUpdate(0, 1, change=change))
             assert state.version == 1
             change = configurations.Change(1, 6)
-            state.take_news(messages.News(0, 1, change=change))
+            state.take_news(messages.StateUpdate(0, 1, change=change))
             assert state.version == 6
 
         _run(check)
--- a/tests/gateway/test_telling.py
+++ b/tests/gateway/test_dissemination.py
@@ -8,8 +8,8 @@
 from mimosastile_core.gateway import eligibility
 from mimosastile_core.gateway import leadership
 from mimosastile_core.gateway import routes
+from mimosastile_gateway import dissemination
 from mimosastile_gateway import messages
-from mimosastile_gateway import telling
 from mimosastile_standins import virtual
 from tests.gateway import fakes
 
@@ -67,7 +67,7 @@
         timer = fakes.VirtualClock()
         state = fakes.known(timer, fakes.Lines(), fakes.target("a"))
         calls = Calls()
-        sender = telling.Telling(
+        sender = dissemination.Disseminator(
             "vm-1", "z", calls, state, timer, fakes.Lines()
         )
         sender.begin(ENTRY)
--- a/tests/gateway/test_leaving_targets.py
+++ b/tests/gateway/test_leaving_targets.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from mimosastile_core.gateway import reported
+from mimosastile_core.gateway import target_feedback
 from mimosastile_standins import virtual
 from tests.gateway import fakes
 from tests.gateway import fleet
@@ -113,7 +113,9 @@
 
         async def scenario(cluster):
             target = cluster.owner()
-            cluster.orders.notices[target.id] = reported.Notice(leaving=True)
+            cluster.orders.notices[target.id] = target_feedback.TargetFeedback(
+                leaving=True
+            )
             await asyncio.sleep(3.0)
             assert cluster.owner() is not target
             response = await cluster.ask("vm-001", "/s", 0)
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_membership.py
@@ -6,16 +6,16 @@
 import msgspec
 import pytest
 
-from mimosastile_core.gateway import casualties
+from mimosastile_core.gateway import crash_detection
 from mimosastile_core.gateway import leadership
-from mimosastile_core.gateway import room
-from mimosastile_gateway import admitting
+from mimosastile_core.gateway import load_balancing
+from mimosastile_gateway import admission_service
 from mimosastile_gateway import datagrams
-from mimosastile_gateway import leading
+from mimosastile_gateway import leader_role
+from mimosastile_gateway import membership
 from mimosastile_gateway import messages
-from mimosastile_gateway import peers
-from mimosastile_gateway import turns
-from mimosastile_gateway import watching
+from mimosastile_gateway import store_watching
+from mimosastile_gateway import wait_queues
 from mimosastile_platform import records
 from mimosastile_standins import virtual
 from tests.gateway import fakes
@@ -44,7 +44,7 @@
             self.reports.append((virtual.now(), report))
             reply = messages.ReportReply(ENTRY, leading=True, store=True)
             return messages.encode(reply)
-        return messages.encode(messages.Taken())
+        return messages.encode(messages.UpdateAck())
 
 
 class Store(fakes.Store):
@@ -63,7 +63,7 @@
 def _member(configured, state, store, calls, timer, log):
     """Returns the membership of one VM."""
     vm = configured.vm.id
-    leader = leading.Leading(
+    leader = leader_role.LeaderRole(
         configured,
         f"boot-{vm}",
         store,
@@ -73,20 +73,26 @@
         timer,
         log,
     )
-    return peers.Peers(
+    return membership.Membership(
         configured,
         f"boot-{vm}",
         store,
         calls,
         state,
-        room.Rooms(room.Place("z", "r"), {"z": "r"}, room.Policy()),
+        load_balancing.LoadBalancer(
+            load_balancing.Location("z", "r"),
+            {"z": "r"},
+            load_balancing.Policy(),
+        ),
         leader,
-        turns.Turns(),
-        admitting.Admitting(configured, datagrams.Channel(log), state, timer),
-        watching.Watching(
+        wait_queues.WaitQueues(),
+        admission_service.AdmissionService(
+            configured, datagrams.Channel(log), state, timer
+        ),
+        store_watching.StoreWatcher(
             configured.store, store, records.Records(), state, timer, log
         ),
-        casualties.Casualties(),
+        crash_detection.CrashDetector(),
         timer,
         log,
     )
@@ -190,13 +196,13 @@
                 messages.ReportReply(ENTRY, leading=True, stamp=100.01)
             )
             await asyncio.sleep(1.0)
-            leaving = messages.TargetNews(
+            leaving = messages.TargetUpdate(
                 fakes.target("a", leaving=True, revision=7), 7, False, 0.0, 0.2
             )
             update = messages.ReportReply(
                 ENTRY,
                 leading=True,
-                news=messages.News(0, 7, (leaving,)),
+                news=messages.StateUpdate(0, 7, (leaving,)),
                 stamp=101.01,
             )
             changed_at = virtual.now() - 0.2
@@ -365,7 +371,7 @@
             return None
         if path == messages.ASSIGN_PATH:
             other.take_push(messages.decode(body, messages.ReportReply))
-            return messages.encode(messages.Taken())
+            return messages.encode(messages.UpdateAck())
         if path == messages.REPORT_PATH:
             report = messages.decode(body, messages.Report)
             return messages.encode(other._leader.take_report(report))
