--- a/packages/mimosastile-gateway/src/mimosastile_gateway/candidates.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/candidates.py
@@ -204,13 +204,13 @@
         wait = self._cold_wait(target, call)
         if self._beliefs.limits.any:
             wait = max(wait, self._limit_wait(target))
-        if self._beliefs.rests.any:
+        if self._beliefs.backoffs.any:
             wait = max(wait, self.rest_wait(target))
         return wait
 
     def rest_wait(self, target: directory.Target) -> float:
         """Returns for how many seconds a target wants nothing from this VM."""
-        rests = self._beliefs.rests
+        rests = self._beliefs.backoffs
         return rests.left(target.id, target.born, self._clock.now())
 
     def _limit_wait(self, target: directory.Target) -> float:
@@ -311,7 +311,7 @@
         if why is None:
             return None
         evacuated = why is eligibility.Exclusion.EVACUATED
-        if evacuated and self._beliefs.able_owners(call.service):
+        if evacuated and self._beliefs.eligible_owners(call.service):
             return None
         return _no_place(f"{owner.id} in {owner.zone} is {why.value}")
 
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/cluster_state.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/cluster_state.py
@@ -72,14 +72,14 @@
             request.
         evacuations: Zones that are evacuated.
         limits: Rate limits that targets have set for all VMs together.
-        rests: Backoffs that targets have requested from this VM.
+        backoffs: Backoffs that targets have requested from this VM.
         seen: Store revision up to which all registrations are included.
         configuration_seen: Store revision up to which the configuration in
             force and the evacuations are the newest.
-        registrations: Latest time at which the directory is proven to have
-            held all registrations.
-        operated: Latest time at which the configuration in force and the
-            evacuations are proven to have been the newest.
+        registrations_freshness: Latest time at which the directory is proven
+            to have held all registrations.
+        configuration_freshness: Latest time at which the configuration in
+            force and the evacuations are proven to have been the newest.
         store_ok: Whether the last call to the store succeeded.
         store_since: Loop time since which `store_ok` has its value, None
             before the first response.
@@ -96,6 +96,8 @@
         "_subscribers",
         "_vacancies",
         "assignments",
+        "backoffs",
+        "configuration_freshness",
         "configuration_seen",
         "directory",
         "eligibility",
@@ -103,9 +105,7 @@
         "leader",
         "leader_since",
         "limits",
-        "operated",
-        "registrations",
-        "rests",
+        "registrations_freshness",
         "route_table",
         "seen",
         "shares",
@@ -143,11 +143,11 @@
         self.eligibility = eligibility.Eligibility(configured.vm.regions)
         self._evacuation_began: dict[str, float] = {}
         self.limits = limits.TargetLimits(configured.vm.id)
-        self.rests = backoffs.Backoffs()
+        self.backoffs = backoffs.Backoffs()
         self.seen = 0
         self.configuration_seen = 0
-        self.registrations = freshness.Freshness()
-        self.operated = freshness.Freshness()
+        self.registrations_freshness = freshness.Freshness()
+        self.configuration_freshness = freshness.Freshness()
         self.leader: leadership.LeaderEntry | None = None
         self.leader_since = 0.0
         self.vms: dict[str, messages.VmEntry] = {}
@@ -190,7 +190,7 @@
         for callback in self._subscribers:
             callback()
 
-    def take_configuration(
+    def apply_configuration(
         self, new: routes.Configuration, source: str = ""
     ) -> bool:
         """Applies a configuration unless a newer one is in force.
@@ -218,7 +218,7 @@
         self.signal()
         return True
 
-    def take_evacuations(self, new: eligibility.Evacuations) -> None:
+    def apply_evacuations(self, new: eligibility.Evacuations) -> None:
         """Applies the evacuated zones unless the current ones are newer."""
         current = self.evacuations
         if new.revision <= current.revision:
@@ -304,7 +304,9 @@
             if entry.warm_in(now) > 0 and entry.target.service in bounded
         ]
 
-    def able_owners(self, service: routes.Service) -> list[directory.Target]:
+    def eligible_owners(
+        self, service: routes.Service
+    ) -> list[directory.Target]:
         """Returns the targets of a service that should own its keys.
 
         Cold targets are included only if there are no others: a cold target
@@ -324,7 +326,7 @@
         warm = [t for t in eligible if not self.directory.warm_in(t.id, now)]
         return warm or eligible
 
-    def take_vms(self, items: Iterable[ports.Item]) -> None:
+    def replace_vms(self, items: Iterable[ports.Item]) -> None:
         """Replaces the list of registered VMs."""
         self.vms = {entry.id: entry for entry in self.read_vms(items)}
 
@@ -342,11 +344,11 @@
                 )
         return vms
 
-    def take_target(self, target: directory.Target) -> None:
+    def apply_registration(self, target: directory.Target) -> None:
         """Applies a target's registration."""
-        self.take_registrations((target,))
+        self.apply_registrations((target,))
 
-    def take_registrations(
+    def apply_registrations(
         self,
         targets: Iterable[directory.Target],
         vanished: Iterable[tuple[str, int]] = (),
@@ -427,7 +429,7 @@
                 known=newer.born,
             )
 
-    def hear_notice(
+    def apply_feedback(
         self,
         target: directory.Target,
         notice: target_feedback.TargetFeedback,
@@ -447,12 +449,12 @@
         is_new = False
         lifts = not notice.names_limit and sent_at > -math.inf
         if notice.limit is not None or lifts:
-            is_new = self.hear_limit(target, notice.limit, sent_at)
+            is_new = self.apply_limit(target, notice.limit, sent_at)
         if notice.leaving:
-            is_new = self.hear_leaving(target) or is_new
+            is_new = self.apply_leaving(target) or is_new
         return is_new
 
-    def hear_limit(
+    def apply_limit(
         self, target: directory.Target, rate: float | None, sent_at: float
     ) -> bool:
         """Applies the rate limit that a target's response set or left out.
@@ -473,7 +475,7 @@
         self.signal()
         return True
 
-    def learn_limits(self, received: Mapping[str, limits.LimitUpdate]) -> None:
+    def merge_limits(self, received: Mapping[str, limits.LimitUpdate]) -> None:
         """Applies limits of targets that other VMs have received."""
         now = self._clock.now()
         changed = [
@@ -504,7 +506,7 @@
             if entry and self.limits.pace(entry.target.id, entry.target.born)
         ]
 
-    def hear_leaving(self, target: directory.Target) -> bool:
+    def apply_leaving(self, target: directory.Target) -> bool:
         """Applies a target's announcement of its shutdown in a response.
 
         Returns:
@@ -517,7 +519,7 @@
         self.signal()
         return True
 
-    def learn_leaving(self, received: Iterable[messages.LeavingTarget]) -> None:
+    def merge_leaving(self, received: Iterable[messages.LeavingTarget]) -> None:
         """Applies shutdowns that targets have announced to other VMs."""
         now = self._clock.now()
         new = [
@@ -543,7 +545,7 @@
             source=source,
         )
 
-    def leaving_news(self) -> dict[str, messages.LeavingTarget]:
+    def announced_leaving(self) -> dict[str, messages.LeavingTarget]:
         """Returns the shutdowns that targets have announced, by target."""
         now = self._clock.now()
         return {
@@ -556,7 +558,7 @@
             if entry.announced_at is not None
         }
 
-    def hear_rest(self, target: directory.Target, seconds: float) -> None:
+    def apply_backoff(self, target: directory.Target, seconds: float) -> None:
         """Applies a backoff that a target requested from this VM.
 
         Args:
@@ -564,16 +566,16 @@
             seconds: Duration of the backoff.
         """
         now = self._clock.now()
-        self.rests.ask(target.id, target.born, seconds, now)
+        self.backoffs.ask(target.id, target.born, seconds, now)
         self._events.write(
             "targets", "rest_asked", target=target.id, seconds=seconds
         )
 
-    def lose_target(self, target: str, revision: int = 0) -> None:
+    def remove_target(self, target: str, revision: int = 0) -> None:
         """Records that a target's registration was removed."""
-        self.take_registrations((), ((target, revision),))
+        self.apply_registrations((), ((target, revision),))
 
-    def end_target(self, target: str, born: int) -> None:
+    def end_incarnation(self, target: str, born: int) -> None:
         """Records the proof that an incarnation of a target has ended."""
         if self.directory.end(target, born, self._clock.now()):
             self._events.write(
@@ -581,7 +583,7 @@
             )
             self.signal()
 
-    def take_targets(
+    def replace_targets(
         self, targets: list[directory.Target], revision: int = 0
     ) -> None:
         """Replaces all targets by a list, as of a revision of the store."""
@@ -592,8 +594,8 @@
             targets,
             now,
             revision,
-            self.registrations.at,
-            self.vanished_since(self.registrations.at),
+            self.registrations_freshness.at,
+            self.removed_since(self.registrations_freshness.at),
         )
         self.seen = max(self.seen, revision)
         self.directory.forget(now, _REMOVED_TARGET_RETENTION_SECONDS)
@@ -609,7 +611,7 @@
             )
             self.signal()
 
-    def take_assignment(self, new: assignments.Assignment) -> bool:
+    def apply_assignment(self, new: assignments.Assignment) -> bool:
         """Applies an assignment of keys unless the current one is newer.
 
         Returns:
@@ -623,16 +625,16 @@
         self.signal()
         return True
 
-    def take_difference(self, difference: assignments.Difference) -> None:
+    def apply_difference(self, difference: assignments.Difference) -> None:
         """Applies a change of an assignment if it fits the current one."""
         current = self.assignments.get(difference.service)
         if current is None or difference.version <= current.version:
             return
         updated = assignments.apply(current, difference)
         if updated is not None:
-            self.take_assignment(updated)
+            self.apply_assignment(updated)
 
-    def news_after(
+    def updates_after(
         self,
         seen: int,
         configuration: int,
@@ -679,7 +681,7 @@
             current if moved else None,
         )
 
-    def take_news(
+    def apply_update(
         self, news: messages.StateUpdate, made_at: float | None = None
     ) -> None:
         """Applies changes that another VM has received from the store.
@@ -692,16 +694,16 @@
         now = self._clock.now()
         made_at = now if made_at is None else min(made_at, now)
         if news.evacuations is not None:
-            self.take_evacuations(news.evacuations)
+            self.apply_evacuations(news.evacuations)
         if news.configuration is not None:
-            self.take_configuration(news.configuration, "leader")
+            self.apply_configuration(news.configuration, "leader")
         if news.change is not None and self.configuration is not None:
             # A change relative to another version than the current one is
             # skipped; the next report names the current version.
             updated = configurations.apply(self.configuration, news.change)
             if updated is not None:
-                self.take_configuration(updated, "leader")
-        self.take_registrations(
+                self.apply_configuration(updated, "leader")
+        self.apply_registrations(
             (
                 msgspec.structs.replace(
                     item.target, warm_at=now + item.warm_left
@@ -721,7 +723,7 @@
             # them until this VM reports a revision that covers them.
             self.seen = max(self.seen, news.revision)
 
-    def note_views(
+    def record_peer_views(
         self,
         seen: int,
         seen_at: float | None,
@@ -744,19 +746,19 @@
                 evacuations were the newest, None if unknown.
         """
         if seen_at is not None and seen <= self.seen:
-            self.registrations.note(seen_at)
+            self.registrations_freshness.note(seen_at)
         current = self.evacuations
         same = evacuations.zones == current.zones
         covered = configuration <= self.version and (
             same or evacuations.revision <= current.revision
         )
         if configuration_at is not None and covered:
-            self.operated.note(configuration_at)
+            self.configuration_freshness.note(configuration_at)
 
     @property
     def registrations_age(self) -> float | None:
         """Seconds since the directory was complete, None if it never was."""
-        return self.registrations.age(self._clock.now())
+        return self.registrations_freshness.age(self._clock.now())
 
     @property
     def configuration_age(self) -> float | None:
@@ -764,9 +766,9 @@
 
         None if they never were.
         """
-        return self.operated.age(self._clock.now())
+        return self.configuration_freshness.age(self._clock.now())
 
-    def vanished_since(self, since: float | None) -> float | None:
+    def removed_since(self, since: float | None) -> float | None:
         """Returns the earliest time of removals found now, None for now.
 
         During an outage of the store, registrations of healthy targets expire
@@ -793,7 +795,7 @@
         if version == self.version and zones == self.evacuations.zones:
             self.configuration_seen = max(self.configuration_seen, revision)
 
-    def take_leader(self, new: leadership.LeaderEntry) -> bool:
+    def record_leader(self, new: leadership.LeaderEntry) -> bool:
         """Records a leader if its epoch is later than the current one's.
 
         Returns:
@@ -813,7 +815,7 @@
         )
         return True
 
-    def note_store(self, *, ok: bool, why: str = "") -> None:
+    def record_store_call(self, *, ok: bool, why: str = "") -> None:
         """Records whether a call to the store succeeded."""
         now = self._clock.now()
         if not ok:
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/daemon.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/daemon.py
@@ -236,7 +236,7 @@
         """Begins to listen and to learn."""
         vm = self._settings.vm
         inner = await self._inner.listen(vm.peers)
-        self._peers.listens_on(inner)
+        self._peers.set_address(inner)
         try:
             await self._channel.open(inner, self._admitting.receive)
         except OSError as error:
@@ -481,14 +481,14 @@
             return self._leading.take_report(report)
         if path == messages.ASSIGN_PATH:
             told = messages.decode(body, messages.ReportReply)
-            self._peers.take_push(told)
+            self._peers.apply_push(told)
             return messages.UpdateAck()
         if path == messages.RELAY_PATH:
             return await self._peers.relay(
                 messages.decode(body, messages.Relay)
             )
-        if path == messages.HEARD_PATH:
-            return self._peers.heard()
+        if path == messages.LEADER_CONTACT_PATH:
+            return self._peers.leader_contact()
         if path == messages.EXTEND_PATH:
             return await self._leading.witness.answer(
                 messages.decode(body, messages.ExtensionRequest)
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/dispatching.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/dispatching.py
@@ -348,7 +348,7 @@
                 return None
             call.place = entered
             return result.Ok(self._begin(call, target))
-        self._peers.turned_away(target.id)
+        self._peers.record_refusal(target.id)
         wait = self._relieved(call, target, entered.seconds)
         wait = max(wait, self._settings.requests.retry_after_least)
         kind = errors.ErrorKind.OVERLOADED
@@ -455,7 +455,7 @@
         kind = errors.ErrorKind.OVERLOADED
         owner = self._candidates.owner(call) if call.key is not None else None
         if owner is not None:
-            self._peers.turned_away(owner.id)
+            self._peers.record_refusal(owner.id)
         wait = min(choice.seconds * (ahead + 1), _LATEST_SECONDS)
         if owner is not None:
             wait = self._relieved(call, owner, wait)
@@ -477,7 +477,7 @@
             if wait:
                 return target.id, load_balancing.Choice(None, wait)
             if self._rooms.full_owner(target, self._peers.count, now):
-                self._peers.hurry()
+                self._peers.report_early()
                 seconds = self._rooms.turn_seconds(
                     target, call.route.name, call.guess
                 )
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/dissemination.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/dissemination.py
@@ -24,7 +24,7 @@
 _Difference = assignments.Difference
 _Evacuations = eligibility.Evacuations
 
-REPORT_FRESH = 1.5
+REPORT_MAX_AGE_SECONDS = 1.5
 """Age in seconds up to which a VM's report is valid."""
 _BATCH_SECONDS = 0.02
 """Time over which changes are gathered before an update is sent: the grants of
@@ -224,7 +224,7 @@
             if vm.id != self._here:
                 self._start(self._announce(vm, body))
 
-    def ask_to_lead(self, vms: Iterable[messages.VmEntry]) -> None:
+    def request_take_over(self, vms: Iterable[messages.VmEntry]) -> None:
         """Requests VMs at once to take over as the leader.
 
         Args:
@@ -236,7 +236,7 @@
         for vm in vms:
             self._start(self._announce(vm, body))
 
-    def spread(
+    def send_gates(
         self,
         gates: Mapping[str, str],
         named: Mapping[str, limits.LimitUpdate],
@@ -324,7 +324,7 @@
         current = self._beliefs.assignments.get(present.service)
         if current is not None and assignments.same(current, present):
             return
-        self._beliefs.take_assignment(present)
+        self._beliefs.apply_assignment(present)
         self._published[present.service, present.version] = present
         while len(self._published) > _ASSIGNMENT_HISTORY_SIZE:
             del self._published[next(iter(self._published))]
@@ -351,7 +351,7 @@
     def lacking(self, report: messages.Report) -> MissingUpdates:
         """Returns the state that a VM is missing according to its report."""
         whole, changed = self._newer_than(report.versions)
-        news = self._beliefs.news_after(
+        news = self._beliefs.updates_after(
             report.seen, report.configuration, report.evacuations
         )
         return MissingUpdates(whole, changed, news)
@@ -518,7 +518,7 @@
 
     def _reports(self, vm: _Vm) -> bool:
         """Whether a VM's last report is still valid."""
-        return self._clock.now() - vm.at < REPORT_FRESH
+        return self._clock.now() - vm.at < REPORT_MAX_AGE_SECONDS
 
     def _log_missed(self, batch: _Batch, missed: Collection[_Vm]) -> None:
         """Logs that an update for a zone has not reached all its VMs."""
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
@@ -147,7 +147,7 @@
         """Answers a caller's request."""
         call = self._classify(incoming)
         if _is_unrouted(call) and not self._configuration_is_new():
-            await self._peers.ask_leader(_ASK_SECONDS)
+            await self._peers.report_and_wait(_ASK_SECONDS)
             call = self._classify(incoming)
             if _is_unrouted(call) and not self._configuration_is_new():
                 call = errors.failed(errors.ErrorKind.CONFIGURATION_OLD)
@@ -237,7 +237,7 @@
         key = incoming.header(names.key)
         if service.keyed and _is_key(key):
             call.key = int(key or b"0")
-            self._peers.asked(service.name, call.key)
+            self._peers.record_request(service.name, call.key)
         call.head = [
             name + b": " + value
             for name, value in incoming.headers
@@ -361,7 +361,7 @@
             target.id, now, self._clock.new_id()
         )
         if deaths:
-            self._peers.died(deaths)
+            self._peers.record_crashes(deaths)
             self._events.write(
                 "requests",
                 "target_died",
@@ -483,10 +483,10 @@
         sealed = reply.header(self._names.seal) is not None
         # Only an answer of the target's own work shows that it has no limit.
         sent_at = sent_at if sealed else -math.inf
-        if self._beliefs.hear_notice(target, notice, sent_at):
-            self._peers.hurry()
+        if self._beliefs.apply_feedback(target, notice, sent_at):
+            self._peers.report_early()
         if reply.status == _TURNED_AWAY and notice.rest:
-            self._beliefs.hear_rest(target, notice.rest)
+            self._beliefs.apply_backoff(target, notice.rest)
         for name, value in notice.unreadable:
             self._events.write(
                 "targets",
@@ -536,7 +536,7 @@
         load = self._rooms.load(target.id)
         if isinstance(sent, result.Ok):
             self._casualties.answered(target.id)
-            self._peers.answered(target.id)
+            self._peers.record_response(target.id)
             answer = sent.ok_value
             if answer.status < 500 and answer.rest is None:
                 self._rooms.answered(
@@ -553,17 +553,17 @@
             return
         failure = sent.err_value
         if failure.kind is errors.ErrorKind.TARGET_REPLACED:
-            self._peers.ended(target)
+            self._peers.record_end(target)
         elif failure.kind is errors.ErrorKind.WRONG_FENCE:
             call.rejects += 1
             if call.key is not None:
-                self._peers.missed(call.service.name, call.key, target.id)
+                self._peers.record_miss(call.service.name, call.key, target.id)
             else:
                 load.failed(now)
         elif failure.kind is not errors.ErrorKind.UNREACHABLE:
             load.failed(now)
         if call.key is not None and failure.kind in _CROWDED:
-            self._peers.turned_away(target.id)
+            self._peers.record_refusal(target.id)
         if failure.kind is errors.ErrorKind.ANSWER_LOST:
             self._casualties.lost(target.id, call.fingerprint, now)
         self._events.write(
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/grant_reconciliation.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/grant_reconciliation.py
@@ -381,7 +381,7 @@
         """Takes what an owner says of itself; callers may ask it nothing."""
         entry = self._beliefs.directory.get(holder.id)
         if entry is not None and entry.target.born == holder.born:
-            self._beliefs.hear_notice(entry.target, notice)
+            self._beliefs.apply_feedback(entry.target, notice)
 
     async def _grant(
         self, holder: ranges.Holder, owner: _Owner, state: _State
@@ -435,7 +435,7 @@
             owner.refused = owner.refused or current
         if failure.kind is errors.ErrorKind.TARGET_REPLACED:
             exposure.until = now
-            self._beliefs.end_target(holder.id, holder.born)
+            self._beliefs.end_incarnation(holder.id, holder.born)
         owner.failures += 1
         owner.failing_since = (
             sent if owner.failing_since is None else owner.failing_since
@@ -536,7 +536,7 @@
                     how = "released"
                     break
                 if answer.err_value.kind is errors.ErrorKind.TARGET_REPLACED:
-                    self._beliefs.end_target(holder.id, holder.born)
+                    self._beliefs.end_incarnation(holder.id, holder.born)
                 left = lapse - self._clock.boot()
                 await asyncio.sleep(min(max(left, 0.0), _RETRY_SECONDS))
             else:
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/leader_role.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/leader_role.py
@@ -150,7 +150,7 @@
         self._serial = 0
         self._publishing: asyncio.TimerHandle | None = None
         self._published_at = float("-inf")
-        self._demand = demand.Demand(dissemination.REPORT_FRESH)
+        self._demand = demand.Demand(dissemination.REPORT_MAX_AGE_SECONDS)
         self._gates_at = float("-inf")
         self._gates_chosen: dict[str, str] = {}
         self._watchers_at = float("-inf")
@@ -224,14 +224,14 @@
         read = await self._store.read(messages.LEADER_KEY)
         if isinstance(read, result.Err):
             # A leader that is cut off as well then asks another VM.
-            self._beliefs.note_store(ok=False, why=read.err_value.detail)
+            self._beliefs.record_store_call(ok=False, why=read.err_value.detail)
             return False
         former = read.ok_value
         known = self._decoded(former, leadership.LeaderEntry)
         believed = self._beliefs.leader
         if known and believed and known.epoch > believed.epoch:
             # Somebody was faster.
-            self._beliefs.take_leader(known)
+            self._beliefs.record_leader(known)
             return False
         epoch = max(
             known.epoch if known else 0, believed.epoch if believed else 0
@@ -324,7 +324,7 @@
         self._has_led = True
         self._revision = revision
         self._planner = self._new_planner()
-        self._demand = demand.Demand(dissemination.REPORT_FRESH)
+        self._demand = demand.Demand(dissemination.REPORT_MAX_AGE_SECONDS)
         self._succession.clear()
         self._store_failing_since = None
         self._started = now
@@ -365,7 +365,7 @@
         for key, item in items.items():
             if key.startswith(messages.TABLE_PREFIX):
                 self._load(item)
-        self._beliefs.take_leader(entry)
+        self._beliefs.record_leader(entry)
         self._tasks = [
             asyncio.create_task(self._plan_on(), name="plan"),
             asyncio.create_task(self._confirm_on(), name="confirm"),
@@ -384,7 +384,7 @@
             await asyncio.sleep(pause)
             listed = await self._store.list(messages.VM_PREFIX, stale=True)
             if isinstance(listed, result.Ok):
-                self._beliefs.take_vms(listed.ok_value.items)
+                self._beliefs.replace_vms(listed.ok_value.items)
                 fresh = self._telling.fresh()
                 self._telling.announce(
                     vm
@@ -491,21 +491,21 @@
             witness = lease_extension.Witness(vm.id, vm.boot)
             self._formers.testify(witness, report.promised, boot)
         if report.news is not None:
-            self._beliefs.take_news(report.news)
+            self._beliefs.apply_update(report.news)
         self._beliefs.confirm_configuration(
             report.configuration,
             report.configuration_seen,
             report.evacuations.zones,
         )
-        self._beliefs.note_views(
+        self._beliefs.record_peer_views(
             report.seen,
             report.seen_at,
             report.configuration,
             report.evacuations,
             report.configuration_at,
         )
-        self._beliefs.learn_limits(report.limits)
-        self._beliefs.learn_leaving(report.leaving)
+        self._beliefs.merge_limits(report.limits)
+        self._beliefs.merge_leaving(report.leaving)
         self._planner.learn(report)
         for service, keys in report.keys.items():
             keyed = self._services.get(service)
@@ -517,7 +517,7 @@
         for death in report.deaths:
             self._casualties.learn(death, now)
         for ended in report.ended:
-            self._beliefs.end_target(ended.target, ended.born)
+            self._beliefs.end_incarnation(ended.target, ended.born)
         for miss in report.misses:
             keyed = self._services.get(miss.service)
             if keyed is not None:
@@ -549,7 +549,7 @@
             limits=self._beliefs.limits.news(now),
             leaving=tuple(
                 run
-                for run in self._beliefs.leaving_news().values()
+                for run in self._beliefs.announced_leaving().values()
                 if run.age < _LEAVING_TOLD
             ),
             stamp=now,
@@ -585,7 +585,7 @@
             new = self._gates_chosen.keys() - known.keys()
             if new:
                 # Until a VM hears of it, it sends to a full target.
-                self._telling.spread(
+                self._telling.send_gates(
                     {name: self._gates_chosen[name] for name in new},
                     self._beliefs.limits.news(now),
                 )
@@ -716,14 +716,14 @@
         if isinstance(read, result.Err):
             self._store_failed(read.err_value, asked)
             return
-        self._beliefs.note_store(ok=True)
+        self._beliefs.record_store_call(ok=True)
         self._store_failing_since = None
         self._succession.clear()
         self._authority.replaceable = False
         entry = self._decoded(read.ok_value, leadership.LeaderEntry)
         if entry is None or entry != self._entry:
             if entry is not None:
-                self._beliefs.take_leader(entry)
+                self._beliefs.record_leader(entry)
             self.step_down("the store names another leader")
             return
         self._authority.confirm(asked)
@@ -731,7 +731,7 @@
     def _store_failed(self, failure: errors.Failure, asked: float) -> None:
         """Notes that a call to the store that began at `asked` has failed."""
         now = self._clock.boot()
-        self._beliefs.note_store(ok=False, why=failure.detail)
+        self._beliefs.record_store_call(ok=False, why=failure.detail)
         if self._store_failing_since is None:
             self._store_failing_since = asked
         self._ask_witnesses()
@@ -757,7 +757,7 @@
         asked = self._succession.next(
             [vm.id for vm in able], self._clock.boot()
         )
-        self._telling.ask_to_lead(vm for vm in able if vm.id in asked)
+        self._telling.request_take_over(vm for vm in able if vm.id in asked)
         return asked
 
     def _able(self) -> list[messages.VmEntry]:
@@ -790,7 +790,7 @@
 
     async def _plan_service(self, service: routes.Service) -> None:
         now = self._clock.now()
-        targets = self._beliefs.able_owners(service)
+        targets = self._beliefs.eligible_owners(service)
         keyed = self._services.get(service.name)
         if keyed is None:
             await self._first_table(service.name, targets, now)
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/load_probing.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/load_probing.py
@@ -111,7 +111,7 @@
                 target.id, report.cold_seconds, self._clock.now()
             )
         notice = report.notice
-        self._beliefs.hear_notice(target, notice)
+        self._beliefs.apply_feedback(target, notice)
         if notice.load is None:
             return False
         self._rooms.learn_load(target, notice.load)
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
@@ -212,7 +212,7 @@
         """Number of VMs that share the load, as far as known; at least 1."""
         return max(len(self._beliefs.vms), self._vms, 1)
 
-    def listens_on(self, address: str) -> None:
+    def set_address(self, address: str) -> None:
         """Sets the address on which this VM listens for its peers."""
         self._address = address
         self._leader.address = address
@@ -238,35 +238,35 @@
         if self._session:
             await self._store.end_session(self._session)
 
-    def asked(self, service: str, key: int) -> None:
+    def record_request(self, service: str, key: int) -> None:
         """Records a request for a key."""
         keys = self._keys[service]
         if len(keys) < _KEYS_PER_REPORT:
             keys.append(key)
 
-    def answered(self, target: str) -> None:
+    def record_response(self, target: str) -> None:
         """Records that a target responds."""
         self._alive.add(target)
 
-    def died(self, deaths: list[quarantine.Death]) -> None:
+    def record_crashes(self, deaths: list[quarantine.Death]) -> None:
         """Records confirmed crashes of targets."""
         self._deaths.extend(deaths)
 
-    def ended(self, target: directory.Target) -> None:
+    def record_end(self, target: directory.Target) -> None:
         """Records that another target responds at a target's address."""
         self._ended.append(messages.EndedTarget(target.id, target.born))
-        self._beliefs.end_target(target.id, target.born)
+        self._beliefs.end_incarnation(target.id, target.born)
 
-    def turned_away(self, target: str) -> None:
+    def record_refusal(self, target: str) -> None:
         """Records a request that was refused because a target is full.
 
         Requests that are refused at once are in no queue; without this record
         the leader would not see the demand for the target.
         """
         self._refused[target] += 1
-        self.hurry()
+        self.report_early()
 
-    def hurry(self) -> None:
+    def report_early(self) -> None:
         """Triggers an early report.
 
         Used when a target without an admission gate is at capacity.
@@ -274,21 +274,21 @@
         if self._clock.now() - self._reported_at > _MIN_EARLY_REPORT_SECONDS:
             self._report_due.set()
 
-    async def ask_leader(self, seconds: float) -> None:
+    async def report_and_wait(self, seconds: float) -> None:
         """Triggers an early report and waits for the leader's response.
 
         Args:
             seconds: Longest wait.
         """
-        self.hurry()
+        self.report_early()
         await clock.wait(self._leader_responded, seconds)
 
-    def missed(self, service: str, key: int, target: str) -> None:
+    def record_miss(self, service: str, key: int, target: str) -> None:
         """Records that a target rejected a key that it should own."""
         if len(self._misses) < _KEYS_PER_REPORT:
             self._misses.append(messages.OwnershipMiss(service, key, target))
 
-    def heard(self) -> messages.LeaderContact:
+    def leader_contact(self) -> messages.LeaderContact:
         """Returns this VM's view of the leader, for a peer's query."""
         seconds = self._clock.now() - self._leader_seen_at
         if self._leader.leading:
@@ -320,14 +320,14 @@
             made_at: Time at or before which the leader made it, None if
                 unknown.
         """
-        self._beliefs.learn_limits(reply.limits)
-        self._beliefs.learn_leaving(reply.leaving)
+        self._beliefs.merge_limits(reply.limits)
+        self._beliefs.merge_leaving(reply.leaving)
         for assignment in reply.assignments:
-            self._beliefs.take_assignment(assignment)
+            self._beliefs.apply_assignment(assignment)
         for difference in reply.differences:
-            self._beliefs.take_difference(difference)
+            self._beliefs.apply_difference(difference)
         if reply.news is not None:
-            self._beliefs.take_news(reply.news, made_at)
+            self._beliefs.apply_update(reply.news, made_at)
 
     # Registration.
 
@@ -354,7 +354,7 @@
         if self._session:
             kept = await self._store.keep_session(self._session)
             if isinstance(kept, result.Ok):
-                self._beliefs.note_store(ok=True)
+                self._beliefs.record_store_call(ok=True)
                 return True
             if isinstance(kept.err_value, ports.SessionLost):
                 self._events.write(
@@ -362,7 +362,9 @@
                 )
                 self._session = 0
             else:
-                self._beliefs.note_store(ok=False, why=kept.err_value.detail)
+                self._beliefs.record_store_call(
+                    ok=False, why=kept.err_value.detail
+                )
             return False
         requested_at = self._clock.now()
         opened = await self._store.open_session(self._settings.store.session)
@@ -396,9 +398,11 @@
         """
         listed = await self._store.list(messages.STORE_PREFIX)
         if isinstance(listed, result.Err):
-            self._beliefs.note_store(ok=False, why=listed.err_value.detail)
+            self._beliefs.record_store_call(
+                ok=False, why=listed.err_value.detail
+            )
             return False
-        self._beliefs.note_store(ok=True)
+        self._beliefs.record_store_call(ok=True)
         for item in listed.ok_value.items:
             self._take_item(item)
         return True
@@ -424,7 +428,7 @@
                 return
         listed = await self._store.list(messages.VM_PREFIX, stale=True)
         if isinstance(listed, result.Ok):
-            self._beliefs.take_vms(listed.ok_value.items)
+            self._beliefs.replace_vms(listed.ok_value.items)
             registered = self._beliefs.vms.values()
             self._peers = tuple(vm for vm in registered if vm.id != here)
 
@@ -438,7 +442,7 @@
             elif item.key.startswith(messages.TABLE_PREFIX):
                 table = messages.decode(item.value, ranges.RangeTable)
                 pieces = {part.piece for part in table.ranges}
-                self._beliefs.take_assignment(
+                self._beliefs.apply_assignment(
                     assignments.of_table(table, (0, table.version), pieces)
                 )
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -448,7 +452,7 @@
 
     def _take_leader(self, entry: leadership.LeaderEntry) -> None:
         """Follows a leader if its epoch is later than the current one's."""
-        if self._beliefs.take_leader(entry):
+        if self._beliefs.record_leader(entry):
             self._leader_seen_at = self._clock.now()
             self._leader.outranked_by(entry)
             self._report_due.set()
@@ -550,7 +554,7 @@
             self._beliefs.evacuations,
             self._beliefs.limits.unknown_to_leader(self._clock.now()),
             self._unreported_leaving(),
-            self._beliefs.rests.long(self._clock.now()),
+            self._beliefs.backoffs.long(self._clock.now()),
             *self._complete_at(),
         )
 
@@ -565,7 +569,10 @@
         same = self._synced_leader == self._beliefs.leader
         if stamp is None or not same or not self._follows_store:
             return None, None
-        views = self._beliefs.registrations.at, self._beliefs.operated.at
+        views = (
+            self._beliefs.registrations_freshness.at,
+            self._beliefs.configuration_freshness.at,
+        )
         seen, operated = (
             None if at is None else stamp.to_peer(at) for at in views
         )
@@ -576,7 +583,7 @@
 
         The next response to a report confirms that the leader received them.
         """
-        self._reported_leaving = self._beliefs.leaving_news()
+        self._reported_leaving = self._beliefs.announced_leaving()
         return tuple(
             leaving
             for name, leaving in self._reported_leaving.items()
@@ -604,7 +611,7 @@
         synced = self._synced_leader == self._beliefs.leader
         if self._leader.leading or not synced or not self._follow_requested:
             return None
-        return self._beliefs.news_after(
+        return self._beliefs.updates_after(
             self._news_seen, self._news_version, self._news_evacuations
         )
 
@@ -613,7 +620,7 @@
         here = self._settings.vm.id
         chosen = here in reply.watchers or self._leader.leading
         reported_at = self._reported_at
-        self._beliefs.note_views(
+        self._beliefs.record_peer_views(
             reply.seen,
             None if reply.seen_age is None else reported_at - reply.seen_age,
             reply.configuration,
@@ -731,7 +738,7 @@
         self._tasks.append(task)
         task.add_done_callback(self._tasks.remove)
 
-    def take_push(self, update: messages.ReportReply) -> None:
+    def apply_push(self, update: messages.ReportReply) -> None:
         """Applies an update that a leader has sent unrequested."""
         if update.leader is not None:
             self._take_leader(update.leader)
@@ -762,7 +769,7 @@
         )
         # Lets the calls start before this VM applies the update itself.
         await asyncio.sleep(0)
-        self.take_push(messages.decode(relay.told, messages.ReportReply))
+        self.apply_push(messages.decode(relay.told, messages.ReportReply))
         responses = await relaying
         return messages.Relayed(
             tuple(
@@ -835,9 +842,9 @@
         """Reads the leader's entry; returns whether the store responded."""
         read = await self._store.read(messages.LEADER_KEY)
         if isinstance(read, result.Err):
-            self._beliefs.note_store(ok=False, why=read.err_value.detail)
+            self._beliefs.record_store_call(ok=False, why=read.err_value.detail)
             return False
-        self._beliefs.note_store(ok=True)
+        self._beliefs.record_store_call(ok=True)
         if read.ok_value is not None:
             self._take_item(read.ok_value)
         return True
@@ -918,7 +925,7 @@
             *(
                 self._calls.call(
                     entry.address,
-                    messages.HEARD_PATH,
+                    messages.LEADER_CONTACT_PATH,
                     b"{}",
                     _CALL_TIMEOUT_SECONDS,
                 )
@@ -954,7 +961,7 @@
         fresh = view.seconds < self._settings.leader.suspect
         if fresh:
             for assignment in view.assignments:
-                self._beliefs.take_assignment(assignment)
+                self._beliefs.apply_assignment(assignment)
         return fresh
 
     async def _take_over(self, why: str) -> None:
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/messages.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/messages.py
@@ -43,7 +43,7 @@
 
 REPORT_PATH = "/report"
 ASSIGN_PATH = "/assign"
-HEARD_PATH = "/heard"
+LEADER_CONTACT_PATH = "/heard"
 RELAY_PATH = "/relay"
 EXTEND_PATH = "/extend"
 
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/store_watching.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/store_watching.py
@@ -120,7 +120,7 @@
                 self._follow(
                     self._records.operator_prefix,
                     lambda: self._beliefs.configuration_seen,
-                    self._beliefs.operated,
+                    self._beliefs.configuration_freshness,
                     self._configuration_listed,
                     self._configuration_changed,
                 ),
@@ -130,7 +130,7 @@
                 self._follow(
                     self._records.targets_prefix,
                     lambda: self._beliefs.seen,
-                    self._beliefs.registrations,
+                    self._beliefs.registrations_freshness,
                     self._targets_listed,
                     self._targets_changed,
                 ),
@@ -191,9 +191,11 @@
             if found is None:
                 return None
             if isinstance(found, result.Ok):
-                self._beliefs.note_store(ok=True)
+                self._beliefs.record_store_call(ok=True)
                 return found.ok_value, requested_at
-            self._beliefs.note_store(ok=False, why=found.err_value.detail)
+            self._beliefs.record_store_call(
+                ok=False, why=found.err_value.detail
+            )
             await self._unless(
                 self._paused, asyncio.sleep(self._backoff(failures))
             )
@@ -236,7 +238,7 @@
                 continue
             if isinstance(watched, result.Ok):
                 failures = 0
-                self._beliefs.note_store(ok=True)
+                self._beliefs.record_store_call(ok=True)
                 immediate = self._clock.now() - started_at < _IMMEDIATE_SECONDS
                 # Changes that ended a wait happened just now.
                 since = view.at if immediate else None
@@ -269,7 +271,7 @@
             if failures > 1:
                 # A single failure may be a cut connection during the wait; a
                 # second one means that the store is unavailable.
-                self._beliefs.note_store(ok=False, why=why)
+                self._beliefs.record_store_call(ok=False, why=why)
             await asyncio.sleep(self._backoff(failures))
 
     def _wait(self, failures: int) -> float:
@@ -334,7 +336,7 @@
                 continue
             read = self._records.configuration(item.value)
             if isinstance(read, result.Ok):
-                self._beliefs.take_configuration(read.ok_value, "store")
+                self._beliefs.apply_configuration(read.ok_value, "store")
             else:
                 self._log_malformed("configuration", item, read.err_value)
 
@@ -362,7 +364,7 @@
         return {zone for zone in zones if zone is not None}
 
     def _apply_evacuated(self, zones: Iterable[str], revision: int) -> None:
-        self._beliefs.take_evacuations(
+        self._beliefs.apply_evacuations(
             eligibility.Evacuations(tuple(sorted(zones)), revision)
         )
 
@@ -375,7 +377,7 @@
 
     def _targets_listed(self, listing: ports.Listing) -> None:
         """Applies the whole list of registrations."""
-        self._beliefs.take_targets(
+        self._beliefs.replace_targets(
             self._decode(listing.items), listing.revision
         )
 
@@ -383,7 +385,7 @@
         self, changes: ports.Changes, since: float | None
     ) -> None:
         self._targets_written(changes.items, since)
-        gone_since = self._beliefs.vanished_since(since)
+        gone_since = self._beliefs.removed_since(since)
         self._targets_removed(changes.removed, gone_since)
         self._beliefs.seen = max(self._beliefs.seen, changes.revision)
 
@@ -418,7 +420,7 @@
         names = [target.id for target in targets]
         names += [name for name, _ in vanished]
         times = {} if since is None else dict.fromkeys(names, since)
-        self._beliefs.take_registrations(targets, vanished, times)
+        self._beliefs.apply_registrations(targets, vanished, times)
 
     def _decode(self, items: Iterable[ports.Item]) -> list[directory.Target]:
         found = []
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/witnessing.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/witnessing.py
@@ -110,12 +110,12 @@
             async with asyncio.timeout(self._settings.leader.extension_after):
                 read = await self._store.read(messages.LEADER_KEY)
         except TimeoutError:
-            self._beliefs.note_store(ok=False, why="no answer to a look")
+            self._beliefs.record_store_call(ok=False, why="no answer to a look")
             return False
         if isinstance(read, result.Err):
-            self._beliefs.note_store(ok=False, why=read.err_value.detail)
+            self._beliefs.record_store_call(ok=False, why=read.err_value.detail)
             return False
-        self._beliefs.note_store(ok=True)
+        self._beliefs.record_store_call(ok=True)
         return True
 
 
--- a/tests/gateway/fakes.py
+++ b/tests/gateway/fakes.py
@@ -98,8 +98,8 @@
     """Returns beliefs with one service and some targets."""
     made = cluster_state.ClusterState(configured(), timer, log)
     service = routes.Service("s", keyed=keyed)
-    made.take_configuration(routes.Configuration(1, services={"s": service}))
-    made.take_targets(list(targets))
+    made.apply_configuration(routes.Configuration(1, services={"s": service}))
+    made.replace_targets(list(targets))
     return made
 
 
--- a/tests/gateway/fleet.py
+++ b/tests/gateway/fleet.py
@@ -249,8 +249,8 @@
         self.zone = zone
         self.beliefs = cluster_state.ClusterState(configured, timer, self.log)
         if not fleet.watched:
-            self.beliefs.take_configuration(fleet.configuration)
-            self.beliefs.take_targets(
+            self.beliefs.apply_configuration(fleet.configuration)
+            self.beliefs.replace_targets(
                 [target.registration for target in fleet.targets.values()]
             )
         self.rooms = load_balancing.LoadBalancer(
@@ -327,7 +327,7 @@
             timer,
             self.log,
         )
-        self.peers.listens_on(name)
+        self.peers.set_address(name)
         if fleet.watched:
             self.watching.start()
         self.peers.start()
@@ -335,13 +335,13 @@
     async def answer(self, path, body):
         """Answers a peer's call."""
         if path == messages.ASSIGN_PATH:
-            self.peers.take_push(messages.decode(body, messages.ReportReply))
+            self.peers.apply_push(messages.decode(body, messages.ReportReply))
             return messages.encode(messages.UpdateAck())
         if path == messages.REPORT_PATH:
             report = messages.decode(body, messages.Report)
             return messages.encode(self.leading.take_report(report))
-        if path == messages.HEARD_PATH:
-            return messages.encode(self.peers.heard())
+        if path == messages.LEADER_CONTACT_PATH:
+            return messages.encode(self.peers.leader_contact())
         if path == messages.RELAY_PATH:
             relay = messages.decode(body, messages.Relay)
             return messages.encode(await self.peers.relay(relay))
@@ -488,7 +488,7 @@
     def take_target(self, registration):
         """Has all VMs hear of a registration."""
         for vm in self.vms.values():
-            vm.beliefs.take_target(registration)
+            vm.beliefs.apply_registration(registration)
 
     def leader(self):
         """Returns the VM that leads."""
--- a/tests/gateway/test_candidates.py
+++ b/tests/gateway/test_candidates.py
@@ -30,11 +30,11 @@
         self.service = routes.Service(
             "s", keyed=keyed, cold_seconds=3.0, cold_rate=rate
         )
-        self.beliefs.take_configuration(
+        self.beliefs.apply_configuration(
             routes.Configuration(2, services={"s": self.service})
         )
         for name, zone in (("a", "z"), ("b", "z"), ("c", "far")):
-            self.beliefs.take_target(fakes.target(name, zone=zone))
+            self.beliefs.apply_registration(fakes.target(name, zone=zone))
         self.rooms = load_balancing.LoadBalancer(
             load_balancing.Location("z", "r"),
             {"z": "r"},
@@ -60,13 +60,13 @@
 
     def own(self, name):
         """Gives all keys to a target."""
-        self.beliefs.take_assignment(
+        self.beliefs.apply_assignment(
             assignments.Assignment("s", (1, 1), (0,), (name,))
         )
 
     def evacuate(self, *zones, revision=9):
         """Evacuates zones."""
-        self.beliefs.take_evacuations(
+        self.beliefs.apply_evacuations(
             eligibility.Evacuations(tuple(sorted(zones)), revision)
         )
 
--- a/tests/gateway/test_cluster_state.py
+++ b/tests/gateway/test_cluster_state.py
@@ -46,12 +46,12 @@
         """
 
         def check(state):
-            state.take_news(_update(0, 5))
-            state.take_news(_update(7, 9, fakes.target("b", revision=9)))
+            state.apply_update(_update(0, 5))
+            state.apply_update(_update(7, 9, fakes.target("b", revision=9)))
             assert state.seen == 5
             assert state.directory.get("b")
             leaving = fakes.target("a", leaving=True, revision=6)
-            state.take_news(_update(5, 9, leaving))
+            state.apply_update(_update(5, 9, leaving))
             assert state.seen == 9
             status = state.directory.get("a").standing
             assert status is directory.TargetStatus.LEAVING
@@ -66,10 +66,10 @@
 
         def check(state):
             change = configurations.Change(5, 6)
-            state.take_news(messages.StateUpdate(0, 1, change=change))
+            state.apply_update(messages.StateUpdate(0, 1, change=change))
             assert state.version == 1
             change = configurations.Change(1, 6)
-            state.take_news(messages.StateUpdate(0, 1, change=change))
+            state.apply_update(messages.StateUpdate(0, 1, change=change))
             assert state.version == 6
 
         _run(check)
@@ -79,10 +79,10 @@
 
         def check(state):
             former = state.configuration
-            state.take_configuration(routes.Configuration(2, former.routes))
-            assert state.news_after(0, 1).change.base == 1
-            assert state.news_after(0, -1).configuration.version == 2
-            assert state.news_after(0, 2) is None
+            state.apply_configuration(routes.Configuration(2, former.routes))
+            assert state.updates_after(0, 1).change.base == 1
+            assert state.updates_after(0, -1).configuration.version == 2
+            assert state.updates_after(0, 2) is None
 
         _run(check)
 
@@ -118,7 +118,9 @@
 
         def check(state):
             for zones, revision in changes:
-                state.take_evacuations(eligibility.Evacuations(zones, revision))
+                state.apply_evacuations(
+                    eligibility.Evacuations(zones, revision)
+                )
             assert state.evacuations.zones == expected
 
         _run(check)
@@ -129,13 +131,13 @@
 
         def check(state):
             service = routes.Service("s", cold_seconds=3.0, cold_rate=rate)
-            state.take_configuration(
+            state.apply_configuration(
                 routes.Configuration(2, services={"s": service})
             )
-            state.take_target(fakes.target("x"))
-            state.take_evacuations(eligibility.Evacuations(("z",), 3))
+            state.apply_registration(fakes.target("x"))
+            state.apply_evacuations(eligibility.Evacuations(("z",), 3))
             assert not state.cold_targets()
-            state.take_evacuations(eligibility.Evacuations((), 4))
+            state.apply_evacuations(eligibility.Evacuations((), 4))
             assert ("x" in state.cold_targets()) is cold
 
         _run(check)
@@ -145,7 +147,7 @@
 
         async def main():
             state = _state()
-            state.take_evacuations(eligibility.Evacuations(("z",), 3))
+            state.apply_evacuations(eligibility.Evacuations(("z",), 3))
             assert state.owner_excluded("z", ()) is None
             assert state.owner_excluded("z", ("q",)) is not None
             await asyncio.sleep(1.6)
@@ -159,7 +161,7 @@
         def check(state):
             state.confirm_configuration(state.version, 7, ("z",))
             assert state.configuration_seen == 0
-            state.take_evacuations(eligibility.Evacuations(("z",), 6))
+            state.apply_evacuations(eligibility.Evacuations(("z",), 6))
             state.confirm_configuration(state.version, 7, ("z",))
             assert state.configuration_seen == 7
 
@@ -190,16 +192,16 @@
                 "s", keyed=True, cold_seconds=3.0, cold_rate=3.3
             )
             route = fakes.route(regions=regions)
-            state.take_configuration(
+            state.apply_configuration(
                 routes.Configuration(2, (route,), {"s": service})
             )
             for name, zone in (("a", "z"), ("b", "z"), ("c", "far")):
                 warm_at = 3.0 if name in cold else 0.0
-                state.take_target(
+                state.apply_registration(
                     fakes.target(name, zone=zone, warm_at=warm_at)
                 )
-            state.take_evacuations(eligibility.Evacuations(evacuated, 3))
-            assert {t.id for t in state.able_owners(service)} == expected
+            state.apply_evacuations(eligibility.Evacuations(evacuated, 3))
+            assert {t.id for t in state.eligible_owners(service)} == expected
 
         _run(check)
 
@@ -229,7 +231,7 @@
             state.seen = 5
             await asyncio.sleep(10.0)
             evacuations = eligibility.Evacuations(zones, 9 if zones else 0)
-            state.note_views(seen, 8.0, version, evacuations, 7.0)
+            state.record_peer_views(seen, 8.0, version, evacuations, 7.0)
             assert fakes.ages(state) == ages
 
         virtual.run(main())
--- a/tests/gateway/test_dispatching.py
+++ b/tests/gateway/test_dispatching.py
@@ -59,10 +59,10 @@
 
     count = 67
 
-    def turned_away(self, target):
+    def record_refusal(self, target):
         """Takes a refusal."""
 
-    def hurry(self):
+    def report_early(self):
         """Takes word of a full target."""
 
 
@@ -96,7 +96,7 @@
     def assign(self, owner):
         """Gives all keys to a target, or to none."""
         self._serial += 1
-        self.beliefs.take_assignment(
+        self.beliefs.apply_assignment(
             assignments.Assignment("s", (1, self._serial), (0,), (owner,))
         )
 
@@ -200,7 +200,7 @@
             world.gate.seconds = 2.5
             call = world.call(seconds=4.0)
             finding = asyncio.create_task(world.placing.find(call))
-            world.beliefs.take_target(fakes.target("a", leaving=True))
+            world.beliefs.apply_registration(fakes.target("a", leaving=True))
             found = await finding
             assert found.is_err()
             assert len(world.gate.given_back) == 1
--- a/tests/gateway/test_dissemination.py
+++ b/tests/gateway/test_dissemination.py
@@ -112,7 +112,7 @@
             )
             sender.take(report)
             calls.sent.clear()
-            state.take_configuration(routes.Configuration(2))
+            state.apply_configuration(routes.Configuration(2))
             await asyncio.sleep(0.1)
             ((address, update),) = calls.sent
             assert address == "vm-2:1"
@@ -139,7 +139,7 @@
             sender.take(report)
             await asyncio.sleep(0.1)
             calls.sent.clear()
-            state.take_evacuations(eligibility.Evacuations(("east",), 9))
+            state.apply_evacuations(eligibility.Evacuations(("east",), 9))
             await asyncio.sleep(0.1)
             sent = [
                 reply.news.evacuations
@@ -160,7 +160,7 @@
             sender.take(messages.Report(_vm("vm-2"), True))
             await asyncio.sleep(0.1)
             calls.sent.clear()
-            state.take_configuration(routes.Configuration(2))
+            state.apply_configuration(routes.Configuration(2))
             await asyncio.sleep(0.1)
             state.signal()
             await asyncio.sleep(0.1)
@@ -303,7 +303,7 @@
             sender.take(messages.Report(_vm("vm-2"), True))
             for version in range(2, 12):
                 await asyncio.sleep(0.05)
-                state.take_configuration(routes.Configuration(version))
+                state.apply_configuration(routes.Configuration(version))
             await asyncio.sleep(3.0)
             updates = [update for _, update in calls.sent]
             assert len(updates) == 2
@@ -336,7 +336,7 @@
                 )
                 for n in range(routes_added)
             )
-            state.take_configuration(
+            state.apply_configuration(
                 routes.Configuration(2, added, state.configuration.services)
             )
             await asyncio.sleep(0.3)
--- a/tests/gateway/test_grant_reconciliation.py
+++ b/tests/gateway/test_grant_reconciliation.py
@@ -263,7 +263,7 @@
             await rig.served(0)
             rig.orders.dead.add("a")
             rig.move(0, HALF - 1, B)
-            rig.beliefs.take_target(fakes.target("a", born=2))
+            rig.beliefs.apply_registration(fakes.target("a", born=2))
             assert await rig.served(0) < 0.6
             rig.granting.stop()
 
--- a/tests/gateway/test_leader_role.py
+++ b/tests/gateway/test_leader_role.py
@@ -110,7 +110,7 @@
             assert await two.leading.take_over("test")
             version = _stored(store).version
             # The old leader sees a target leave and would move its keys.
-            one.beliefs.lose_target("a")
+            one.beliefs.remove_target("a")
             await _until(lambda: not one.leading.leading)
             assert _stored(store).version == version
             await asyncio.sleep(3.0)
@@ -135,7 +135,7 @@
             store.slow_claims = 1.0
             taking = asyncio.create_task(two.leading.take_over("test"))
             await asyncio.sleep(0.2)
-            one.beliefs.lose_target("a")
+            one.beliefs.remove_target("a")
             version = _stored(store).version
             await _until(lambda: _stored(store).version > version)
             assert await taking
@@ -621,7 +621,7 @@
             await one.leading.take_over("test")
             await _until(lambda: _owned(orders, 0))
             store.loses = True
-            one.beliefs.take_target(fakes.target("a", leaving=True))
+            one.beliefs.apply_registration(fakes.target("a", leaving=True))
             await _until(
                 lambda: "a" not in {h.id for h in _stored(store).holders()}
             )
@@ -695,7 +695,7 @@
 
         async def main():
             _, _, (one,) = _world("vm-1")
-            one.beliefs.take_leader(entry)
+            one.beliefs.record_leader(entry)
             reply = one.leading.take_report(one.report())
             assert (reply.leading, reply.leader) == (False, entry)
 
@@ -795,7 +795,7 @@
             await one.leading.take_over("test")
             await _until(lambda: len(self._holders(orders)) >= per_zone)
             await asyncio.sleep(2.0)
-            one.beliefs.take_evacuations(eligibility.Evacuations(("z",), 9))
+            one.beliefs.apply_evacuations(eligibility.Evacuations(("z",), 9))
             await asyncio.sleep(1.0)
             assert all(n.startswith("far") for n in self._holders(orders))
             assert all(_owned(orders, k) for k in (0, 30000, 65535))
@@ -813,17 +813,17 @@
             await _until(lambda: _owned(orders, 0))
             await asyncio.sleep(1.0)
             evacuated = eligibility.Evacuations(("z",), 9)
-            one.beliefs.take_evacuations(evacuated)
+            one.beliefs.apply_evacuations(evacuated)
             await asyncio.sleep(0.3)
             one.leading.step_down("killed")
-            two.beliefs.take_evacuations(evacuated)
+            two.beliefs.apply_evacuations(evacuated)
             await two.leading.take_over("test")
             await asyncio.sleep(8.0)
             assert all(n.startswith("far") for n in self._holders(orders))
             assert orders.clashes == []
-            two.beliefs.take_evacuations(eligibility.Evacuations((), 11))
+            two.beliefs.apply_evacuations(eligibility.Evacuations((), 11))
             await asyncio.sleep(1.0)
-            two.beliefs.take_evacuations(eligibility.Evacuations(("far",), 12))
+            two.beliefs.apply_evacuations(eligibility.Evacuations(("far",), 12))
             await asyncio.sleep(4.0)
             assert all(n.startswith("z-") for n in self._holders(orders))
             assert orders.clashes == []
@@ -838,7 +838,7 @@
             orders, (one, _) = self._world(2)
             await one.leading.take_over("test")
             await _until(lambda: _owned(orders, 0))
-            one.beliefs.take_evacuations(
+            one.beliefs.apply_evacuations(
                 eligibility.Evacuations(("far", "z"), 9)
             )
             await asyncio.sleep(4.0)
--- a/tests/gateway/test_leaving_targets.py
+++ b/tests/gateway/test_leaving_targets.py
@@ -197,7 +197,7 @@
                     continue
                 cluster.revision += 1
                 for vm in cluster.vms.values():
-                    vm.beliefs.lose_target(target.id, cluster.revision)
+                    vm.beliefs.remove_target(target.id, cluster.revision)
             if first:
                 _leave(target)
             await calling
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -53,7 +53,7 @@
             known = cluster_state.ClusterState(fakes.configured(), timer, log)
             target = fakes.target("a")
             for rate in (6.1, 6.1, 3.0, None, None):
-                known.hear_limit(target, rate, virtual.now())
+                known.apply_limit(target, rate, virtual.now())
             named = [line["rate"] for line in log.named("limit_named")]
             assert named == [6.1, 3.0]
             assert len(log.named("limit_lifted")) == 1
--- a/tests/gateway/test_membership.py
+++ b/tests/gateway/test_membership.py
@@ -128,7 +128,7 @@
             member.start()
             await asyncio.sleep(0.05)
             began = virtual.now()
-            member.take_push(_announced())
+            member.apply_push(_announced())
             await asyncio.sleep(0.05)
             assert calls.reports
             assert calls.reports[0][0] - began < 0.02
@@ -145,9 +145,9 @@
 
         async def scenario(member, state, store, calls):
             member.start()
-            member.take_push(_announced())
-            member.turned_away("a")
-            member.turned_away("a")
+            member.apply_push(_announced())
+            member.record_refusal("a")
+            member.record_refusal("a")
             await asyncio.sleep(0.1)
             assert calls.reports[0][1].waiting == {"a": 2}
             await asyncio.sleep(0.5)
@@ -173,7 +173,7 @@
                 seen_age=0.5,
                 configuration_age=0.7,
             )
-            member.take_push(_announced())
+            member.apply_push(_announced())
             member._reported_at = virtual.now()
             await asyncio.sleep(delay)
             member._take_reply(reply)
@@ -189,7 +189,7 @@
         """Guards against a grace period dated by a delayed update's arrival."""
 
         async def scenario(member, state, store, calls):
-            member.take_push(_announced())
+            member.apply_push(_announced())
             member._reported_at = virtual.now()
             await asyncio.sleep(0.02)
             member._take_reply(
@@ -207,7 +207,7 @@
             )
             changed_at = virtual.now() - 0.2
             await asyncio.sleep(delay)
-            member.take_push(update)
+            member.apply_push(update)
             since = state.directory.get("a").since
             assert changed_at - 0.05 < since <= changed_at
 
@@ -220,12 +220,12 @@
         """
 
         async def scenario(member, state, store, calls):
-            member.take_push(_announced())
+            member.apply_push(_announced())
             member._take_reply(
                 messages.ReportReply(ENTRY, leading=True, stamp=100.0)
             )
             await asyncio.sleep(2.0)
-            state.registrations.note(virtual.now() - 0.5)
+            state.registrations_freshness.note(virtual.now() - 0.5)
             report = member._make_report()
             assert report.seen_at == pytest.approx(101.5)
             assert report.configuration_at is None
@@ -246,7 +246,7 @@
 
         async def scenario(member, state, store, calls):
             if announced:
-                member.take_push(_announced())
+                member.apply_push(_announced())
                 await member._report_once()
                 assert calls.reports
             assert await member._registered()
@@ -261,7 +261,7 @@
         async def scenario(member, state, store, calls):
             calls.missing = {"two:1"}
             member.start()
-            member.take_push(_announced())
+            member.apply_push(_announced())
             await asyncio.sleep(0.5)
             assert not store.lists[messages.VM_PREFIX]
             await asyncio.sleep(3.0)
@@ -306,16 +306,16 @@
         async def scenario(member, state, store, calls):
             state.vms = {f"vm-{n}": None for n in range(200)}
             member.start()
-            member.take_push(_announced())
+            member.apply_push(_announced())
             await asyncio.sleep(0.45)
             before = len(calls.reports)
-            member.turned_away("a")
+            member.record_refusal("a")
             await asyncio.sleep(0.05)
             assert len(calls.reports) == before + 1
             assert calls.reports[-1][1].waiting == {"a": 1}
             # Further requests cause no further reports.
             for _ in range(20):
-                member.turned_away("a")
+                member.record_refusal("a")
                 await asyncio.sleep(0.01)
             assert len(calls.reports) == before + 1
 
@@ -326,12 +326,12 @@
 
         async def scenario(member, state, store, calls):
             member.start()
-            member.take_push(_announced())
+            member.apply_push(_announced())
             await asyncio.sleep(0.1)
             update = messages.ReportReply(
                 ENTRY, leading=True, gates={"a": "gate:1"}
             )
-            member.take_push(update)
+            member.apply_push(update)
             assert member._rooms.gate("a", virtual.now()) == "gate:1"
 
         _run(scenario)
@@ -370,13 +370,13 @@
         if other is None:
             return None
         if path == messages.ASSIGN_PATH:
-            other.take_push(messages.decode(body, messages.ReportReply))
+            other.apply_push(messages.decode(body, messages.ReportReply))
             return messages.encode(messages.UpdateAck())
         if path == messages.REPORT_PATH:
             report = messages.decode(body, messages.Report)
             return messages.encode(other._leader.take_report(report))
-        if path == messages.HEARD_PATH:
-            return messages.encode(other.heard())
+        if path == messages.LEADER_CONTACT_PATH:
+            return messages.encode(other.leader_contact())
         return b"{}"
 
 
--- a/tests/gateway/test_proofs.py
+++ b/tests/gateway/test_proofs.py
@@ -64,7 +64,7 @@
     def register(self, name="a", **changes):
         """Has the store show a registration."""
         self._revision += 1
-        self.beliefs.take_target(
+        self.beliefs.apply_registration(
             fakes.target(name, revision=self._revision, **changes)
         )
 
@@ -91,7 +91,7 @@
     def vanishes(self):
         """Its registration lapses; it lives behind a cut, or leaves."""
         self._revision += 1
-        self.beliefs.lose_target("a", self._revision)
+        self.beliefs.remove_target("a", self._revision)
 
     def starts_again(self):
         """It dies, and its next run registers."""
--- a/tests/gateway/test_reload.py
+++ b/tests/gateway/test_reload.py
@@ -38,7 +38,7 @@
             new.bounds = settings.BoundSettings(drain=1.0, retry_fixed=9.0)
             made.take_settings(new)
             leaving = fakes.target("a", leaving=True)
-            known.take_target(leaving)
+            known.apply_registration(leaving)
             entry = known.directory.get("a")
             assert entry.standing is directory.TargetStatus.LEAVING
             assert entry.until == pytest.approx(entry.since + 0.9)
--- a/tests/gateway/test_store_watching.py
+++ b/tests/gateway/test_store_watching.py
@@ -276,7 +276,7 @@
             state.seen = 40
             watcher.start()
             await asyncio.sleep(current)
-            state.registrations.note(virtual.now())
+            state.registrations_freshness.note(virtual.now())
             await asyncio.sleep(followed - current)
             watcher.rely_on_leader(False)
             await asyncio.sleep(max(leaves_at - followed, 0.0) + 0.1)
@@ -307,7 +307,7 @@
             watcher, state, _ = _watcher(store, fakes.target("a"))
             state.seen = 40
             watcher.start()
-            state.registrations.note(virtual.now())
+            state.registrations_freshness.note(virtual.now())
             await asyncio.sleep(8.0)
             watcher.rely_on_leader(False)
             gone = ports.Changes((), (("servers/a", 41),), 41)
@@ -327,12 +327,14 @@
         async def main():
             timer, log = fakes.VirtualClock(), fakes.Lines()
             leader = fakes.known(timer, log, fakes.target("a"))
-            leader.take_target(fakes.target("a", leaving=True, revision=5))
+            leader.apply_registration(
+                fakes.target("a", leaving=True, revision=5)
+            )
             leader.seen = 5
             await asyncio.sleep(1.5)
-            update = leader.news_after(1, leader.version)
+            update = leader.updates_after(1, leader.version)
             behind = fakes.known(timer, log, fakes.target("a"))
-            behind.take_news(update)
+            behind.apply_update(update)
             ends = [vm.directory.get("a").until for vm in (leader, behind)]
             assert ends[0] == ends[1]
 
--- a/tests/gateway/test_witnessing.py
+++ b/tests/gateway/test_witnessing.py
@@ -131,7 +131,7 @@
         ):
             return
         reply = other.leading.take_report(vm.report())
-        if reply.leader is not None and vm.beliefs.take_leader(reply.leader):
+        if reply.leader is not None and vm.beliefs.record_leader(reply.leader):
             vm.leading.outranked_by(reply.leader)
         if reply.leading:
             vm.leading.hear(reply)
@@ -143,7 +143,7 @@
             return
         for other in self.vms.values():
             apart = {name, other.name} & self.alone
-            if not apart and other.beliefs.take_leader(vm.beliefs.leader):
+            if not apart and other.beliefs.record_leader(vm.beliefs.leader):
                 other.leading.outranked_by(vm.beliefs.leader)
 
 
@@ -356,7 +356,7 @@
             request = messages.ExtensionRequest(1, vm.boot, 7.0)
             asked = asyncio.create_task(vm.leading.witness.answer(request))
             await asyncio.sleep(0.001)
-            vm.beliefs.take_leader(leadership.LeaderEntry("vm-3", "x", 2, ""))
+            vm.beliefs.record_leader(leadership.LeaderEntry("vm-3", "x", 2, ""))
             assert not (await asked).promised
             fleet.stop()
 
@@ -373,7 +373,7 @@
             fleet = await _begun()
             fleet.start("vm-2")
             known = fleet.vms["vm-1"].beliefs.leader
-            fleet.vms["vm-2"].beliefs.take_leader(known)
+            fleet.vms["vm-2"].beliefs.record_leader(known)
             await asyncio.sleep(3.0)
             stored, _ = fleet.store.items[messages.WITNESSES_KEY]
             record = msgspec.json.decode(stored, type=lease_extension.Record)
@@ -451,7 +451,7 @@
     def target_leaves(self):
         """A target's registration vanishes; it lives behind a cut."""
         for vm in self.fleet.vms.values():
-            vm.beliefs.lose_target("a", 100)
+            vm.beliefs.remove_target("a", 100)
 
     def target_dead(self):
         """No order reaches a target any more."""
