--- a/packages/mimosastile-gateway/src/mimosastile_gateway/dissemination.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/dissemination.py
@@ -108,12 +108,12 @@
     Attributes:
         assignments: Whole assignments that the VM does not have.
         differences: Changes of assignments that it has.
-        news: Changes from the store that it does not have.
+        state_update: Changes from the store that it does not have.
     """
 
     assignments: tuple[_Assignment, ...]
     differences: tuple[_Difference, ...]
-    news: messages.StateUpdate | None
+    state_update: messages.StateUpdate | None
 
     def urgent(self) -> "MissingUpdates":
         """Returns as much of this state as fits into a few packets.
@@ -121,7 +121,7 @@
         Registrations go first, then routes, then owners of keys.
         """
         left = _SMALL_UPDATE_ITEMS
-        news = self.news
+        news = self.state_update
         if news is not None:
             left -= len(news.targets)
             if left < 0:
@@ -141,9 +141,9 @@
         return MissingUpdates((), self.differences if small else (), news)
 
     @property
-    def nothing(self) -> bool:
+    def empty(self) -> bool:
         """Whether the VM is up to date."""
-        return not (self.assignments or self.differences or self.news)
+        return not (self.assignments or self.differences or self.state_update)
 
 
 class Disseminator:
@@ -156,13 +156,13 @@
     """
 
     __slots__ = (
-        "_beliefs",
         "_calls",
         "_clock",
         "_entry",
         "_events",
         "_here",
         "_published",
+        "_state",
         "_tasks",
         "_update_due",
         "_vms",
@@ -174,7 +174,7 @@
         here: str,
         zone: str,
         calls: peer_calls.PeerCalls,
-        known: cluster_state.ClusterState,
+        state: cluster_state.ClusterState,
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
@@ -184,14 +184,14 @@
             here: Identifier of this VM.
             zone: Availability zone of this VM.
             calls: Sends messages to peers.
-            known: The cluster state of this VM.
+            state: The cluster state of this VM.
             timer: The clock.
             log: The event log.
         """
         self._here = here
         self._zone = zone
         self._calls = calls
-        self._beliefs = known
+        self._state = state
         self._clock = timer
         self._events = log
         self._entry: leadership.LeaderEntry | None = None
@@ -201,7 +201,7 @@
         ] = {}
         self._update_due = asyncio.Event()
         self._tasks: set[asyncio.Task[object]] = set()
-        known.subscribe(self._update_due.set)
+        state.subscribe(self._update_due.set)
 
     def begin(self, entry: leadership.LeaderEntry) -> None:
         """Starts sending updates as the leader with the given entry."""
@@ -321,15 +321,15 @@
 
     def publish(self, present: assignments.Assignment) -> None:
         """Sends VMs an assignment, unless it equals the current one."""
-        current = self._beliefs.assignments.get(present.service)
+        current = self._state.assignments.get(present.service)
         if current is not None and assignments.same(current, present):
             return
-        self._beliefs.apply_assignment(present)
+        self._state.apply_assignment(present)
         self._published[present.service, present.version] = present
         while len(self._published) > _ASSIGNMENT_HISTORY_SIZE:
             del self._published[next(iter(self._published))]
 
-    def answer(self, report: messages.Report) -> MissingUpdates:
+    def updates_for_reply(self, report: messages.Report) -> MissingUpdates:
         """Returns the state that goes into the response to a VM's report.
 
         Usually that is none, which keeps responses small and fast: a VM whose
@@ -341,17 +341,17 @@
             return nothing
         if vm.missed:
             vm.answered = True
-            return self.lacking(report)
+            return self.missing_updates(report)
         if vm.sending and self._clock.now() - vm.since > _SLOW_SECONDS:
             # The VM's connection may be broken. That a target leaves or a
             # route has changed cannot wait until this is certain.
-            return self.lacking(report).urgent()
+            return self.missing_updates(report).urgent()
         return nothing
 
-    def lacking(self, report: messages.Report) -> MissingUpdates:
+    def missing_updates(self, report: messages.Report) -> MissingUpdates:
         """Returns the state that a VM is missing according to its report."""
         whole, changed = self._newer_than(report.versions)
-        news = self._beliefs.updates_after(
+        news = self._state.updates_after(
             report.seen, report.configuration, report.evacuations
         )
         return MissingUpdates(whole, changed, news)
@@ -368,7 +368,7 @@
             Whole assignments, and changes of those that the VM has.
         """
         whole, changed = [], []
-        for name, present in self._beliefs.assignments.items():
+        for name, present in self._state.assignments.items():
             version = versions.get(name)
             if version is not None and tuple(version) >= present.version:
                 continue
@@ -411,7 +411,7 @@
             )
             if view not in bodies:
                 # Most VMs have the same view; their update is encoded once.
-                bodies[view] = self._message(self.lacking(report))
+                bodies[view] = self._message(self.missing_updates(report))
             if bodies[view]:
                 batch = batches.setdefault(
                     (report.vm.zone, view), _Batch(bodies[view])
@@ -547,7 +547,7 @@
         for vm in vms:
             vm.sending = True
             vm.since = self._clock.now()
-        state = self._beliefs
+        state = self._state
         return _View(
             state.versions(), state.seen, state.version, state.evacuations
         )
@@ -576,17 +576,17 @@
         # There may have been further changes in the meantime.
         self._update_due.set()
 
-    def _message(self, lacking: MissingUpdates) -> bytes:
+    def _message(self, missing: MissingUpdates) -> bytes:
         """Returns an encoded update, empty if nothing is missing."""
-        if lacking.nothing:
+        if missing.empty:
             return b""
         return messages.encode(
             messages.ReportReply(
                 self._entry,
                 leading=True,
-                assignments=lacking.assignments,
-                differences=lacking.differences,
-                news=lacking.news,
+                assignments=missing.assignments,
+                differences=missing.differences,
+                state_update=missing.state_update,
                 stamp=self._clock.now(),
             )
         )
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/leader_role.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/leader_role.py
@@ -177,7 +177,7 @@
             - ANSWER_SECONDS
         )
         # Counted from when the answer came, which is later than the truth.
-        self.longer_until = now + reply.longer
+        self.longer_until = now + reply.extended_grants
 
     def _new_authority(self) -> leadership.LeaderLease:
         configured = self._settings.leader
@@ -486,12 +486,12 @@
         vm = report.vm
         boot = self._clock.boot()
         # A VM that reports here does not lead itself.
-        self._formers.follows(vm.id, boot, report.longer)
+        self._formers.follows(vm.id, boot, report.extended_grants)
         if report.epoch >= self._entry.epoch:
             witness = lease_extension.Witness(vm.id, vm.boot)
             self._formers.testify(witness, report.promised, boot)
-        if report.news is not None:
-            self._beliefs.apply_update(report.news)
+        if report.state_update is not None:
+            self._beliefs.apply_update(report.state_update)
         self._beliefs.confirm_configuration(
             report.configuration,
             report.configuration_seen,
@@ -513,12 +513,12 @@
                 keyed.fast.add(keys, now)
                 keyed.slow.add(keys, now)
         seen = self._clock.boot()
-        self._alive_at.update(dict.fromkeys(report.alive, seen))
-        for death in report.deaths:
+        self._alive_at.update(dict.fromkeys(report.responsive, seen))
+        for death in report.crashes:
             self._casualties.learn(death, now)
         for ended in report.ended:
             self._beliefs.end_incarnation(ended.target, ended.born)
-        for miss in report.misses:
+        for miss in report.ownership_misses:
             keyed = self._services.get(miss.service)
             if keyed is not None:
                 keyed.granting.missed(miss.key, miss.target)
@@ -526,22 +526,22 @@
         self._demand.take(vm.id, report.under_way, report.waiting, now)
         known = self._beliefs.directory
         fresh = self._telling.fresh()
-        lacking = self._telling.answer(report)
+        missing = self._telling.updates_for_reply(report)
         return messages.ReportReply(
             self._entry,
             leading=True,
             confirmed=self._clock.boot() - self._authority.confirmed,
-            longer=self._longer_seconds(),
+            extended_grants=self._longer_seconds(),
             under_way=self._demand.busy(vm.id, vm.zone, known),
             gates=self._gates(fresh, now),
-            assignments=lacking.assignments,
-            differences=lacking.differences,
-            news=lacking.news,
+            assignments=missing.assignments,
+            differences=missing.differences,
+            state_update=missing.state_update,
             seen=self._beliefs.seen,
             configuration=self._beliefs.version,
             configuration_seen=self._beliefs.configuration_seen,
             store=self._informed(fresh),
-            deaths=self._casualties.deaths(now),
+            crashes=self._casualties.deaths(now),
             watchers=self._watchers(fresh),
             vms=len(fresh),
             take_over=vm.id in self._succession.asked,
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
@@ -92,7 +92,6 @@
         "_address",
         "_admitting",
         "_alive",
-        "_beliefs",
         "_boot",
         "_calls",
         "_casualties",
@@ -124,6 +123,7 @@
         "_stamp",
         "_start_spread",
         "_started_at",
+        "_state",
         "_store",
         "_store_seconds",
         "_synced_leader",
@@ -140,7 +140,7 @@
         boot: str,
         store: ports.StorePort,
         calls: peer_calls.PeerCalls,
-        known: cluster_state.ClusterState,
+        state: cluster_state.ClusterState,
         rooms: load_balancing.LoadBalancer,
         leader: leader_role.LeaderRole,
         queues: wait_queues.WaitQueues,
@@ -154,7 +154,7 @@
         self._boot = boot
         self._store = store
         self._calls = calls
-        self._beliefs = known
+        self._state = state
         self._rooms = rooms
         self._leader = leader
         self._turns = queues
@@ -210,7 +210,7 @@
     @property
     def count(self) -> int:
         """Number of VMs that share the load, as far as known; at least 1."""
-        return max(len(self._beliefs.vms), self._vms, 1)
+        return max(len(self._state.vms), self._vms, 1)
 
     def set_address(self, address: str) -> None:
         """Sets the address on which this VM listens for its peers."""
@@ -255,7 +255,7 @@
     def record_end(self, target: directory.Target) -> None:
         """Records that another target responds at a target's address."""
         self._ended.append(messages.EndedTarget(target.id, target.born))
-        self._beliefs.end_incarnation(target.id, target.born)
+        self._state.end_incarnation(target.id, target.born)
 
     def record_refusal(self, target: str) -> None:
         """Records a request that was refused because a target is full.
@@ -294,9 +294,9 @@
         if self._leader.leading:
             seconds = 0.0
         return messages.LeaderContact(
-            self._beliefs.leader,
+            self._state.leader,
             seconds,
-            tuple(self._beliefs.assignments.values()),
+            tuple(self._state.assignments.values()),
         )
 
     def _made_at(self, update: messages.ReportReply) -> float | None:
@@ -320,14 +320,14 @@
             made_at: Time at or before which the leader made it, None if
                 unknown.
         """
-        self._beliefs.merge_limits(reply.limits)
-        self._beliefs.merge_leaving(reply.leaving)
+        self._state.merge_limits(reply.limits)
+        self._state.merge_leaving(reply.leaving)
         for assignment in reply.assignments:
-            self._beliefs.apply_assignment(assignment)
+            self._state.apply_assignment(assignment)
         for difference in reply.differences:
-            self._beliefs.apply_difference(difference)
-        if reply.news is not None:
-            self._beliefs.apply_update(reply.news, made_at)
+            self._state.apply_difference(difference)
+        if reply.state_update is not None:
+            self._state.apply_update(reply.state_update, made_at)
 
     # Registration.
 
@@ -354,7 +354,7 @@
         if self._session:
             kept = await self._store.keep_session(self._session)
             if isinstance(kept, result.Ok):
-                self._beliefs.record_store_call(ok=True)
+                self._state.record_store_call(ok=True)
                 return True
             if isinstance(kept.err_value, ports.SessionLost):
                 self._events.write(
@@ -362,7 +362,7 @@
                 )
                 self._session = 0
             else:
-                self._beliefs.record_store_call(
+                self._state.record_store_call(
                     ok=False, why=kept.err_value.detail
                 )
             return False
@@ -398,11 +398,9 @@
         """
         listed = await self._store.list(messages.STORE_PREFIX)
         if isinstance(listed, result.Err):
-            self._beliefs.record_store_call(
-                ok=False, why=listed.err_value.detail
-            )
+            self._state.record_store_call(ok=False, why=listed.err_value.detail)
             return False
-        self._beliefs.record_store_call(ok=True)
+        self._state.record_store_call(ok=True)
         for item in listed.ok_value.items:
             self._take_item(item)
         return True
@@ -422,14 +420,14 @@
             listed = await self._store.list(group, stale=True)
             if isinstance(listed, result.Err):
                 return
-            found = self._beliefs.read_vms(listed.ok_value.items)
+            found = self._state.read_vms(listed.ok_value.items)
             self._peers = tuple(vm for vm in found if vm.id != here)
             if len(self._peers) >= _QUERIED_PEERS:
                 return
         listed = await self._store.list(messages.VM_PREFIX, stale=True)
         if isinstance(listed, result.Ok):
-            self._beliefs.replace_vms(listed.ok_value.items)
-            registered = self._beliefs.vms.values()
+            self._state.replace_vms(listed.ok_value.items)
+            registered = self._state.vms.values()
             self._peers = tuple(vm for vm in registered if vm.id != here)
 
     def _take_item(self, item: ports.Item) -> None:
@@ -442,7 +440,7 @@
             elif item.key.startswith(messages.TABLE_PREFIX):
                 table = messages.decode(item.value, ranges.RangeTable)
                 pieces = {part.piece for part in table.ranges}
-                self._beliefs.apply_assignment(
+                self._state.apply_assignment(
                     assignments.of_table(table, (0, table.version), pieces)
                 )
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -452,7 +450,7 @@
 
     def _take_leader(self, entry: leadership.LeaderEntry) -> None:
         """Follows a leader if its epoch is later than the current one's."""
-        if self._beliefs.record_leader(entry):
+        if self._state.record_leader(entry):
             self._leader_seen_at = self._clock.now()
             self._leader.outranked_by(entry)
             self._report_due.set()
@@ -482,7 +480,7 @@
             reply = self._leader.take_report(report)
             self._take_reply(reply)
             return
-        leader = self._beliefs.leader
+        leader = self._state.leader
         if leader is not None and leader.vm != self._settings.vm.id:
             response = await self._send_report(leader.address, report)
             if response is not None:
@@ -494,7 +492,7 @@
     async def _without_leader(self) -> None:
         """Falls back to the store after the leader did not respond."""
         silent = self._clock.now() - self._leader_seen_at
-        leader = self._beliefs.leader
+        leader = self._state.leader
         if silent > self._grace():
             # Now the VM depends on its own watch, which may be broken.
             self._follow_store(
@@ -512,12 +510,12 @@
         While VMs start, targets register as well; each VM that watched the
         store by itself would read all these registrations.
         """
-        led = self._beliefs.leader is not None
+        led = self._state.leader is not None
         grace = self._start_spread * (
             _LED_START_GRACE_SECONDS if led else _START_GRACE_SECONDS
         )
         started = self._clock.now() - self._started_at > grace
-        return 0.0 if started and self._beliefs.seen else grace
+        return 0.0 if started and self._state.seen else grace
 
     def _make_report(self) -> messages.Report:
         """Returns the next report and resets what was recorded for it."""
@@ -529,10 +527,10 @@
         ended, self._ended = tuple(self._ended), []
         deaths, self._deaths = tuple(self._deaths), []
         alive, self._alive = tuple(self._alive), set()
-        leader = self._beliefs.leader
+        leader = self._state.leader
         return messages.Report(
             self.entry,
-            self._beliefs.store_ok,
+            self._state.store_ok,
             keys,
             self._rooms.own(),
             wanted,
@@ -542,19 +540,19 @@
             deaths,
             ended,
             misses,
-            self._beliefs.versions(),
-            self._beliefs.seen,
-            self._beliefs.version,
-            self._beliefs.configuration_seen,
+            self._state.versions(),
+            self._state.seen,
+            self._state.version,
+            self._state.configuration_seen,
             self._own_news(),
             self._admitting.stopping,
             self._leader.longer_grants(),
             leader.epoch if leader else -1,
             self._leader.witness.promised(),
-            self._beliefs.evacuations,
-            self._beliefs.limits.unknown_to_leader(self._clock.now()),
+            self._state.evacuations,
+            self._state.limits.unknown_to_leader(self._clock.now()),
             self._unreported_leaving(),
-            self._beliefs.backoffs.long(self._clock.now()),
+            self._state.backoffs.long(self._clock.now()),
             *self._complete_at(),
         )
 
@@ -566,12 +564,12 @@
             None for those that are unknown or come from the leader itself.
         """
         stamp = self._stamp
-        same = self._synced_leader == self._beliefs.leader
+        same = self._synced_leader == self._state.leader
         if stamp is None or not same or not self._follows_store:
             return None, None
         views = (
-            self._beliefs.registrations_freshness.at,
-            self._beliefs.configuration_freshness.at,
+            self._state.registrations_freshness.at,
+            self._state.configuration_freshness.at,
         )
         seen, operated = (
             None if at is None else stamp.to_peer(at) for at in views
@@ -583,7 +581,7 @@
 
         The next response to a report confirms that the leader received them.
         """
-        self._reported_leaving = self._beliefs.announced_leaving()
+        self._reported_leaving = self._state.announced_leaving()
         return tuple(
             leaving
             for name, leaving in self._reported_leaving.items()
@@ -608,10 +606,10 @@
         has requested to watch the store as well. Before its first response,
         this VM does not know what is missing and would send everything.
         """
-        synced = self._synced_leader == self._beliefs.leader
+        synced = self._synced_leader == self._state.leader
         if self._leader.leading or not synced or not self._follow_requested:
             return None
-        return self._beliefs.updates_after(
+        return self._state.updates_after(
             self._news_seen, self._news_version, self._news_evacuations
         )
 
@@ -620,7 +618,7 @@
         here = self._settings.vm.id
         chosen = here in reply.watchers or self._leader.leading
         reported_at = self._reported_at
-        self._beliefs.record_peer_views(
+        self._state.record_peer_views(
             reply.seen,
             None if reply.seen_age is None else reported_at - reply.seen_age,
             reply.configuration,
@@ -632,7 +630,7 @@
         self._news_seen = reply.seen
         self._news_version = reply.configuration
         self._news_evacuations = reply.evacuations
-        self._beliefs.confirm_configuration(
+        self._state.confirm_configuration(
             reply.configuration,
             reply.configuration_seen,
             reply.evacuations.zones,
@@ -667,7 +665,7 @@
         Returns:
             Seconds by service.
         """
-        configuration = self._beliefs.configuration
+        configuration = self._state.configuration
         if configuration is None:
             return {}
         return {
@@ -706,7 +704,7 @@
         self._leader_seen_at = now
         self._leader.hear(reply)
         self._vms = reply.vms
-        for death in reply.deaths:
+        for death in reply.crashes:
             self._casualties.learn(death, now)
         if reply.stamp is not None:
             self._stamp = freshness.ClockOffset(
@@ -724,7 +722,7 @@
             }
         self._rooms.learn_others(reply.under_way, now)
         self._rooms.learn_gates(reply.gates, now)
-        self._beliefs.limits.take_told(reply.limits, now)
+        self._state.limits.take_told(reply.limits, now)
         self._apply_update(reply, self._reported_at)
         self._rely(reply)
         self._leader_responded.set()
@@ -742,7 +740,7 @@
         """Applies an update that a leader has sent unrequested."""
         if update.leader is not None:
             self._take_leader(update.leader)
-        leader = self._beliefs.leader
+        leader = self._state.leader
         if not update.leading or update.leader != leader:
             return
         self._rooms.learn_new_gates(update.gates)
@@ -761,7 +759,7 @@
                 self._calls.call(
                     address,
                     messages.ASSIGN_PATH,
-                    relay.told,
+                    relay.update,
                     _RELAY_TIMEOUT_SECONDS,
                 )
                 for address in relay.addresses
@@ -769,7 +767,7 @@
         )
         # Lets the calls start before this VM applies the update itself.
         await asyncio.sleep(0)
-        self.apply_push(messages.decode(relay.told, messages.ReportReply))
+        self.apply_push(messages.decode(relay.update, messages.ReportReply))
         responses = await relaying
         return messages.Relayed(
             tuple(
@@ -793,14 +791,14 @@
         if silent < limit + self._lookup_wait():
             await self._find_leader(silent)
             return
-        if self._beliefs.leader is None:
+        if self._state.leader is None:
             wait = self._take_over_wait(None)
             if silent < limit + wait:
                 await self._find_leader(silent)
                 return
         if not await (self.read_store() if self._few else self._read_leader()):
             return
-        leader = self._beliefs.leader
+        leader = self._state.leader
         if leader is not None and leader.vm != self._settings.vm.id:
             if self._clock.now() - self._leader_seen_at < limit:
                 # The store has just named a new leader.
@@ -818,7 +816,7 @@
             silent: Seconds since the last message of a leader.
         """
         now = self._clock.now()
-        if self._beliefs.leader is not None:
+        if self._state.leader is not None:
             return
         if (
             silent < _FIND_LEADER_SECONDS
@@ -842,9 +840,9 @@
         """Reads the leader's entry; returns whether the store responded."""
         read = await self._store.read(messages.LEADER_KEY)
         if isinstance(read, result.Err):
-            self._beliefs.record_store_call(ok=False, why=read.err_value.detail)
+            self._state.record_store_call(ok=False, why=read.err_value.detail)
             return False
-        self._beliefs.record_store_call(ok=True)
+        self._state.record_store_call(ok=True)
         if read.ok_value is not None:
             self._take_item(read.ok_value)
         return True
@@ -877,7 +875,7 @@
 
     def _jitter(self) -> float:
         """Returns a pseudo-random number from 0 to 1, new for each epoch."""
-        leader = self._beliefs.leader
+        leader = self._state.leader
         epoch = leader.epoch if leader else 0
         seed = f"{self._settings.vm.id}/{self._boot}/{epoch}".encode()
         return zlib.crc32(seed) / _HASH_RANGE
@@ -905,7 +903,7 @@
             seed = f"{entry.id}/{epoch}".encode()
             return entry.id == former, entry.order, zlib.crc32(seed)
 
-        candidates = {**self._beliefs.vms, here.id: self.entry}
+        candidates = {**self._state.vms, here.id: self.entry}
         ranked = sorted(candidates.values(), key=order)
         return [entry.id for entry in ranked].index(here.id)
 
@@ -917,7 +915,7 @@
         """
         others = [
             entry
-            for entry in self._peers or self._beliefs.vms.values()
+            for entry in self._peers or self._state.vms.values()
             if entry.id not in (leader.vm, self._settings.vm.id)
         ]
         others.sort(key=lambda _: self._clock.random())
@@ -961,7 +959,7 @@
         fresh = view.seconds < self._settings.leader.suspect
         if fresh:
             for assignment in view.assignments:
-                self._beliefs.apply_assignment(assignment)
+                self._state.apply_assignment(assignment)
         return fresh
 
     async def _take_over(self, why: str) -> None:
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/messages.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/messages.py
@@ -171,22 +171,22 @@
             capacity.
         work: Mean duration of a request in seconds, by service.
         factors: Slowness of targets, relative to the mean.
-        alive: Targets that responded to the VM since the last report.
-        deaths: Requests that were in progress on targets when these crashed,
+        responsive: Targets that responded to the VM since the last report.
+        crashes: Requests that were in progress on targets when these crashed,
             for crashes confirmed since the last report.
         ended: Incarnations of targets that have ended.
-        misses: Keys rejected by the targets recorded as their owners.
+        ownership_misses: Keys rejected by the targets recorded as their owners.
         versions: Versions of the VM's assignments by service.
         seen: Store revision up to which the VM has all registrations.
         configuration: Version of the VM's configuration; -1 for none.
         configuration_seen: Store revision up to which that version is the
             newest.
-        news: Changes that the VM read from the store itself.
+        state_update: Changes that the VM read from the store itself.
         stopping: Whether the VM is shutting down, and so should not be an
             admission gate.
-        longer: Seconds until the last extended grant expires that this VM, as
-            a leader, or an earlier leader gave; None if the VM has not led
-            since it started.
+        extended_grants: Seconds until the last extended grant expires that
+            this VM, as a leader, or an earlier leader gave; None if the VM has
+            not led since it started.
         epoch: Epoch of the leader that the VM follows; -1 for none.
         promised: Seconds until the VM's last promise as a witness expires;
             negative for an expired one, None for none.
@@ -194,7 +194,7 @@
         limits: Limits of targets that the leader does not have.
         leaving: Targets that announced their shutdown and that were not yet
             reported to this leader.
-        resting: Seconds of backoff that targets requested from this VM, for
+        backoffs: Seconds of backoff that targets requested from this VM, for
             backoffs long enough to move keys.
         seen_at: Time of the leader's clock at which `seen` was the newest
             revision of the registrations, None if this VM does not watch the
@@ -209,23 +209,27 @@
     waiting: dict[str, int] = {}
     work: dict[str, float] = {}
     factors: dict[str, float] = {}
-    alive: tuple[str, ...] = ()
-    deaths: tuple[quarantine.Death, ...] = ()
+    responsive: tuple[str, ...] = msgspec.field(name="alive", default=())
+    crashes: tuple[quarantine.Death, ...] = msgspec.field(
+        name="deaths", default=()
+    )
     ended: tuple[EndedTarget, ...] = ()
-    misses: tuple[OwnershipMiss, ...] = ()
+    ownership_misses: tuple[OwnershipMiss, ...] = msgspec.field(
+        name="misses", default=()
+    )
     versions: dict[str, assignments.Version] = {}
     seen: int = 0
     configuration: int = -1
     configuration_seen: int = 0
-    news: StateUpdate | None = None
+    state_update: StateUpdate | None = msgspec.field(name="news", default=None)
     stopping: bool = False
-    longer: float | None = None
+    extended_grants: float | None = msgspec.field(name="longer", default=None)
     epoch: int = -1
     promised: float | None = None
     evacuations: _Evacuations = _Evacuations()
     limits: dict[str, _LimitUpdate] = {}
     leaving: tuple[LeavingTarget, ...] = ()
-    resting: dict[str, float] = {}
+    backoffs: dict[str, float] = msgspec.field(name="resting", default={})
     seen_at: float | None = None
     configuration_at: float | None = None
 
@@ -239,21 +243,21 @@
         leader: The leader that the responding VM has recorded.
         leading: Whether the responding VM is that leader.
         confirmed: Seconds since the leader saw its entry in the store.
-        longer: Seconds until the last extended grant of this leader and of
-            earlier ones expires.
+        extended_grants: Seconds until the last extended grant of this leader
+            and of earlier ones expires.
         under_way: Requests of all other VMs in flight, by target.
         gates: Addresses of the admission gates of contended targets, by
             target.
         assignments: Whole assignments that the reporting VM does not have.
         differences: Changes of assignments that it has.
-        news: Changes from the store that it does not have.
+        state_update: Changes from the store that it does not have.
         seen: Store revision up to which the leader has all registrations.
         configuration: Version of the leader's configuration.
         configuration_seen: Store revision up to which that version is the
             newest.
         store: Whether the leader follows the store, by itself or through
             watchers, and VMs may rely on its updates.
-        deaths: Requests in progress on targets that crashed, as reported by
+        crashes: Requests in progress on targets that crashed, as reported by
             all VMs.
         watchers: VMs that are requested to watch the store as well.
         vms: Number of VMs that report.
@@ -270,17 +274,19 @@
     leader: leadership.LeaderEntry | None
     leading: bool
     confirmed: float = 0.0
-    longer: float = 0.0
+    extended_grants: float = msgspec.field(name="longer", default=0.0)
     under_way: dict[str, int] = {}
     gates: dict[str, str] = {}
     assignments: tuple[_Assignment, ...] = ()
     differences: tuple[_Difference, ...] = ()
-    news: StateUpdate | None = None
+    state_update: StateUpdate | None = msgspec.field(name="news", default=None)
     seen: int = 0
     configuration: int = -1
     configuration_seen: int = 0
     store: bool = False
-    deaths: tuple[quarantine.Death, ...] = ()
+    crashes: tuple[quarantine.Death, ...] = msgspec.field(
+        name="deaths", default=()
+    )
     watchers: tuple[str, ...] = ()
     vms: int = 0
     take_over: bool = False
@@ -304,11 +310,11 @@
     """A leader's update for several VMs of a zone, sent through one of them.
 
     Attributes:
-        told: The encoded update, which also applies to the relaying VM.
+        update: The encoded update, which also applies to the relaying VM.
         addresses: Addresses of the other VMs that it is for.
     """
 
-    told: bytes
+    update: bytes = msgspec.field(name="told")
     addresses: tuple[str, ...]
 
 
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/planning.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/planning.py
@@ -307,7 +307,7 @@
         known.update(report.factors)
         now = self._clock.now()
         self._resting[report.vm.id] = {
-            target: now + seconds for target, seconds in report.resting.items()
+            target: now + seconds for target, seconds in report.backoffs.items()
         }
 
     def _rested(self, now: float) -> set[str]:
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/store_watching.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/store_watching.py
@@ -44,7 +44,6 @@
     """
 
     __slots__ = (
-        "_beliefs",
         "_clock",
         "_closely",
         "_events",
@@ -54,6 +53,7 @@
         "_records",
         "_restart",
         "_settings",
+        "_state",
         "_store",
         "_tasks",
     )
@@ -63,14 +63,14 @@
         configured: settings.StoreSettings,
         store: ports.StorePort,
         records: ports.RecordPort,
-        known: cluster_state.ClusterState,
+        state: cluster_state.ClusterState,
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
         self._settings = configured
         self._store = store
         self._records = records
-        self._beliefs = known
+        self._state = state
         self._clock = timer
         self._events = log
         self._read_delay = 0.0
@@ -119,8 +119,8 @@
             asyncio.create_task(
                 self._follow(
                     self._records.operator_prefix,
-                    lambda: self._beliefs.configuration_seen,
-                    self._beliefs.configuration_freshness,
+                    lambda: self._state.configuration_seen,
+                    self._state.configuration_freshness,
                     self._configuration_listed,
                     self._configuration_changed,
                 ),
@@ -129,8 +129,8 @@
             asyncio.create_task(
                 self._follow(
                     self._records.targets_prefix,
-                    lambda: self._beliefs.seen,
-                    self._beliefs.registrations_freshness,
+                    lambda: self._state.seen,
+                    self._state.registrations_freshness,
                     self._targets_listed,
                     self._targets_changed,
                 ),
@@ -191,11 +191,9 @@
             if found is None:
                 return None
             if isinstance(found, result.Ok):
-                self._beliefs.record_store_call(ok=True)
+                self._state.record_store_call(ok=True)
                 return found.ok_value, requested_at
-            self._beliefs.record_store_call(
-                ok=False, why=found.err_value.detail
-            )
+            self._state.record_store_call(ok=False, why=found.err_value.detail)
             await self._unless(
                 self._paused, asyncio.sleep(self._backoff(failures))
             )
@@ -238,7 +236,7 @@
                 continue
             if isinstance(watched, result.Ok):
                 failures = 0
-                self._beliefs.record_store_call(ok=True)
+                self._state.record_store_call(ok=True)
                 immediate = self._clock.now() - started_at < _IMMEDIATE_SECONDS
                 # Changes that ended a wait happened just now.
                 since = view.at if immediate else None
@@ -271,7 +269,7 @@
             if failures > 1:
                 # A single failure may be a cut connection during the wait; a
                 # second one means that the store is unavailable.
-                self._beliefs.record_store_call(ok=False, why=why)
+                self._state.record_store_call(ok=False, why=why)
             await asyncio.sleep(self._backoff(failures))
 
     def _wait(self, failures: int) -> float:
@@ -336,7 +334,7 @@
                 continue
             read = self._records.configuration(item.value)
             if isinstance(read, result.Ok):
-                self._beliefs.apply_configuration(read.ok_value, "store")
+                self._state.apply_configuration(read.ok_value, "store")
             else:
                 self._log_malformed("configuration", item, read.err_value)
 
@@ -354,7 +352,7 @@
         begun = self._evacuated(item.key for item in changes.items)
         ended = self._evacuated(key for key, _ in changes.removed)
         if begun or ended:
-            zones = set(self._beliefs.evacuations.zones)
+            zones = set(self._state.evacuations.zones)
             self._apply_evacuated((zones | begun) - ended, changes.revision)
         self._confirm_configuration(changes.revision)
 
@@ -364,20 +362,20 @@
         return {zone for zone in zones if zone is not None}
 
     def _apply_evacuated(self, zones: Iterable[str], revision: int) -> None:
-        self._beliefs.apply_evacuations(
+        self._state.apply_evacuations(
             eligibility.Evacuations(tuple(sorted(zones)), revision)
         )
 
     def _confirm_configuration(self, revision: int) -> None:
         """Records that the configuration is current up to a revision."""
-        state = self._beliefs
+        state = self._state
         state.confirm_configuration(
             state.version, revision, state.evacuations.zones
         )
 
     def _targets_listed(self, listing: ports.Listing) -> None:
         """Applies the whole list of registrations."""
-        self._beliefs.replace_targets(
+        self._state.replace_targets(
             self._decode(listing.items), listing.revision
         )
 
@@ -385,9 +383,9 @@
         self, changes: ports.Changes, since: float | None
     ) -> None:
         self._targets_written(changes.items, since)
-        gone_since = self._beliefs.removed_since(since)
+        gone_since = self._state.removed_since(since)
         self._targets_removed(changes.removed, gone_since)
-        self._beliefs.seen = max(self._beliefs.seen, changes.revision)
+        self._state.seen = max(self._state.seen, changes.revision)
 
     def _targets_written(
         self, items: Iterable[ports.Item], since: float | None
@@ -420,7 +418,7 @@
         names = [target.id for target in targets]
         names += [name for name, _ in vanished]
         times = {} if since is None else dict.fromkeys(names, since)
-        self._beliefs.apply_registrations(targets, vanished, times)
+        self._state.apply_registrations(targets, vanished, times)
 
     def _decode(self, items: Iterable[ports.Item]) -> list[directory.Target]:
         found = []
--- a/tests/gateway/test_cluster_state.py
+++ b/tests/gateway/test_cluster_state.py
@@ -34,7 +34,7 @@
     virtual.run(main())
 
 
-class TestNews:
+class TestUpdates:
     """Updates that build on earlier updates."""
 
     def test_lost_update_leaves_revision_unchanged(self):
--- a/tests/gateway/test_dissemination.py
+++ b/tests/gateway/test_dissemination.py
@@ -50,7 +50,7 @@
             relay = messages.decode(body, messages.Relay)
             self.relayed.append(address)
             addresses = (address, *relay.addresses)
-            body = relay.told
+            body = relay.update
         update = messages.decode(body, messages.ReportReply)
         reached = [a for a in addresses if a not in self.dead]
         self.sent.extend((a, update) for a in reached)
@@ -99,7 +99,7 @@
         _run(scenario)
 
 
-class TestNews:
+class TestUpdates:
     """Changes are sent at once, as deltas."""
 
     @pytest.mark.parametrize("behind", [0, 1])
@@ -116,9 +116,9 @@
             await asyncio.sleep(0.1)
             ((address, update),) = calls.sent
             assert address == "vm-2:1"
-            whole = update.news.configuration is not None
+            whole = update.state_update.configuration is not None
             assert whole is bool(behind)
-            assert (update.news.change is not None) is not whole
+            assert (update.state_update.change is not None) is not whole
 
         _run(scenario)
 
@@ -142,9 +142,9 @@
             state.apply_evacuations(eligibility.Evacuations(("east",), 9))
             await asyncio.sleep(0.1)
             sent = [
-                reply.news.evacuations
+                reply.state_update.evacuations
                 for _, reply in calls.sent
-                if reply.news is not None
+                if reply.state_update is not None
             ]
             expected = (
                 [eligibility.Evacuations(("east",), 9)] if updated else []
@@ -174,16 +174,16 @@
         async def scenario(sender, state, calls):
             old = assignments.Assignment("s", (1, 1), (0, 9), ("a", "b"))
             sender.publish(old)
-            lacking = sender.lacking(messages.Report(_vm("vm-2"), True))
-            assert lacking.assignments == (old,)
+            missing = sender.missing_updates(messages.Report(_vm("vm-2"), True))
+            assert missing.assignments == (old,)
             new = assignments.Assignment("s", (1, 2), (0, 9), ("a", "a"))
             sender.publish(new)
-            lacking = sender.lacking(
+            missing = sender.missing_updates(
                 messages.Report(_vm("vm-2"), True, versions={"s": (1, 1)})
             )
-            (difference,) = lacking.differences
+            (difference,) = missing.differences
             assert assignments.apply(old, difference).owner(10) == "a"
-            assert not lacking.assignments
+            assert not missing.assignments
 
         _run(scenario)
 
@@ -224,12 +224,14 @@
             ]
             for report in reports:
                 sender.take(report)
-                assert sender.answer(report).nothing
+                assert sender.updates_for_reply(report).empty
             calls.sent.clear()
             await asyncio.sleep(0.2)
             alive = [f"far-{n}:1" for n in range(dead, 6)]
             assert [address for address, _ in calls.sent] == alive
-            current = [sender.answer(report).nothing for report in reports]
+            current = [
+                sender.updates_for_reply(report).empty for report in reports
+            ]
             assert current == [False] * dead + [True] * len(alive)
             calls.dead.clear()
             calls.sent.clear()
@@ -280,7 +282,9 @@
             for report in reports:
                 sender.take(report)
             await asyncio.sleep(0.2)
-            current = [sender.answer(report).nothing for report in reports]
+            current = [
+                sender.updates_for_reply(report).empty for report in reports
+            ]
             assert current == [True, True, False, True]
 
         _run(scenario)
@@ -307,7 +311,7 @@
             await asyncio.sleep(3.0)
             updates = [update for _, update in calls.sent]
             assert len(updates) == 2
-            assert updates[-1].news.change.version == 11
+            assert updates[-1].state_update.change.version == 11
 
         _run(scenario)
 
@@ -340,8 +344,8 @@
                 routes.Configuration(2, added, state.configuration.services)
             )
             await asyncio.sleep(0.3)
-            assert sender.answer(report).nothing
+            assert sender.updates_for_reply(report).empty
             await asyncio.sleep(0.4)
-            assert sender.answer(report).nothing is not sent
+            assert sender.updates_for_reply(report).empty is not sent
 
         _run(scenario)
--- a/tests/gateway/test_leader_role.py
+++ b/tests/gateway/test_leader_role.py
@@ -416,7 +416,7 @@
             assert await two.leading.take_over("test")
             one.leading.step_down("replaced")
             word = None if restarted else one.leading.longer_grants()
-            two.leading.take_report(one.report(longer=word))
+            two.leading.take_report(one.report(extended_grants=word))
             began = virtual.now()
             await _until(lambda: orders.holders(0) - {"a"} != set(), seconds=60)
             assert least < virtual.now() - began < most
@@ -472,7 +472,7 @@
             one.leading.step_down("replaced")
             if says:
                 word = one.leading.longer_grants()
-                two.leading.take_report(one.report(longer=word))
+                two.leading.take_report(one.report(extended_grants=word))
             await _until(lambda: orders.holders(0) - {"a"} != set(), seconds=60)
             assert orders.clashes == []
             two.leading.step_down("end")
@@ -751,11 +751,14 @@
             news = messages.StateUpdate(
                 0, 9, (messages.TargetUpdate(leaving, 9, False, 0.0),)
             )
-            one.leading.take_report(two.report(news=news))
+            one.leading.take_report(two.report(state_update=news))
             one.leading.take_report(two.report(seen=5))
             await asyncio.sleep(0.1)
             reply = one.leading.take_report(two.report(seen=5))
-            told = {n.target.id: n.target.leaving for n in reply.news.targets}
+            told = {
+                n.target.id: n.target.leaving
+                for n in reply.state_update.targets
+            }
             assert told == {"a": True}
             one.leading.step_down("end")
 
--- a/tests/gateway/test_membership.py
+++ b/tests/gateway/test_membership.py
@@ -202,7 +202,7 @@
             update = messages.ReportReply(
                 ENTRY,
                 leading=True,
-                news=messages.StateUpdate(0, 7, (leaving,)),
+                state_update=messages.StateUpdate(0, 7, (leaving,)),
                 stamp=101.01,
             )
             changed_at = virtual.now() - 0.2
@@ -397,7 +397,7 @@
             for vm in cluster.vms.values():
                 vm.start()
             await asyncio.sleep(4.0)
-            leaders = {vm._beliefs.leader for vm in cluster.vms.values()}
+            leaders = {vm._state.leader for vm in cluster.vms.values()}
             assert len(leaders) == 1
             whole = store.lists[messages.VM_PREFIX]
             whole += store.lists[messages.STORE_PREFIX]
@@ -417,13 +417,13 @@
             for vm in cluster.vms.values():
                 vm.start()
             await asyncio.sleep(4.0)
-            first = cluster.vms["vm-000"]._beliefs.leader
+            first = cluster.vms["vm-000"]._state.leader
             lost = cluster.vms.pop(first.vm)
             lost._leader.step_down("killed")
             lost.abort()
             store.lists.clear()
             await asyncio.sleep(4.0)
-            epochs = {vm._beliefs.leader.epoch for vm in cluster.vms.values()}
+            epochs = {vm._state.leader.epoch for vm in cluster.vms.values()}
             assert epochs == {first.epoch + 1}
             assert store.lists[messages.VM_PREFIX] < 40
             for vm in cluster.vms.values():
--- a/tests/gateway/test_witnessing.py
+++ b/tests/gateway/test_witnessing.py
@@ -74,7 +74,7 @@
         return messages.Report(
             messages.VmEntry(self.name, self.boot, self.name, self.name),
             store=self.store.failing is None,
-            longer=self.leading.longer_grants(),
+            extended_grants=self.leading.longer_grants(),
             epoch=known.epoch if known else -1,
             promised=self.leading.witness.promised(),
         )
