--- a/packages/mimosastile-gateway/src/mimosastile_gateway/cluster_state.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/cluster_state.py
@@ -94,7 +94,7 @@
         "_settings",
         "_store_failed_at",
         "_subscribers",
-        "_vacancies",
+        "_unowned_ranges",
         "assignments",
         "backoffs",
         "configuration_freshness",
@@ -136,7 +136,7 @@
         self.assignments: dict[str, assignments.Assignment] = {}
         hold = configured.leader.hold
         lapse = leadership.lapsed_at(0.0, hold)
-        self._vacancies = unowned_ranges.UnownedRanges(
+        self._unowned_ranges = unowned_ranges.UnownedRanges(
             lapse, configured.leader.authority + lapse
         )
         self.evacuations = eligibility.Evacuations()
@@ -238,7 +238,7 @@
         for zone in ended:
             # Targets of the zone may be cold, but their registrations show
             # that only one or two heartbeats later.
-            self.directory.take_for_cold(zone, cold, now)
+            self.directory.mark_zone_cold(zone, cold, now)
         self._events.write(
             "targets",
             "evacuations_taken",
@@ -344,7 +344,7 @@
                 )
         return vms
 
-    def apply_registration(self, target: directory.Target) -> None:
+    def apply_target(self, target: directory.Target) -> None:
         """Applies a target's registration."""
         self.apply_registrations((target,))
 
@@ -419,7 +419,7 @@
 
     def _log_older_incarnation(self, target: directory.Target) -> None:
         """Logs a registration of an incarnation that has already ended."""
-        newer = self.directory.newer_run(target)
+        newer = self.directory.newer_incarnation(target)
         if newer is not None:
             self._events.write(
                 "targets",
@@ -449,12 +449,12 @@
         is_new = False
         lifts = not notice.names_limit and sent_at > -math.inf
         if notice.limit is not None or lifts:
-            is_new = self.apply_limit(target, notice.limit, sent_at)
+            is_new = self.record_limit(target, notice.limit, sent_at)
         if notice.leaving:
-            is_new = self.apply_leaving(target) or is_new
+            is_new = self.record_leaving(target) or is_new
         return is_new
 
-    def apply_limit(
+    def record_limit(
         self, target: directory.Target, rate: float | None, sent_at: float
     ) -> bool:
         """Applies the rate limit that a target's response set or left out.
@@ -475,7 +475,7 @@
         self.signal()
         return True
 
-    def merge_limits(self, received: Mapping[str, limits.LimitUpdate]) -> None:
+    def apply_limits(self, received: Mapping[str, limits.LimitUpdate]) -> None:
         """Applies limits of targets that other VMs have received."""
         now = self._clock.now()
         changed = [
@@ -506,7 +506,7 @@
             if entry and self.limits.pace(entry.target.id, entry.target.born)
         ]
 
-    def apply_leaving(self, target: directory.Target) -> bool:
+    def record_leaving(self, target: directory.Target) -> bool:
         """Applies a target's announcement of its shutdown in a response.
 
         Returns:
@@ -519,7 +519,7 @@
         self.signal()
         return True
 
-    def merge_leaving(self, received: Iterable[messages.LeavingTarget]) -> None:
+    def apply_leaving(self, received: Iterable[messages.LeavingTarget]) -> None:
         """Applies shutdowns that targets have announced to other VMs."""
         now = self._clock.now()
         new = [
@@ -545,7 +545,7 @@
             source=source,
         )
 
-    def announced_leaving(self) -> dict[str, messages.LeavingTarget]:
+    def leaving_updates(self) -> dict[str, messages.LeavingTarget]:
         """Returns the shutdowns that targets have announced, by target."""
         now = self._clock.now()
         return {
@@ -558,7 +558,7 @@
             if entry.announced_at is not None
         }
 
-    def apply_backoff(self, target: directory.Target, seconds: float) -> None:
+    def record_backoff(self, target: directory.Target, seconds: float) -> None:
         """Applies a backoff that a target requested from this VM.
 
         Args:
@@ -621,7 +621,7 @@
         if current is not None and new.version <= current.version:
             return False
         self.assignments[new.service] = new
-        self._vacancies.take(new, self._clock.now())
+        self._unowned_ranges.take(new, self._clock.now())
         self.signal()
         return True
 
@@ -634,7 +634,7 @@
         if updated is not None:
             self.apply_assignment(updated)
 
-    def updates_after(
+    def updates_since(
         self,
         seen: int,
         configuration: int,
@@ -723,7 +723,7 @@
             # them until this VM reports a revision that covers them.
             self.seen = max(self.seen, news.revision)
 
-    def record_peer_views(
+    def record_view_ages(
         self,
         seen: int,
         seen_at: float | None,
@@ -815,7 +815,7 @@
         )
         return True
 
-    def record_store_call(self, *, ok: bool, why: str = "") -> None:
+    def record_store_status(self, *, ok: bool, why: str = "") -> None:
         """Records whether a call to the store succeeded."""
         now = self._clock.now()
         if not ok:
@@ -854,8 +854,8 @@
             return _STORE_OUTAGE_RETRY_AFTER_SECONDS
         if entry is not None:
             # The owner is gone, but the leader has not moved the key yet.
-            return self._vacancies.expected(now - entry.since)
-        return self._vacancies.seconds(service, key, now)
+            return self._unowned_ranges.expected(now - entry.since)
+        return self._unowned_ranges.seconds(service, key, now)
 
     def versions(self) -> dict[str, assignments.Version]:
         """Returns the version of each assignment by service."""
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/dissemination.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/dissemination.py
@@ -158,11 +158,11 @@
     __slots__ = (
         "_calls",
         "_clock",
+        "_cluster",
         "_entry",
         "_events",
         "_here",
         "_published",
-        "_state",
         "_tasks",
         "_update_due",
         "_vms",
@@ -191,7 +191,7 @@
         self._here = here
         self._zone = zone
         self._calls = calls
-        self._state = state
+        self._cluster = state
         self._clock = timer
         self._events = log
         self._entry: leadership.LeaderEntry | None = None
@@ -224,7 +224,7 @@
             if vm.id != self._here:
                 self._start(self._announce(vm, body))
 
-    def request_take_over(self, vms: Iterable[messages.VmEntry]) -> None:
+    def request_takeover(self, vms: Iterable[messages.VmEntry]) -> None:
         """Requests VMs at once to take over as the leader.
 
         Args:
@@ -321,10 +321,10 @@
 
     def publish(self, present: assignments.Assignment) -> None:
         """Sends VMs an assignment, unless it equals the current one."""
-        current = self._state.assignments.get(present.service)
+        current = self._cluster.assignments.get(present.service)
         if current is not None and assignments.same(current, present):
             return
-        self._state.apply_assignment(present)
+        self._cluster.apply_assignment(present)
         self._published[present.service, present.version] = present
         while len(self._published) > _ASSIGNMENT_HISTORY_SIZE:
             del self._published[next(iter(self._published))]
@@ -351,7 +351,7 @@
     def missing_updates(self, report: messages.Report) -> MissingUpdates:
         """Returns the state that a VM is missing according to its report."""
         whole, changed = self._newer_than(report.versions)
-        news = self._state.updates_after(
+        news = self._cluster.updates_since(
             report.seen, report.configuration, report.evacuations
         )
         return MissingUpdates(whole, changed, news)
@@ -368,7 +368,7 @@
             Whole assignments, and changes of those that the VM has.
         """
         whole, changed = [], []
-        for name, present in self._state.assignments.items():
+        for name, present in self._cluster.assignments.items():
             version = versions.get(name)
             if version is not None and tuple(version) >= present.version:
                 continue
@@ -547,7 +547,7 @@
         for vm in vms:
             vm.sending = True
             vm.since = self._clock.now()
-        state = self._state
+        state = self._cluster
         return _View(
             state.versions(), state.seen, state.version, state.evacuations
         )
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
@@ -90,19 +90,23 @@
 
     __slots__ = (
         "_address",
-        "_admitting",
+        "_admission",
         "_alive",
+        "_balancer",
         "_boot",
         "_calls",
-        "_casualties",
         "_clock",
+        "_clock_offset",
+        "_cluster",
         "_confirmed_leaving",
+        "_crashes",
         "_deaths",
         "_ended",
         "_events",
         "_follow_requested",
         "_follows_store",
         "_found_at",
+        "_full_target_requests",
         "_keys",
         "_leader",
         "_leader_responded",
@@ -112,26 +116,22 @@
         "_news_seen",
         "_news_version",
         "_peers",
-        "_refused",
+        "_queues",
         "_report_due",
         "_reported_at",
         "_reported_leaving",
-        "_rooms",
         "_sent_factors",
         "_session",
         "_settings",
-        "_stamp",
         "_start_spread",
         "_started_at",
-        "_state",
         "_store",
         "_store_seconds",
         "_synced_leader",
         "_tasks",
-        "_turns",
         "_vms",
         "_vms_read_at",
-        "_watching",
+        "_watcher",
     )
 
     def __init__(
@@ -141,12 +141,12 @@
         store: ports.StorePort,
         calls: peer_calls.PeerCalls,
         state: cluster_state.ClusterState,
-        rooms: load_balancing.LoadBalancer,
+        balancer: load_balancing.LoadBalancer,
         leader: leader_role.LeaderRole,
         queues: wait_queues.WaitQueues,
-        places: admission_service.AdmissionService,
+        admission: admission_service.AdmissionService,
         watcher: store_watching.StoreWatcher,
-        dead: crash_detection.CrashDetector,
+        crashes: crash_detection.CrashDetector,
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
@@ -154,13 +154,13 @@
         self._boot = boot
         self._store = store
         self._calls = calls
-        self._state = state
-        self._rooms = rooms
+        self._cluster = state
+        self._balancer = balancer
         self._leader = leader
-        self._turns = queues
-        self._admitting = places
-        self._watching = watcher
-        self._casualties = dead
+        self._queues = queues
+        self._admission = admission
+        self._watcher = watcher
+        self._crashes = crashes
         self._clock = timer
         self._events = log
         self._address = configured.vm.peers
@@ -178,13 +178,15 @@
         self._deaths: list[quarantine.Death] = []
         self._ended: list[messages.EndedTarget] = []
         self._misses: list[messages.OwnershipMiss] = []
-        self._refused: collections.Counter[str] = collections.Counter()
+        self._full_target_requests: collections.Counter[str] = (
+            collections.Counter()
+        )
         self._vms = 1
         self._vms_read_at = float("-inf")
         self._peers: tuple[messages.VmEntry, ...] = ()
         self._sent_factors: dict[str, float] = {}
         self._synced_leader: leadership.LeaderEntry | None = None
-        self._stamp: freshness.ClockOffset | None = None
+        self._clock_offset: freshness.ClockOffset | None = None
         self._confirmed_leaving: dict[str, int] = {}
         self._reported_leaving: dict[str, messages.LeavingTarget] = {}
         self._news_seen = 0
@@ -210,13 +212,13 @@
     @property
     def count(self) -> int:
         """Number of VMs that share the load, as far as known; at least 1."""
-        return max(len(self._state.vms), self._vms, 1)
+        return max(len(self._cluster.vms), self._vms, 1)
 
     def set_address(self, address: str) -> None:
         """Sets the address on which this VM listens for its peers."""
         self._address = address
         self._leader.address = address
-        self._admitting.address = address
+        self._admission.address = address
 
     def start(self) -> None:
         """Starts the tasks that register this VM and send its reports."""
@@ -248,25 +250,25 @@
         """Records that a target responds."""
         self._alive.add(target)
 
-    def record_crashes(self, deaths: list[quarantine.Death]) -> None:
+    def report_crashes(self, deaths: list[quarantine.Death]) -> None:
         """Records confirmed crashes of targets."""
         self._deaths.extend(deaths)
 
     def record_end(self, target: directory.Target) -> None:
         """Records that another target responds at a target's address."""
         self._ended.append(messages.EndedTarget(target.id, target.born))
-        self._state.end_incarnation(target.id, target.born)
+        self._cluster.end_incarnation(target.id, target.born)
 
-    def record_refusal(self, target: str) -> None:
+    def report_full_target(self, target: str) -> None:
         """Records a request that was refused because a target is full.
 
         Requests that are refused at once are in no queue; without this record
         the leader would not see the demand for the target.
         """
-        self._refused[target] += 1
-        self.report_early()
+        self._full_target_requests[target] += 1
+        self.report_soon()
 
-    def report_early(self) -> None:
+    def report_soon(self) -> None:
         """Triggers an early report.
 
         Used when a target without an admission gate is at capacity.
@@ -280,10 +282,10 @@
         Args:
             seconds: Longest wait.
         """
-        self.report_early()
+        self.report_soon()
         await clock.wait(self._leader_responded, seconds)
 
-    def record_miss(self, service: str, key: int, target: str) -> None:
+    def report_miss(self, service: str, key: int, target: str) -> None:
         """Records that a target rejected a key that it should own."""
         if len(self._misses) < _KEYS_PER_REPORT:
             self._misses.append(messages.OwnershipMiss(service, key, target))
@@ -294,9 +296,9 @@
         if self._leader.leading:
             seconds = 0.0
         return messages.LeaderContact(
-            self._state.leader,
+            self._cluster.leader,
             seconds,
-            tuple(self._state.assignments.values()),
+            tuple(self._cluster.assignments.values()),
         )
 
     def _made_at(self, update: messages.ReportReply) -> float | None:
@@ -305,7 +307,9 @@
         Returns:
             The time; None if this VM has no estimate of that leader's clock.
         """
-        stamp = self._stamp if update.leader == self._synced_leader else None
+        stamp = (
+            self._clock_offset if update.leader == self._synced_leader else None
+        )
         if stamp is None or update.stamp is None:
             return None
         return stamp.from_peer(update.stamp)
@@ -320,14 +324,14 @@
             made_at: Time at or before which the leader made it, None if
                 unknown.
         """
-        self._state.merge_limits(reply.limits)
-        self._state.merge_leaving(reply.leaving)
+        self._cluster.apply_limits(reply.limits)
+        self._cluster.apply_leaving(reply.leaving)
         for assignment in reply.assignments:
-            self._state.apply_assignment(assignment)
+            self._cluster.apply_assignment(assignment)
         for difference in reply.differences:
-            self._state.apply_difference(difference)
+            self._cluster.apply_difference(difference)
         if reply.state_update is not None:
-            self._state.apply_update(reply.state_update, made_at)
+            self._cluster.apply_update(reply.state_update, made_at)
 
     # Registration.
 
@@ -354,7 +358,7 @@
         if self._session:
             kept = await self._store.keep_session(self._session)
             if isinstance(kept, result.Ok):
-                self._state.record_store_call(ok=True)
+                self._cluster.record_store_status(ok=True)
                 return True
             if isinstance(kept.err_value, ports.SessionLost):
                 self._events.write(
@@ -362,7 +366,7 @@
                 )
                 self._session = 0
             else:
-                self._state.record_store_call(
+                self._cluster.record_store_status(
                     ok=False, why=kept.err_value.detail
                 )
             return False
@@ -398,9 +402,11 @@
         """
         listed = await self._store.list(messages.STORE_PREFIX)
         if isinstance(listed, result.Err):
-            self._state.record_store_call(ok=False, why=listed.err_value.detail)
+            self._cluster.record_store_status(
+                ok=False, why=listed.err_value.detail
+            )
             return False
-        self._state.record_store_call(ok=True)
+        self._cluster.record_store_status(ok=True)
         for item in listed.ok_value.items:
             self._take_item(item)
         return True
@@ -420,14 +426,14 @@
             listed = await self._store.list(group, stale=True)
             if isinstance(listed, result.Err):
                 return
-            found = self._state.read_vms(listed.ok_value.items)
+            found = self._cluster.read_vms(listed.ok_value.items)
             self._peers = tuple(vm for vm in found if vm.id != here)
             if len(self._peers) >= _QUERIED_PEERS:
                 return
         listed = await self._store.list(messages.VM_PREFIX, stale=True)
         if isinstance(listed, result.Ok):
-            self._state.replace_vms(listed.ok_value.items)
-            registered = self._state.vms.values()
+            self._cluster.replace_vms(listed.ok_value.items)
+            registered = self._cluster.vms.values()
             self._peers = tuple(vm for vm in registered if vm.id != here)
 
     def _take_item(self, item: ports.Item) -> None:
@@ -440,7 +446,7 @@
             elif item.key.startswith(messages.TABLE_PREFIX):
                 table = messages.decode(item.value, ranges.RangeTable)
                 pieces = {part.piece for part in table.ranges}
-                self._state.apply_assignment(
+                self._cluster.apply_assignment(
                     assignments.of_table(table, (0, table.version), pieces)
                 )
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -450,7 +456,7 @@
 
     def _take_leader(self, entry: leadership.LeaderEntry) -> None:
         """Follows a leader if its epoch is later than the current one's."""
-        if self._state.record_leader(entry):
+        if self._cluster.record_leader(entry):
             self._leader_seen_at = self._clock.now()
             self._leader.outranked_by(entry)
             self._report_due.set()
@@ -480,7 +486,7 @@
             reply = self._leader.take_report(report)
             self._take_reply(reply)
             return
-        leader = self._state.leader
+        leader = self._cluster.leader
         if leader is not None and leader.vm != self._settings.vm.id:
             response = await self._send_report(leader.address, report)
             if response is not None:
@@ -492,7 +498,7 @@
     async def _without_leader(self) -> None:
         """Falls back to the store after the leader did not respond."""
         silent = self._clock.now() - self._leader_seen_at
-        leader = self._state.leader
+        leader = self._cluster.leader
         if silent > self._grace():
             # Now the VM depends on its own watch, which may be broken.
             self._follow_store(
@@ -510,29 +516,32 @@
         While VMs start, targets register as well; each VM that watched the
         store by itself would read all these registrations.
         """
-        led = self._state.leader is not None
+        led = self._cluster.leader is not None
         grace = self._start_spread * (
             _LED_START_GRACE_SECONDS if led else _START_GRACE_SECONDS
         )
         started = self._clock.now() - self._started_at > grace
-        return 0.0 if started and self._state.seen else grace
+        return 0.0 if started and self._cluster.seen else grace
 
     def _make_report(self) -> messages.Report:
         """Returns the next report and resets what was recorded for it."""
         keys, self._keys = dict(self._keys), collections.defaultdict(list)
         misses, self._misses = tuple(self._misses), []
-        wanted, self._refused = self._refused, collections.Counter()
-        wanted.update(self._turns.waiting())
-        wanted.update(self._admitting.waiting())
+        wanted, self._full_target_requests = (
+            self._full_target_requests,
+            collections.Counter(),
+        )
+        wanted.update(self._queues.waiting())
+        wanted.update(self._admission.waiting())
         ended, self._ended = tuple(self._ended), []
         deaths, self._deaths = tuple(self._deaths), []
         alive, self._alive = tuple(self._alive), set()
-        leader = self._state.leader
+        leader = self._cluster.leader
         return messages.Report(
             self.entry,
-            self._state.store_ok,
+            self._cluster.store_ok,
             keys,
-            self._rooms.own(),
+            self._balancer.own(),
             wanted,
             self._works(),
             self._changed_factors(),
@@ -540,19 +549,19 @@
             deaths,
             ended,
             misses,
-            self._state.versions(),
-            self._state.seen,
-            self._state.version,
-            self._state.configuration_seen,
+            self._cluster.versions(),
+            self._cluster.seen,
+            self._cluster.version,
+            self._cluster.configuration_seen,
             self._own_news(),
-            self._admitting.stopping,
+            self._admission.stopping,
             self._leader.longer_grants(),
             leader.epoch if leader else -1,
             self._leader.witness.promised(),
-            self._state.evacuations,
-            self._state.limits.unknown_to_leader(self._clock.now()),
+            self._cluster.evacuations,
+            self._cluster.limits.unknown_to_leader(self._clock.now()),
             self._unreported_leaving(),
-            self._state.backoffs.long(self._clock.now()),
+            self._cluster.backoffs.long(self._clock.now()),
             *self._complete_at(),
         )
 
@@ -563,13 +572,13 @@
             Times of the leader's clock, for registrations and configuration;
             None for those that are unknown or come from the leader itself.
         """
-        stamp = self._stamp
-        same = self._synced_leader == self._state.leader
+        stamp = self._clock_offset
+        same = self._synced_leader == self._cluster.leader
         if stamp is None or not same or not self._follows_store:
             return None, None
         views = (
-            self._state.registrations_freshness.at,
-            self._state.configuration_freshness.at,
+            self._cluster.registrations_freshness.at,
+            self._cluster.configuration_freshness.at,
         )
         seen, operated = (
             None if at is None else stamp.to_peer(at) for at in views
@@ -581,7 +590,7 @@
 
         The next response to a report confirms that the leader received them.
         """
-        self._reported_leaving = self._state.announced_leaving()
+        self._reported_leaving = self._cluster.leaving_updates()
         return tuple(
             leaving
             for name, leaving in self._reported_leaving.items()
@@ -593,7 +602,7 @@
         sent = self._sent_factors
         changed = {
             target: factor
-            for target, factor in self._rooms.factors().items()
+            for target, factor in self._balancer.factors().items()
             if abs(factor - sent.get(target, 1.0)) > _MIN_FACTOR_CHANGE * factor
         }
         sent.update(changed)
@@ -606,10 +615,10 @@
         has requested to watch the store as well. Before its first response,
         this VM does not know what is missing and would send everything.
         """
-        synced = self._synced_leader == self._state.leader
+        synced = self._synced_leader == self._cluster.leader
         if self._leader.leading or not synced or not self._follow_requested:
             return None
-        return self._state.updates_after(
+        return self._cluster.updates_since(
             self._news_seen, self._news_version, self._news_evacuations
         )
 
@@ -618,7 +627,7 @@
         here = self._settings.vm.id
         chosen = here in reply.watchers or self._leader.leading
         reported_at = self._reported_at
-        self._state.record_peer_views(
+        self._cluster.record_view_ages(
             reply.seen,
             None if reply.seen_age is None else reported_at - reply.seen_age,
             reply.configuration,
@@ -630,7 +639,7 @@
         self._news_seen = reply.seen
         self._news_version = reply.configuration
         self._news_evacuations = reply.evacuations
-        self._state.confirm_configuration(
+        self._cluster.confirm_configuration(
             reply.configuration,
             reply.configuration_seen,
             reply.evacuations.zones,
@@ -653,7 +662,7 @@
     ) -> None:
         """Switches between following the store and relying on the leader."""
         self._follows_store = follows
-        self._watching.rely_on_leader(
+        self._watcher.set_leader_reliable(
             not follows,
             read_delay=read_delay,
             closely=closely or self._leader.leading,
@@ -665,13 +674,15 @@
         Returns:
             Seconds by service.
         """
-        configuration = self._state.configuration
+        configuration = self._cluster.configuration
         if configuration is None:
             return {}
         return {
-            route.parts[0].service: round(self._rooms.work(route.name, 0.0), 4)
+            route.parts[0].service: round(
+                self._balancer.work(route.name, 0.0), 4
+            )
             for route in configuration.routes
-            if len(route.parts) == 1 and self._rooms.work(route.name, 0.0)
+            if len(route.parts) == 1 and self._balancer.work(route.name, 0.0)
         }
 
     async def _send_report(
@@ -705,9 +716,9 @@
         self._leader.hear(reply)
         self._vms = reply.vms
         for death in reply.crashes:
-            self._casualties.learn(death, now)
+            self._crashes.learn(death, now)
         if reply.stamp is not None:
-            self._stamp = freshness.ClockOffset(
+            self._clock_offset = freshness.ClockOffset(
                 reply.stamp, self._reported_at, now
             )
         if reply.leader != self._synced_leader:
@@ -720,9 +731,9 @@
                 name: leaving.born
                 for name, leaving in self._reported_leaving.items()
             }
-        self._rooms.learn_others(reply.under_way, now)
-        self._rooms.learn_gates(reply.gates, now)
-        self._state.limits.take_told(reply.limits, now)
+        self._balancer.record_other_requests(reply.under_way, now)
+        self._balancer.replace_gates(reply.gates, now)
+        self._cluster.limits.record_leader_view(reply.limits, now)
         self._apply_update(reply, self._reported_at)
         self._rely(reply)
         self._leader_responded.set()
@@ -740,10 +751,10 @@
         """Applies an update that a leader has sent unrequested."""
         if update.leader is not None:
             self._take_leader(update.leader)
-        leader = self._state.leader
+        leader = self._cluster.leader
         if not update.leading or update.leader != leader:
             return
-        self._rooms.learn_new_gates(update.gates)
+        self._balancer.add_gates(update.gates)
         self._apply_update(update, self._made_at(update))
         if update.take_over:
             self._take_over_soon()
@@ -791,14 +802,14 @@
         if silent < limit + self._lookup_wait():
             await self._find_leader(silent)
             return
-        if self._state.leader is None:
+        if self._cluster.leader is None:
             wait = self._take_over_wait(None)
             if silent < limit + wait:
                 await self._find_leader(silent)
                 return
         if not await (self.read_store() if self._few else self._read_leader()):
             return
-        leader = self._state.leader
+        leader = self._cluster.leader
         if leader is not None and leader.vm != self._settings.vm.id:
             if self._clock.now() - self._leader_seen_at < limit:
                 # The store has just named a new leader.
@@ -816,7 +827,7 @@
             silent: Seconds since the last message of a leader.
         """
         now = self._clock.now()
-        if self._state.leader is not None:
+        if self._cluster.leader is not None:
             return
         if (
             silent < _FIND_LEADER_SECONDS
@@ -840,9 +851,11 @@
         """Reads the leader's entry; returns whether the store responded."""
         read = await self._store.read(messages.LEADER_KEY)
         if isinstance(read, result.Err):
-            self._state.record_store_call(ok=False, why=read.err_value.detail)
+            self._cluster.record_store_status(
+                ok=False, why=read.err_value.detail
+            )
             return False
-        self._state.record_store_call(ok=True)
+        self._cluster.record_store_status(ok=True)
         if read.ok_value is not None:
             self._take_item(read.ok_value)
         return True
@@ -875,7 +888,7 @@
 
     def _jitter(self) -> float:
         """Returns a pseudo-random number from 0 to 1, new for each epoch."""
-        leader = self._state.leader
+        leader = self._cluster.leader
         epoch = leader.epoch if leader else 0
         seed = f"{self._settings.vm.id}/{self._boot}/{epoch}".encode()
         return zlib.crc32(seed) / _HASH_RANGE
@@ -903,7 +916,7 @@
             seed = f"{entry.id}/{epoch}".encode()
             return entry.id == former, entry.order, zlib.crc32(seed)
 
-        candidates = {**self._state.vms, here.id: self.entry}
+        candidates = {**self._cluster.vms, here.id: self.entry}
         ranked = sorted(candidates.values(), key=order)
         return [entry.id for entry in ranked].index(here.id)
 
@@ -915,7 +928,7 @@
         """
         others = [
             entry
-            for entry in self._peers or self._state.vms.values()
+            for entry in self._peers or self._cluster.vms.values()
             if entry.id not in (leader.vm, self._settings.vm.id)
         ]
         others.sort(key=lambda _: self._clock.random())
@@ -959,7 +972,7 @@
         fresh = view.seconds < self._settings.leader.suspect
         if fresh:
             for assignment in view.assignments:
-                self._state.apply_assignment(assignment)
+                self._cluster.apply_assignment(assignment)
         return fresh
 
     async def _take_over(self, why: str) -> None:
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/store_watching.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/store_watching.py
@@ -39,13 +39,14 @@
     A watch may hang, its connection may be cut, and the store may drop its
     history. After a failure a new watch continues at the last revision; after a
     dropped history, the prefix is listed again. Watches wait only briefly, so
-    that one that hangs is detected. Watching starts once `rely_on_leader`
+    that one that hangs is detected. Watching starts once `set_leader_reliable`
     reports that the leader cannot be relied on.
     """
 
     __slots__ = (
         "_clock",
         "_closely",
+        "_cluster",
         "_events",
         "_needed",
         "_paused",
@@ -53,7 +54,6 @@
         "_records",
         "_restart",
         "_settings",
-        "_state",
         "_store",
         "_tasks",
     )
@@ -70,7 +70,7 @@
         self._settings = configured
         self._store = store
         self._records = records
-        self._state = state
+        self._cluster = state
         self._clock = timer
         self._events = log
         self._read_delay = 0.0
@@ -81,7 +81,7 @@
         self._paused.set()
         self._tasks: list[asyncio.Task[None]] = []
 
-    def rely_on_leader(
+    def set_leader_reliable(
         self, relies: bool, *, read_delay: float = 0.0, closely: bool = False
     ) -> None:
         """Pauses watching while the leader sends updates, or resumes it.
@@ -119,8 +119,8 @@
             asyncio.create_task(
                 self._follow(
                     self._records.operator_prefix,
-                    lambda: self._state.configuration_seen,
-                    self._state.configuration_freshness,
+                    lambda: self._cluster.configuration_seen,
+                    self._cluster.configuration_freshness,
                     self._configuration_listed,
                     self._configuration_changed,
                 ),
@@ -129,8 +129,8 @@
             asyncio.create_task(
                 self._follow(
                     self._records.targets_prefix,
-                    lambda: self._state.seen,
-                    self._state.registrations_freshness,
+                    lambda: self._cluster.seen,
+                    self._cluster.registrations_freshness,
                     self._targets_listed,
                     self._targets_changed,
                 ),
@@ -191,9 +191,11 @@
             if found is None:
                 return None
             if isinstance(found, result.Ok):
-                self._state.record_store_call(ok=True)
+                self._cluster.record_store_status(ok=True)
                 return found.ok_value, requested_at
-            self._state.record_store_call(ok=False, why=found.err_value.detail)
+            self._cluster.record_store_status(
+                ok=False, why=found.err_value.detail
+            )
             await self._unless(
                 self._paused, asyncio.sleep(self._backoff(failures))
             )
@@ -236,7 +238,7 @@
                 continue
             if isinstance(watched, result.Ok):
                 failures = 0
-                self._state.record_store_call(ok=True)
+                self._cluster.record_store_status(ok=True)
                 immediate = self._clock.now() - started_at < _IMMEDIATE_SECONDS
                 # Changes that ended a wait happened just now.
                 since = view.at if immediate else None
@@ -269,7 +271,7 @@
             if failures > 1:
                 # A single failure may be a cut connection during the wait; a
                 # second one means that the store is unavailable.
-                self._state.record_store_call(ok=False, why=why)
+                self._cluster.record_store_status(ok=False, why=why)
             await asyncio.sleep(self._backoff(failures))
 
     def _wait(self, failures: int) -> float:
@@ -334,7 +336,7 @@
                 continue
             read = self._records.configuration(item.value)
             if isinstance(read, result.Ok):
-                self._state.apply_configuration(read.ok_value, "store")
+                self._cluster.apply_configuration(read.ok_value, "store")
             else:
                 self._log_malformed("configuration", item, read.err_value)
 
@@ -352,7 +354,7 @@
         begun = self._evacuated(item.key for item in changes.items)
         ended = self._evacuated(key for key, _ in changes.removed)
         if begun or ended:
-            zones = set(self._state.evacuations.zones)
+            zones = set(self._cluster.evacuations.zones)
             self._apply_evacuated((zones | begun) - ended, changes.revision)
         self._confirm_configuration(changes.revision)
 
@@ -362,20 +364,20 @@
         return {zone for zone in zones if zone is not None}
 
     def _apply_evacuated(self, zones: Iterable[str], revision: int) -> None:
-        self._state.apply_evacuations(
+        self._cluster.apply_evacuations(
             eligibility.Evacuations(tuple(sorted(zones)), revision)
         )
 
     def _confirm_configuration(self, revision: int) -> None:
         """Records that the configuration is current up to a revision."""
-        state = self._state
+        state = self._cluster
         state.confirm_configuration(
             state.version, revision, state.evacuations.zones
         )
 
     def _targets_listed(self, listing: ports.Listing) -> None:
         """Applies the whole list of registrations."""
-        self._state.replace_targets(
+        self._cluster.replace_targets(
             self._decode(listing.items), listing.revision
         )
 
@@ -383,9 +385,9 @@
         self, changes: ports.Changes, since: float | None
     ) -> None:
         self._targets_written(changes.items, since)
-        gone_since = self._state.removed_since(since)
+        gone_since = self._cluster.removed_since(since)
         self._targets_removed(changes.removed, gone_since)
-        self._state.seen = max(self._state.seen, changes.revision)
+        self._cluster.seen = max(self._cluster.seen, changes.revision)
 
     def _targets_written(
         self, items: Iterable[ports.Item], since: float | None
@@ -418,7 +420,7 @@
         names = [target.id for target in targets]
         names += [name for name, _ in vanished]
         times = {} if since is None else dict.fromkeys(names, since)
-        self._state.apply_registrations(targets, vanished, times)
+        self._cluster.apply_registrations(targets, vanished, times)
 
     def _decode(self, items: Iterable[ports.Item]) -> list[directory.Target]:
         found = []
--- a/tests/gateway/test_cluster_state.py
+++ b/tests/gateway/test_cluster_state.py
@@ -80,9 +80,9 @@
         def check(state):
             former = state.configuration
             state.apply_configuration(routes.Configuration(2, former.routes))
-            assert state.updates_after(0, 1).change.base == 1
-            assert state.updates_after(0, -1).configuration.version == 2
-            assert state.updates_after(0, 2) is None
+            assert state.updates_since(0, 1).change.base == 1
+            assert state.updates_since(0, -1).configuration.version == 2
+            assert state.updates_since(0, 2) is None
 
         _run(check)
 
@@ -134,7 +134,7 @@
             state.apply_configuration(
                 routes.Configuration(2, services={"s": service})
             )
-            state.apply_registration(fakes.target("x"))
+            state.apply_target(fakes.target("x"))
             state.apply_evacuations(eligibility.Evacuations(("z",), 3))
             assert not state.cold_targets()
             state.apply_evacuations(eligibility.Evacuations((), 4))
@@ -197,7 +197,7 @@
             )
             for name, zone in (("a", "z"), ("b", "z"), ("c", "far")):
                 warm_at = 3.0 if name in cold else 0.0
-                state.apply_registration(
+                state.apply_target(
                     fakes.target(name, zone=zone, warm_at=warm_at)
                 )
             state.apply_evacuations(eligibility.Evacuations(evacuated, 3))
@@ -231,7 +231,7 @@
             state.seen = 5
             await asyncio.sleep(10.0)
             evacuations = eligibility.Evacuations(zones, 9 if zones else 0)
-            state.record_peer_views(seen, 8.0, version, evacuations, 7.0)
+            state.record_view_ages(seen, 8.0, version, evacuations, 7.0)
             assert fakes.ages(state) == ages
 
         virtual.run(main())
--- a/tests/gateway/test_membership.py
+++ b/tests/gateway/test_membership.py
@@ -146,8 +146,8 @@
         async def scenario(member, state, store, calls):
             member.start()
             member.apply_push(_announced())
-            member.record_refusal("a")
-            member.record_refusal("a")
+            member.report_full_target("a")
+            member.report_full_target("a")
             await asyncio.sleep(0.1)
             assert calls.reports[0][1].waiting == {"a": 2}
             await asyncio.sleep(0.5)
@@ -309,13 +309,13 @@
             member.apply_push(_announced())
             await asyncio.sleep(0.45)
             before = len(calls.reports)
-            member.record_refusal("a")
+            member.report_full_target("a")
             await asyncio.sleep(0.05)
             assert len(calls.reports) == before + 1
             assert calls.reports[-1][1].waiting == {"a": 1}
             # Further requests cause no further reports.
             for _ in range(20):
-                member.record_refusal("a")
+                member.report_full_target("a")
                 await asyncio.sleep(0.01)
             assert len(calls.reports) == before + 1
 
@@ -332,7 +332,7 @@
                 ENTRY, leading=True, gates={"a": "gate:1"}
             )
             member.apply_push(update)
-            assert member._rooms.gate("a", virtual.now()) == "gate:1"
+            assert member._balancer.gate("a", virtual.now()) == "gate:1"
 
         _run(scenario)
 
@@ -397,7 +397,7 @@
             for vm in cluster.vms.values():
                 vm.start()
             await asyncio.sleep(4.0)
-            leaders = {vm._state.leader for vm in cluster.vms.values()}
+            leaders = {vm._cluster.leader for vm in cluster.vms.values()}
             assert len(leaders) == 1
             whole = store.lists[messages.VM_PREFIX]
             whole += store.lists[messages.STORE_PREFIX]
@@ -417,13 +417,13 @@
             for vm in cluster.vms.values():
                 vm.start()
             await asyncio.sleep(4.0)
-            first = cluster.vms["vm-000"]._state.leader
+            first = cluster.vms["vm-000"]._cluster.leader
             lost = cluster.vms.pop(first.vm)
             lost._leader.step_down("killed")
             lost.abort()
             store.lists.clear()
             await asyncio.sleep(4.0)
-            epochs = {vm._state.leader.epoch for vm in cluster.vms.values()}
+            epochs = {vm._cluster.leader.epoch for vm in cluster.vms.values()}
             assert epochs == {first.epoch + 1}
             assert store.lists[messages.VM_PREFIX] < 40
             for vm in cluster.vms.values():
--- a/tests/gateway/test_news_histories.py
+++ b/tests/gateway/test_news_histories.py
@@ -115,8 +115,8 @@
         while virtual.now() < self._ends + 4.0:
             for name, vm in self.fleet.vms.items():
                 observed = self._observed[name]
-                if not observed or observed[-1][1] != vm.beliefs.version:
-                    observed.append((virtual.now(), vm.beliefs.version))
+                if not observed or observed[-1][1] != vm.cluster.version:
+                    observed.append((virtual.now(), vm.cluster.version))
             await asyncio.sleep(_SAMPLE_SECONDS)
 
     # Evaluation.
--- a/tests/gateway/test_news_in_time.py
+++ b/tests/gateway/test_news_in_time.py
@@ -45,7 +45,7 @@
     while len(took) < len(cluster.vms) - len(excluded):
         assert virtual.now() < since + 30.0
         for name, vm in cluster.vms.items():
-            if name not in excluded and vm.beliefs.version >= version:
+            if name not in excluded and vm.cluster.version >= version:
                 took.setdefault(name, virtual.now() - since)
         await asyncio.sleep(0.01)
     return took
@@ -138,7 +138,7 @@
             outdated = [
                 name
                 for name, vm in cluster.vms.items()
-                if vm.beliefs.version < 3
+                if vm.cluster.version < 3
             ]
             assert outdated == []
             await cluster.call(6.0, 200.0, "/p")
--- a/tests/gateway/test_reload.py
+++ b/tests/gateway/test_reload.py
@@ -33,16 +33,16 @@
         async def main():
             log = fakes.Lines()
             made = _daemon(log)
-            known = made._beliefs
+            known = made._cluster
             new = fakes.configured()
             new.bounds = settings.BoundSettings(drain=1.0, retry_fixed=9.0)
             made.take_settings(new)
             leaving = fakes.target("a", leaving=True)
-            known.apply_registration(leaving)
+            known.apply_target(leaving)
             entry = known.directory.get("a")
             assert entry.standing is directory.TargetStatus.LEAVING
             assert entry.until == pytest.approx(entry.since + 0.9)
-            assert made._forwarding._settings.bounds.retry_fixed == 9.0
+            assert made._forwarder._settings.bounds.retry_fixed == 9.0
             assert log.named("settings_read")[0]["at_next_start"] == []
 
         virtual.run(main())
--- a/tests/gateway/test_store_watching.py
+++ b/tests/gateway/test_store_watching.py
@@ -65,7 +65,7 @@
     async def main():
         watcher, state, log = _watcher(store, fakes.target("a"))
         state.seen = seen
-        watcher.rely_on_leader(False)
+        watcher.set_leader_reliable(False)
         watcher.start()
         await asyncio.sleep(2.0)
         await scenario(state, log)
@@ -190,11 +190,11 @@
 
         async def main():
             watcher, _, log = _watcher(store)
-            watcher.rely_on_leader(False)
+            watcher.set_leader_reliable(False)
             watcher.start()
             await asyncio.sleep(1.0)
             assert store.lists["servers/"] == 1
-            watcher.rely_on_leader(True)
+            watcher.set_leader_reliable(True)
             await asyncio.sleep(20.0)
             assert store.lists["servers/"] == 1
             assert not log.named("targets_listed")
@@ -208,7 +208,7 @@
 
         async def main():
             watcher, _, _ = _watcher(store)
-            watcher.rely_on_leader(False, read_delay=1.2)
+            watcher.set_leader_reliable(False, read_delay=1.2)
             watcher.start()
             await asyncio.sleep(0.5)
             assert store.lists["servers/"] == 0
@@ -278,7 +278,7 @@
             await asyncio.sleep(current)
             state.registrations_freshness.note(virtual.now())
             await asyncio.sleep(followed - current)
-            watcher.rely_on_leader(False)
+            watcher.set_leader_reliable(False)
             await asyncio.sleep(max(leaves_at - followed, 0.0) + 0.1)
             entry = state.directory.get("a")
             assert entry.target.leaving
@@ -309,7 +309,7 @@
             watcher.start()
             state.registrations_freshness.note(virtual.now())
             await asyncio.sleep(8.0)
-            watcher.rely_on_leader(False)
+            watcher.set_leader_reliable(False)
             gone = ports.Changes((), (("servers/a", 41),), 41)
             if not listed:
                 store.scripted.append(gone)
@@ -327,12 +327,10 @@
         async def main():
             timer, log = fakes.VirtualClock(), fakes.Lines()
             leader = fakes.known(timer, log, fakes.target("a"))
-            leader.apply_registration(
-                fakes.target("a", leaving=True, revision=5)
-            )
+            leader.apply_target(fakes.target("a", leaving=True, revision=5))
             leader.seen = 5
             await asyncio.sleep(1.5)
-            update = leader.updates_after(1, leader.version)
+            update = leader.updates_since(1, leader.version)
             behind = fakes.known(timer, log, fakes.target("a"))
             behind.apply_update(update)
             ends = [vm.directory.get("a").until for vm in (leader, behind)]
@@ -359,7 +357,7 @@
         async def main():
             watcher, state, _ = _watcher(Delayed(), fakes.target("a"))
             state.seen = state.configuration_seen = 40
-            watcher.rely_on_leader(False)
+            watcher.set_leader_reliable(False)
             watcher.start()
             wait = settings.StoreSettings(address="").watch_wait
             await asyncio.sleep(wait + delay + 0.01)
@@ -380,10 +378,10 @@
 
         async def main():
             watcher, state, _ = _watcher(store, fakes.target("a"))
-            watcher.rely_on_leader(False)
+            watcher.set_leader_reliable(False)
             watcher.start()
             await asyncio.sleep(leads_at)
-            watcher.rely_on_leader(False, closely=True)
+            watcher.set_leader_reliable(False, closely=True)
             await asyncio.sleep(0.5)
             store.silence()
             await asyncio.sleep(contact_seconds)
