--- a/packages/mimosastile-gateway/src/mimosastile_gateway/cluster_state.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/cluster_state.py
@@ -432,14 +432,14 @@
     def apply_feedback(
         self,
         target: directory.Target,
-        notice: target_feedback.TargetFeedback,
+        feedback: target_feedback.TargetFeedback,
         sent_at: float = -math.inf,
     ) -> bool:
         """Applies the target feedback of a response, of any status.
 
         Args:
             target: The target.
-            notice: The target feedback of the response.
+            feedback: The target feedback of the response.
             sent_at: When the request was sent, if a response without a limit
                 means that the target has none.
 
@@ -447,10 +447,10 @@
             Whether all VMs should receive an update.
         """
         is_new = False
-        lifts = not notice.names_limit and sent_at > -math.inf
-        if notice.limit is not None or lifts:
-            is_new = self.record_limit(target, notice.limit, sent_at)
-        if notice.leaving:
+        lifts = not feedback.names_limit and sent_at > -math.inf
+        if feedback.limit is not None or lifts:
+            is_new = self.record_limit(target, feedback.limit, sent_at)
+        if feedback.leaving:
             is_new = self.record_leaving(target) or is_new
         return is_new
 
@@ -682,25 +682,25 @@
         )
 
     def apply_update(
-        self, news: messages.StateUpdate, made_at: float | None = None
+        self, update: messages.StateUpdate, made_at: float | None = None
     ) -> None:
         """Applies changes that another VM has received from the store.
 
         Args:
-            news: The changes.
+            update: The changes.
             made_at: Time at or before which they were encoded, None for now.
-                The ages in `news` count from then.
+                The ages in `update` count from then.
         """
         now = self._clock.now()
         made_at = now if made_at is None else min(made_at, now)
-        if news.evacuations is not None:
-            self.apply_evacuations(news.evacuations)
-        if news.configuration is not None:
-            self.apply_configuration(news.configuration, "leader")
-        if news.change is not None and self.configuration is not None:
+        if update.evacuations is not None:
+            self.apply_evacuations(update.evacuations)
+        if update.configuration is not None:
+            self.apply_configuration(update.configuration, "leader")
+        if update.change is not None and self.configuration is not None:
             # A change relative to another version than the current one is
             # skipped; the next report names the current version.
-            updated = configurations.apply(self.configuration, news.change)
+            updated = configurations.apply(self.configuration, update.change)
             if updated is not None:
                 self.apply_configuration(updated, "leader")
         self.apply_registrations(
@@ -708,20 +708,20 @@
                 msgspec.structs.replace(
                     item.target, warm_at=now + item.warm_left
                 )
-                for item in news.targets
+                for item in update.targets
                 if not item.gone
             ),
             (
                 (item.target.id, item.revision)
-                for item in news.targets
+                for item in update.targets
                 if item.gone
             ),
-            {item.target.id: made_at - item.age for item in news.targets},
+            {item.target.id: made_at - item.age for item in update.targets},
         )
-        if news.after <= self.seen:
+        if update.after <= self.seen:
             # Otherwise earlier changes were lost in transit. The sender repeats
             # them until this VM reports a revision that covers them.
-            self.seen = max(self.seen, news.revision)
+            self.seen = max(self.seen, update.revision)
 
     def record_view_ages(
         self,
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/dissemination.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/dissemination.py
@@ -121,24 +121,26 @@
         Registrations go first, then routes, then owners of keys.
         """
         left = _SMALL_UPDATE_ITEMS
-        news = self.state_update
-        if news is not None:
-            left -= len(news.targets)
+        update = self.state_update
+        if update is not None:
+            left -= len(update.targets)
             if left < 0:
                 return MissingUpdates((), (), None)
-            change = news.change
+            change = update.change
             if change is not None and len(change.routes) > left:
                 change = None
             left -= len(change.routes) if change else 0
-            needed = news.targets or change or news.evacuations
-            news = (
-                msgspec.structs.replace(news, configuration=None, change=change)
+            needed = update.targets or change or update.evacuations
+            update = (
+                msgspec.structs.replace(
+                    update, configuration=None, change=change
+                )
                 if needed
                 else None
             )
         spans = sum(len(d.spans) for d in self.differences)
         small = spans <= left
-        return MissingUpdates((), self.differences if small else (), news)
+        return MissingUpdates((), self.differences if small else (), update)
 
     @property
     def empty(self) -> bool:
@@ -351,10 +353,10 @@
     def missing_updates(self, report: messages.Report) -> MissingUpdates:
         """Returns the state that a VM is missing according to its report."""
         whole, changed = self._newer_than(report.versions)
-        news = self._cluster.updates_since(
+        update = self._cluster.updates_since(
             report.seen, report.configuration, report.evacuations
         )
-        return MissingUpdates(whole, changed, news)
+        return MissingUpdates(whole, changed, update)
 
     def _newer_than(
         self, versions: Mapping[str, assignments.Version]
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
@@ -109,12 +109,12 @@
         "_full_target_requests",
         "_keys",
         "_leader",
+        "_leader_evacuations",
         "_leader_responded",
+        "_leader_revision",
         "_leader_seen_at",
+        "_leader_version",
         "_misses",
-        "_news_evacuations",
-        "_news_seen",
-        "_news_version",
         "_peers",
         "_queues",
         "_report_due",
@@ -189,9 +189,9 @@
         self._clock_offset: freshness.ClockOffset | None = None
         self._confirmed_leaving: dict[str, int] = {}
         self._reported_leaving: dict[str, messages.LeavingTarget] = {}
-        self._news_seen = 0
-        self._news_version = -1
-        self._news_evacuations = eligibility.Evacuations()
+        self._leader_revision = 0
+        self._leader_version = -1
+        self._leader_evacuations = eligibility.Evacuations()
         self._follow_requested = False
         self._follows_store = True
         self._tasks: list[asyncio.Task[None]] = []
@@ -553,7 +553,7 @@
             self._cluster.seen,
             self._cluster.version,
             self._cluster.configuration_seen,
-            self._own_news(),
+            self._own_update(),
             self._admission.stopping,
             self._leader.longer_grants(),
             leader.epoch if leader else -1,
@@ -608,7 +608,7 @@
         sent.update(changed)
         return changed
 
-    def _own_news(self) -> messages.StateUpdate | None:
+    def _own_update(self) -> messages.StateUpdate | None:
         """Returns changes from the store that the leader is missing.
 
         A leader that is cut off from the store gets them from the VMs that it
@@ -619,7 +619,9 @@
         if self._leader.leading or not synced or not self._follow_requested:
             return None
         return self._cluster.updates_since(
-            self._news_seen, self._news_version, self._news_evacuations
+            self._leader_revision,
+            self._leader_version,
+            self._leader_evacuations,
         )
 
     def _rely(self, reply: messages.ReportReply) -> None:
@@ -636,9 +638,9 @@
             if reply.configuration_age is None
             else reported_at - reply.configuration_age,
         )
-        self._news_seen = reply.seen
-        self._news_version = reply.configuration
-        self._news_evacuations = reply.evacuations
+        self._leader_revision = reply.seen
+        self._leader_version = reply.configuration
+        self._leader_evacuations = reply.evacuations
         self._cluster.confirm_configuration(
             reply.configuration,
             reply.configuration_seen,
