--- a/packages/mimosastile-gateway/src/mimosastile_gateway/daemon.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/daemon.py
@@ -238,7 +238,7 @@
         """Starts the listeners and the background services."""
         vm = self._settings.vm
         peers_address = await self._peer_server.listen(vm.peers)
-        self._membership.listens_on(peers_address)
+        self._membership.set_address(peers_address)
         try:
             await self._channel.open(peers_address, self._admission.receive)
         except OSError as error:
@@ -494,7 +494,7 @@
             return await self._membership.relay(
                 messages.decode(body, messages.Relay)
             )
-        if path == messages.HEARD_PATH:
+        if path == messages.LEADER_CONTACT_PATH:
             return self._membership.leader_contact()
         if path == messages.EXTEND_PATH:
             return await self._leader_role.witness.answer(
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
@@ -149,7 +149,7 @@
         """Returns the response to a caller's request."""
         classified = self._classify(incoming)
         if _is_unrouted(classified) and not self._configuration_is_current():
-            await self._membership.ask_leader(_LEADER_QUERY_TIMEOUT_SECONDS)
+            await self._membership.report_and_wait(_LEADER_QUERY_TIMEOUT_SECONDS)
             classified = self._classify(incoming)
             if (
                 _is_unrouted(classified)
@@ -246,7 +246,7 @@
         key = incoming.header(names.key)
         if service.keyed and _is_key(key):
             call.key = int(key or b"0")
-            self._membership.asked(service.name, call.key)
+            self._membership.record_request(service.name, call.key)
         call.header_lines = [
             name + b": " + value
             for name, value in incoming.headers
@@ -566,7 +566,7 @@
         load = self._balancer.load(target.id)
         if isinstance(sent, result.Ok):
             self._crashes.record_response(target.id)
-            self._membership.answered(target.id)
+            self._membership.record_response(target.id)
             response = sent.ok_value
             if response.status < 500 and response.body_stream is None:
                 self._balancer.answered(
@@ -583,7 +583,7 @@
             return
         failure = sent.err_value
         if failure.kind is errors.ErrorKind.TARGET_REPLACED:
-            self._membership.ended(target)
+            self._membership.record_end(target)
         elif failure.kind is errors.ErrorKind.WRONG_FENCE:
             call.reject_count += 1
             if call.key is not None:
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/grant_reconciliation.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/grant_reconciliation.py
@@ -437,7 +437,7 @@
             owner.refused = owner.refused or current
         if failure.kind is errors.ErrorKind.TARGET_REPLACED:
             exposure.until = now
-            self._cluster.end_target(holder.id, holder.born)
+            self._cluster.end_incarnation(holder.id, holder.born)
         owner.failures += 1
         owner.failing_since = (
             sent if owner.failing_since is None else owner.failing_since
@@ -538,7 +538,7 @@
                     how = "released"
                     break
                 if answer.err_value.kind is errors.ErrorKind.TARGET_REPLACED:
-                    self._cluster.end_target(holder.id, holder.born)
+                    self._cluster.end_incarnation(holder.id, holder.born)
                 left = lapse - self._clock.boottime()
                 await asyncio.sleep(min(max(left, 0.0), _RETRY_SECONDS))
             else:
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/leader_role.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/leader_role.py
@@ -150,7 +150,7 @@
         self._serial = 0
         self._publishing: asyncio.TimerHandle | None = None
         self._published_at = float("-inf")
-        self._demand = demand.Demand(dissemination.REPORT_FRESH)
+        self._demand = demand.Demand(dissemination.REPORT_MAX_AGE_SECONDS)
         self._gates_at = float("-inf")
         self._gates_chosen: dict[str, str] = {}
         self._watchers_at = float("-inf")
@@ -177,7 +177,7 @@
             - ANSWER_SECONDS
         )
         # Counted from when the answer came, which is later than the truth.
-        self.longer_until = now + reply.longer
+        self.longer_until = now + reply.extended_grants
 
     def _new_lease(self) -> leadership.LeaderLease:
         configured = self._settings.leader
@@ -326,7 +326,7 @@
         self._has_led = True
         self._revision = revision
         self._planner = self._new_planner()
-        self._demand = demand.Demand(dissemination.REPORT_FRESH)
+        self._demand = demand.Demand(dissemination.REPORT_MAX_AGE_SECONDS)
         self._successors.clear()
         self._store_failing_since = None
         self._started = now
@@ -488,12 +488,12 @@
         vm = report.vm
         boot = self._clock.boottime()
         # A VM that reports here does not lead itself.
-        self._formers.record_follower(vm.id, boot, report.longer)
+        self._formers.record_follower(vm.id, boot, report.extended_grants)
         if report.epoch >= self._entry.epoch:
             witness = lease_extension.Witness(vm.id, vm.boot)
             self._formers.record_promise(witness, report.promised, boot)
-        if report.news is not None:
-            self._cluster.apply_update(report.news)
+        if report.state_update is not None:
+            self._cluster.apply_update(report.state_update)
         self._cluster.confirm_configuration(
             report.configuration,
             report.configuration_seen,
@@ -515,12 +515,12 @@
                 keyed.fast.add(keys, now)
                 keyed.slow.add(keys, now)
         seen = self._clock.boottime()
-        self._alive_at.update(dict.fromkeys(report.alive, seen))
-        for death in report.deaths:
+        self._alive_at.update(dict.fromkeys(report.responsive, seen))
+        for death in report.crashes:
             self._crashes.record_crash(death, now)
         for ended in report.ended:
-            self._cluster.end_target(ended.target, ended.born)
-        for miss in report.misses:
+            self._cluster.end_incarnation(ended.target, ended.born)
+        for miss in report.ownership_misses:
             keyed = self._services.get(miss.service)
             if keyed is not None:
                 keyed.reconciler.record_miss(miss.key, miss.target)
@@ -528,22 +528,22 @@
         self._demand.record(vm.id, report.under_way, report.waiting, now)
         known = self._cluster.directory
         fresh = self._disseminator.fresh()
-        missing_updates = self._disseminator.answer(report)
+        missing_updates = self._disseminator.updates_for_reply(report)
         return messages.ReportReply(
             self._entry,
             leading=True,
             confirmed=self._clock.boottime() - self._lease.confirmed,
-            longer=self._longer_seconds(),
+            extended_grants=self._longer_seconds(),
             under_way=self._demand.busy_counts(vm.id, vm.zone, known),
             gates=self._gates(fresh, now),
             assignments=missing_updates.assignments,
             differences=missing_updates.differences,
-            news=missing_updates.news,
+            state_update=missing_updates.state_update,
             seen=self._cluster.seen,
             configuration=self._cluster.version,
             configuration_seen=self._cluster.configuration_seen,
             store=self._informed(fresh),
-            deaths=self._crashes.crashes(now),
+            crashes=self._crashes.crashes(now),
             watchers=self._watchers(fresh),
             vms=len(fresh),
             take_over=vm.id in self._successors.asked,
@@ -587,7 +587,7 @@
             new = self._gates_chosen.keys() - known.keys()
             if new:
                 # Until a VM hears of it, it sends to a full target.
-                self._disseminator.spread(
+                self._disseminator.send_gates(
                     {name: self._gates_chosen[name] for name in new},
                     self._cluster.limits.updates(now),
                 )
--- a/tests/gateway/fleet.py
+++ b/tests/gateway/fleet.py
@@ -334,7 +334,7 @@
             timer,
             self.log,
         )
-        self.peers.listens_on(name)
+        self.peers.set_address(name)
         if fleet.watched:
             self.watcher.start()
         self.peers.start()
@@ -347,7 +347,7 @@
         if path == messages.REPORT_PATH:
             report = messages.decode(body, messages.Report)
             return messages.encode(self.leading.take_report(report))
-        if path == messages.HEARD_PATH:
+        if path == messages.LEADER_CONTACT_PATH:
             return messages.encode(self.peers.leader_contact())
         if path == messages.RELAY_PATH:
             relay = messages.decode(body, messages.Relay)
