--- a/packages/mimosastile-gateway/src/mimosastile_gateway/candidates.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/candidates.py
@@ -99,7 +99,9 @@
         if gate == self._admission.address:
             rate_limiter.take(now)
         else:
-            rate_limiter.take_share(self._vm_count(), now, without_sender=gate is None)
+            rate_limiter.take_share(
+                self._vm_count(), now, without_sender=gate is None
+            )
 
     def choose_limited(self, call: pending.Call) -> directory.Target | None:
         """Returns a target if all that may run a request have a rate limit.
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/dissemination.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/dissemination.py
@@ -324,7 +324,9 @@
     def publish(self, present: assignments.Assignment) -> None:
         """Sends VMs an assignment, unless it equals the current one."""
         current = self._cluster.assignments.get(present.service)
-        if current is not None and assignments.have_same_owners(current, present):
+        if current is not None and assignments.have_same_owners(
+            current, present
+        ):
             return
         self._cluster.apply_assignment(present)
         self._published[present.service, present.version] = present
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
@@ -149,7 +149,9 @@
         """Returns the response to a caller's request."""
         classified = self._classify(incoming)
         if _is_unrouted(classified) and not self._configuration_is_current():
-            await self._membership.report_and_wait(_LEADER_QUERY_TIMEOUT_SECONDS)
+            await self._membership.report_and_wait(
+                _LEADER_QUERY_TIMEOUT_SECONDS
+            )
             classified = self._classify(incoming)
             if (
                 _is_unrouted(classified)
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/store_watching.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/store_watching.py
@@ -247,7 +247,9 @@
                 waited = self._clock.now() - started_at >= wait
                 # Without changes, the store responds at the end of the wait,
                 # which began when the request arrived there.
-                view.record(started_at + (wait if waited and not moved else 0.0))
+                view.record(
+                    started_at + (wait if waited and not moved else 0.0)
+                )
                 if moved:
                     await asyncio.sleep(self._settings.watch_pause)
                 continue
