--- a/packages/mimosastile-gateway/src/mimosastile_gateway/leading.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/leading.py
@@ -1,4 +1,4 @@
-"""The leader: the tables of key ranges and the orders to targets."""
+"""The leader role: elects, renews, and commits tables of key ranges."""
 
 import asyncio
 import collections
@@ -36,48 +36,53 @@
 
 _T = TypeVar("_T")
 
-_WATCHERS = 3
-"""VMs that follow the store beside the leader."""
-_WATCHERS_IN_TROUBLE = 8
-"""The same while the leader does not reach the store. When a third of the VMs
-is turned away, all of eight are so once in ten thousand times."""
-_WATCHERS_TRIED = 3.0
-"""Seconds without the store in which these have found out whether they reach
-it."""
-_GATES_SECONDS = 0.1
-"""How often gates and watchers are chosen anew: far more often than VMs
-report."""
-_PUBLISH_SECONDS = 0.02
-"""Shortest time between two assignments."""
-_ANNOUNCE_PAUSES = (0.0, 0.7, 1.5, 3.0, 6.0)
-"""Seconds before each time that VMs which do not report are told who leads."""
-_CONFIRM_AGAIN = 0.3
-"""Seconds between a failed look at the store and the next one."""
-_LEAVING_TOLD = 5.0
-"""Seconds for which VMs are told that a target leaves by its own word: each
-reports several times meanwhile."""
+_WATCHER_COUNT = 3
+"""VMs that watch the store in addition to the leader."""
+_WATCHER_COUNT_STORE_DOWN = 8
+"""Number of watchers while the leader does not reach the store. If a third of
+the VMs is refused by the store, all eight are refused once in ten thousand
+cases."""
+_WATCHER_PROBE_SECONDS = 3.0
+"""Seconds after the leader's first failed store call within which watchers have
+detected whether they reach the store."""
+_SELECTION_INTERVAL_SECONDS = 0.1
+"""Interval between two selections of admission gates and watchers; far shorter
+than the interval of VM reports."""
+_PUBLISH_INTERVAL_SECONDS = 0.02
+"""Minimum interval between two published assignments."""
+_ANNOUNCE_DELAYS_SECONDS = (0.0, 0.7, 1.5, 3.0, 6.0)
+"""Delay before each announcement of the leader to VMs that do not report."""
+_CONFIRM_RETRY_SECONDS = 0.3
+"""Delay before the leader's entry is read again after a failed read."""
+_LEAVING_LISTED_SECONDS = 5.0
+"""Seconds for which replies list a target that has announced that it leaves.
+Each VM reports several times within this time."""
 ANSWER_SECONDS = 0.4
-"""Longest time for which an answer to a report may have been on its way."""
-_RESIGN_AFTER = 0.8
-"""Seconds without the store after which a VM that reaches it is asked to take
-over: long enough for one lost packet, short against the length of a grant."""
-_READ_TRIES = 5
-"""How often a new leader tries to read the tables before it gives up."""
+"""Maximum delay of a reply to a report."""
+_RESIGN_AFTER_SECONDS = 0.8
+"""Seconds without the store after which the leader asks a VM that reaches it to
+take over: long enough for one lost packet, short compared to a grant."""
+_READ_ATTEMPTS = 5
+"""Attempts of a new leader to read the tables before it gives up."""
 
 
 class Leading:
-    """Decides over key ranges while this VM leads, and knows when it does.
+    """Runs leader election on this VM and, while it leads, the key ranges.
+
+    Times are seconds of the boot clock, which also advances while the machine
+    is suspended.
 
     Attributes:
-        address: Where peers reach this VM.
-        longer_until: When grants of the present leader and those before it
-            that were longer than usual have run out, as far as it has said.
-        calm_until: Until when the present leader, as far as this VM has heard,
-            surely gives no grants longer than usual.
+        address: Host and port at which peers reach this VM.
+        longer_until: Time at which all extended grants of the current leader
+            and of the leaders before it have expired, as last reported by the
+            current leader.
+        calm_until: Time until which the current leader certainly gives no
+            extended grants, as last reported by it.
     """
 
     __slots__ = (
-        "_alive_at",
+        "_last_alive_at",
         "_authority",
         "_beliefs",
         "_boot",
@@ -87,27 +92,27 @@
         "_demand",
         "_entry",
         "_events",
-        "_formers",
-        "_gates_at",
-        "_gates_chosen",
+        "_former_leaders",
+        "_gates_selected_at",
+        "_selected_gates",
         "_has_led",
         "_orders",
         "_planner",
         "_published_at",
-        "_publishing",
+        "_publish_timer",
         "_revision",
         "_serial",
         "_services",
         "_settings",
-        "_started",
+        "_term_started_at",
         "_store",
         "_store_failing_since",
         "_succession",
-        "_taking",
+        "_taking_over",
         "_tasks",
         "_telling",
-        "_watchers_at",
-        "_watchers_chosen",
+        "_watchers_selected_at",
+        "_selected_watchers",
         "_witness",
         "_witnesses",
         "address",
@@ -137,7 +142,7 @@
         self._telling = telling.Telling(
             configured.vm.id, configured.vm.zone, calls, known, timer, log
         )
-        self._alive_at: dict[str, float] = {}
+        self._last_alive_at: dict[str, float] = {}
         self._calls = calls
         self._witness = witnessing.Witness(
             configured, boot, store, known, timer, log
@@ -148,27 +153,27 @@
         self._has_led = False
         self._revision = 0
         self._serial = 0
-        self._publishing: asyncio.TimerHandle | None = None
+        self._publish_timer: asyncio.TimerHandle | None = None
         self._published_at = float("-inf")
         self._demand = demand.Demand(telling.REPORT_FRESH)
-        self._gates_at = float("-inf")
-        self._gates_chosen: dict[str, str] = {}
-        self._watchers_at = float("-inf")
-        self._watchers_chosen: tuple[str, ...] = ()
+        self._gates_selected_at = float("-inf")
+        self._selected_gates: dict[str, str] = {}
+        self._watchers_selected_at = float("-inf")
+        self._selected_watchers: tuple[str, ...] = ()
         self._planner = self._new_planner()
         self._services: dict[str, planning.Keyed] = {}
-        self._formers = formers.FormerLeaders(0.0)
+        self._former_leaders = formers.FormerLeaders(0.0)
         self.address = configured.vm.peers
         self.calm_until = float("-inf")
         self.longer_until = float("-inf")
-        self._started = 0.0
+        self._term_started_at = 0.0
         self._store_failing_since: float | None = None
         self._succession = succession.Succession()
         self._tasks: list[asyncio.Task[Any]] = []
-        self._taking = False
+        self._taking_over = False
 
     def hear(self, reply: messages.ReportReply) -> None:
-        """Notes what a leader's answer says of the grants it gives."""
+        """Records how long the leader's grants last, from its reply."""
         now = self._clock.boot()
         self.calm_until = (
             now
@@ -176,7 +181,8 @@
             - reply.confirmed
             - ANSWER_SECONDS
         )
-        # Counted from when the answer came, which is later than the truth.
+        # The time of arrival is later than the time of sending, so this errs
+        # on the safe side.
         self.longer_until = now + reply.longer
 
     def _new_authority(self) -> leadership.Authority:
@@ -185,7 +191,7 @@
 
     @property
     def witness(self) -> witnessing.Witness:
-        """This VM as a witness of other leaders."""
+        """This VM's part as a witness of other leaders."""
         return self._witness
 
     def _new_planner(self) -> planning.Planner:
@@ -199,66 +205,70 @@
 
     @property
     def leading(self) -> bool:
-        """Whether this VM leads, as far as it knows."""
+        """Whether this VM leads and has not observed a successor."""
         return self._entry is not None
 
     # Taking over and stepping down.
 
     async def take_over(self, why: str) -> bool:
-        """Becomes the leader if nobody else does first.
+        """Becomes the leader unless another VM takes over first.
+
+        Args:
+            why: Reason for the take-over, for the event log.
 
         Returns:
             Whether this VM leads now.
         """
-        if self._taking or self.leading:
+        if self._taking_over or self.leading:
             return self.leading
-        self._taking = True
+        self._taking_over = True
         try:
             return await self._take_over(why)
         finally:
-            self._taking = False
+            self._taking_over = False
 
     async def _take_over(self, why: str) -> bool:
         read = await self._store.read(messages.LEADER_KEY)
         if isinstance(read, result.Err):
-            # A leader that is cut off as well then asks another VM.
+            # If the leader is cut off from the store too, it asks another VM.
             self._beliefs.note_store(ok=False, why=read.err_value.detail)
             return False
-        former = read.ok_value
-        known = self._decoded(former, leadership.LeaderEntry)
-        believed = self._beliefs.leader
-        if known and believed and known.epoch > believed.epoch:
-            # Somebody was faster.
-            self._beliefs.take_leader(known)
+        stored_item = read.ok_value
+        stored = self._decode(stored_item, leadership.LeaderEntry)
+        cached = self._beliefs.leader
+        if stored and cached and stored.epoch > cached.epoch:
+            # Another VM took over first.
+            self._beliefs.take_leader(stored)
             return False
         epoch = max(
-            known.epoch if known else 0, believed.epoch if believed else 0
+            stored.epoch if stored else 0, cached.epoch if cached else 0
         )
         entry = leadership.LeaderEntry(
             self._settings.vm.id,
             self._boot,
             epoch + 1,
             self.address,
-            self._unsure(known),
+            self._unconfirmed_leaders(stored),
         )
-        asked = self._clock.boot()
-        revision = await self._write_leader(entry, former)
+        sent_at = self._clock.boot()
+        revision = await self._write_leader(entry, stored_item)
         if not revision:
             return False
-        # Only now: until this entry was there the former leader went on
-        # changing tables, and orders by an older table would carry fences that
-        # targets have had, and take keys from their owners.
+        # The tables must be read after the entry is written. Before that, the
+        # former leader could still change them, and orders from an outdated
+        # table would carry fences that targets have already seen and would
+        # take keys from their owners.
         items = await self._read_all()
         if items is None or items[messages.LEADER_KEY].revision != revision:
             return False
         self._authority = self._new_authority()
-        self._authority.confirm(asked)
-        self._begin(entry, revision, items, known)
+        self._authority.confirm(sent_at)
+        self._start_term(entry, revision, items, stored)
         self._events.write(
             "leader",
             "leading",
             epoch=entry.epoch,
-            former=known.vm if known else None,
+            former=stored.vm if stored else None,
             why=why,
             tables={
                 name: keyed.table.version
@@ -268,8 +278,8 @@
         return True
 
     async def _read_all(self) -> dict[str, ports.Item] | None:
-        """Returns everything in the store; None if it stays silent."""
-        for _ in range(_READ_TRIES):
+        """Returns all items in the store, None if it does not respond."""
+        for _ in range(_READ_ATTEMPTS):
             listed = await self._store.list(messages.STORE_PREFIX)
             if isinstance(listed, result.Ok):
                 items = {item.key: item for item in listed.ok_value.items}
@@ -279,26 +289,30 @@
         return None
 
     async def _write_leader(
-        self, entry: leadership.LeaderEntry, former: ports.Item | None
+        self, entry: leadership.LeaderEntry, stored_item: ports.Item | None
     ) -> int:
-        """Writes the leader's entry; returns its revision, 0 if it failed."""
+        """Writes the leader's entry by compare-and-swap.
+
+        Returns:
+            The revision of the entry, 0 if it was not written.
+        """
         key = messages.LEADER_KEY
-        expected = {key: former.revision if former else 0}
+        expected = {key: stored_item.revision if stored_item else 0}
         value = msgspec.json.encode(entry)
         written = await self._store.commit(expected, (ports.Write(key, value),))
         if isinstance(written, result.Ok):
             return written.ok_value
         if isinstance(written.err_value, ports.Conflict):
             return 0
-        # No answer: it may be in force.
+        # No response: the write may have been carried out.
         read = await self._store.read(key)
         if isinstance(read, result.Ok) and read.ok_value is not None:
             item = read.ok_value
             return item.revision if item.value == value else 0
         return 0
 
-    def _decoded(self, item: ports.Item | None, kind: type[_T]) -> _T | None:
-        """Returns an entry of the store; None if there is none to read."""
+    def _decode(self, item: ports.Item | None, kind: type[_T]) -> _T | None:
+        """Decodes a stored value; None if it is missing or unreadable."""
         if item is None:
             return None
         try:
@@ -309,7 +323,7 @@
             )
             return None
 
-    def _begin(
+    def _start_term(
         self,
         entry: leadership.LeaderEntry,
         revision: int,
@@ -325,26 +339,26 @@
         self._demand = demand.Demand(telling.REPORT_FRESH)
         self._succession.clear()
         self._store_failing_since = None
-        self._started = now
+        self._term_started_at = now
         record_item = items.get(messages.WITNESSES_KEY)
-        record = self._decoded(record_item, extension.Record)
-        named = former and record and record.epoch == former.epoch
-        self._formers = formers.FormerLeaders(
+        record = self._decode(record_item, extension.Record)
+        of_former = former and record and record.epoch == former.epoch
+        self._former_leaders = formers.FormerLeaders(
             now + configured.authority if former else now,
             entry.unsure,
             self.calm_until,
             configured.hold,
             self._settings.bounds.hold_most,
             self.longer_until,
-            record.witnesses if record and named else (),
+            record.witnesses if record and of_former else (),
             now + configured.unextended,
-            granting.LINK_QUEUE_SECONDS if self._several_regions else 0.0,
+            granting.LINK_QUEUE_SECONDS if self._spans_regions else 0.0,
         )
         if not entry.unsure:
-            # There was none, or it was an earlier run of this daemon, whose
-            # longer grants may still last.
-            self._formers.stopped(now)
-        self._formers.testify(
+            # There was no former leader, or it was an earlier incarnation of
+            # this daemon, whose extended grants may not have expired.
+            self._former_leaders.stopped(now)
+        self._former_leaders.testify(
             self._witness.identity, self._witness.promised(), now
         )
         self._witnesses = witnessing.Witnesses(
@@ -360,23 +374,23 @@
         )
         for key, item in items.items():
             if key.startswith(messages.TABLE_PREFIX):
-                self._load(item)
+                self._load_table(item)
         self._beliefs.take_leader(entry)
         self._tasks = [
-            asyncio.create_task(self._plan_on(), name="plan"),
-            asyncio.create_task(self._confirm_on(), name="confirm"),
+            asyncio.create_task(self._plan_loop(), name="plan"),
+            asyncio.create_task(self._confirm_loop(), name="confirm"),
             asyncio.create_task(self._announce(), name="announce"),
         ]
         self._telling.begin(entry)
-        self._published()
+        self._schedule_publish()
 
     async def _announce(self) -> None:
-        """Has registered VMs told who leads until they report here.
+        """Announces this leader to registered VMs that do not report to it.
 
-        VMs that start together register over some seconds, and most of them
-        have looked for a leader before there was one.
+        VMs that start together register over several seconds, and most of them
+        looked for a leader before there was one.
         """
-        for pause in _ANNOUNCE_PAUSES:
+        for pause in _ANNOUNCE_DELAYS_SECONDS:
             await asyncio.sleep(pause)
             listed = await self._store.list(messages.VM_PREFIX, stale=True)
             if isinstance(listed, result.Ok):
@@ -389,23 +403,25 @@
                 )
 
     @property
-    def _several_regions(self) -> bool:
+    def _spans_regions(self) -> bool:
         return len(set(self._settings.vm.regions.values())) > 1
 
-    def _unsure(self, former: leadership.LeaderEntry | None) -> tuple[str, ...]:
-        """Returns the VMs that may still give orders as former leaders."""
+    def _unconfirmed_leaders(
+        self, former: leadership.LeaderEntry | None
+    ) -> tuple[str, ...]:
+        """Returns former leaders' VMs that may still give orders."""
         if former is None:
             return ()
-        inherited = set(former.unsure)
-        led = self._clock.boot() - self._beliefs.leader_since
-        authority = self._settings.leader.authority
-        if self._beliefs.leader == former and led > authority:
-            # Whoever led before that one has had to stop since.
-            inherited = set()
-        inherited.add(former.vm)
-        return tuple(sorted(inherited - {self._settings.vm.id}))
-
-    def _decoded_table(self, item: ports.Item) -> ranges.RangeTable | None:
+        unconfirmed = set(former.unsure)
+        led_seconds = self._clock.boot() - self._beliefs.leader_since
+        lease_seconds = self._settings.leader.authority
+        if self._beliefs.leader == former and led_seconds > lease_seconds:
+            # The leaders before the former one have had to stop since.
+            unconfirmed = set()
+        unconfirmed.add(former.vm)
+        return tuple(sorted(unconfirmed - {self._settings.vm.id}))
+
+    def _decode_table(self, item: ports.Item) -> ranges.RangeTable | None:
         try:
             return messages.decode(item.value, ranges.RangeTable)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -414,11 +430,11 @@
             )
             return None
 
-    def _load(self, item: ports.Item) -> None:
-        table = self._decoded_table(item)
+    def _load_table(self, item: ports.Item) -> None:
+        table = self._decode_table(item)
         if table is None:
             return
-        keyed = self._new_keyed(table, item.revision)
+        keyed = self._new_service(table, item.revision)
         self._services[table.service] = keyed
         for owner in table.holders():
             self._beliefs.directory.learn_run(
@@ -426,7 +442,7 @@
             )
         keyed.granting.follow(table)
 
-    def _new_keyed(
+    def _new_service(
         self, table: ranges.RangeTable, revision: int
     ) -> planning.Keyed:
         configured = self._settings.leader
@@ -438,9 +454,9 @@
             self._clock,
             self._events,
             self._authority,
-            self._formers,
-            self._alive_at,
-            self._published,
+            self._former_leaders,
+            self._last_alive_at,
+            self._schedule_publish,
         )
         return planning.Keyed(
             table,
@@ -451,13 +467,13 @@
         )
 
     def outranked_by(self, entry: leadership.LeaderEntry) -> None:
-        """Steps down if another VM, or a later epoch, leads."""
+        """Steps down if the entry has a later epoch than this leader's."""
         own = self._entry
         if own is not None and entry.epoch > own.epoch:
             self.step_down(f"{entry.vm} leads in epoch {entry.epoch}")
 
     def step_down(self, why: str) -> None:
-        """Gives no further orders."""
+        """Ends this VM's leadership and stops all orders to targets."""
         entry, self._entry = self._entry, None
         if entry is None:
             return
@@ -474,18 +490,22 @@
     # Reports of VMs.
 
     def take_report(self, report: messages.Report) -> messages.ReportReply:
-        """Takes a VM's report and returns what it should know."""
-        leader = self._beliefs.leader
+        """Processes a VM's report and returns the updates for that VM.
+
+        If this VM does not lead, the reply only names the leader that it has
+        recorded.
+        """
+        cached_leader = self._beliefs.leader
         if self._entry is None:
-            return messages.ReportReply(leader, leading=False)
+            return messages.ReportReply(cached_leader, leading=False)
         now = self._clock.now()
         vm = report.vm
         boot = self._clock.boot()
-        # A VM that reports here does not lead itself.
-        self._formers.follows(vm.id, boot, report.longer)
+        # A VM that reports to this leader does not lead itself.
+        self._former_leaders.follows(vm.id, boot, report.longer)
         if report.epoch >= self._entry.epoch:
             witness = extension.Witness(vm.id, vm.boot)
-            self._formers.testify(witness, report.promised, boot)
+            self._former_leaders.testify(witness, report.promised, boot)
         if report.news is not None:
             self._beliefs.take_news(report.news)
         self._beliefs.confirm_configuration(
@@ -508,8 +528,8 @@
             if keyed is not None:
                 keyed.fast.add(keys, now)
                 keyed.slow.add(keys, now)
-        seen = self._clock.boot()
-        self._alive_at.update(dict.fromkeys(report.alive, seen))
+        received_at = self._clock.boot()
+        self._last_alive_at.update(dict.fromkeys(report.alive, received_at))
         for death in report.deaths:
             self._casualties.learn(death, now)
         for ended in report.ended:
@@ -521,45 +541,49 @@
         self._telling.take(report)
         self._demand.take(vm.id, report.under_way, report.waiting, now)
         known = self._beliefs.directory
-        fresh = self._telling.fresh()
-        lacking = self._telling.answer(report)
+        fresh_reports = self._telling.fresh()
+        missing = self._telling.answer(report)
         return messages.ReportReply(
             self._entry,
             leading=True,
             confirmed=self._clock.boot() - self._authority.confirmed,
-            longer=self._longer_seconds(),
+            longer=self._extended_grants_seconds(),
             under_way=self._demand.busy(vm.id, vm.zone, known),
-            gates=self._gates(fresh, now),
-            assignments=lacking.assignments,
-            differences=lacking.differences,
-            news=lacking.news,
+            gates=self._current_gates(fresh_reports, now),
+            assignments=missing.assignments,
+            differences=missing.differences,
+            news=missing.news,
             seen=self._beliefs.seen,
             configuration=self._beliefs.version,
             configuration_seen=self._beliefs.configuration_seen,
-            store=self._informed(fresh),
+            store=self._receives_store_changes(fresh_reports),
             deaths=self._casualties.deaths(now),
-            watchers=self._watchers(fresh),
-            vms=len(fresh),
+            watchers=self._current_watchers(fresh_reports),
+            vms=len(fresh_reports),
             take_over=vm.id in self._succession.asked,
             evacuations=self._beliefs.evacuations,
             limits=self._beliefs.limits.news(now),
             leaving=tuple(
                 run
                 for run in self._beliefs.leaving_news().values()
-                if run.age < _LEAVING_TOLD
+                if run.age < _LEAVING_LISTED_SECONDS
             ),
             stamp=now,
             seen_age=self._beliefs.registrations_age,
             configuration_age=self._beliefs.configuration_age,
         )
 
-    def _gates(
+    def _current_gates(
         self, reports: Mapping[str, messages.Report], now: float
     ) -> dict[str, str]:
-        """Returns who admits to contended targets, or alone sends to some."""
-        if now - self._gates_at > _GATES_SECONDS:
-            self._gates_at = now
-            known = self._gates_chosen
+        """Returns the address of the admission gate of each contended target.
+
+        Targets in slow start and rate-limited targets get one too; it is then
+        the only VM that sends requests to the target.
+        """
+        if now - self._gates_selected_at > _SELECTION_INTERVAL_SECONDS:
+            self._gates_selected_at = now
+            previous = self._selected_gates
             limited = self._beliefs.limited_targets()
             chosen = self._demand.gates(
                 (
@@ -572,105 +596,110 @@
                 self._beliefs.directory,
                 [*self._beliefs.cold_targets(), *limited],
             )
-            if self._clock.boot() < self._formers.stopped_by:
-                # A former leader may still name another sender, and the two
-                # together would be beyond the limit.
+            if self._clock.boot() < self._former_leaders.stopped_by:
+                # A former leader may still name another VM as the sender, and
+                # both together would exceed the target's limit.
                 for name in limited:
                     chosen.pop(name, None)
-            self._gates_chosen = chosen
-            new = self._gates_chosen.keys() - known.keys()
+            self._selected_gates = chosen
+            new = self._selected_gates.keys() - previous.keys()
             if new:
-                # Until a VM hears of it, it sends to a full target.
+                # A VM sends to the saturated target until it is notified.
                 self._telling.spread(
-                    {name: self._gates_chosen[name] for name in new},
+                    {name: self._selected_gates[name] for name in new},
                     self._beliefs.limits.news(now),
                 )
-        return self._gates_chosen
+        return self._selected_gates
 
     @property
-    def _formers_lapse(self) -> float:
-        """Time at which all grants of former leaders have run out."""
+    def _former_grants_expire_at(self) -> float:
+        """Time at which all grants of former leaders have expired."""
         tables = (keyed.table for keyed in self._services.values())
-        return self._formers.lapse(max((t.hold for t in tables), default=0.0))
+        return self._former_leaders.lapse(
+            max((t.hold for t in tables), default=0.0)
+        )
 
     def longer_grants(self) -> float | None:
-        """Returns how long grants that this VM has made longer may last.
+        """Returns the seconds until extended grants have expired.
 
-        None if it has not led since it started.
+        None if this VM has not led since its daemon started.
         """
-        return self._longer_seconds() if self._has_led else None
+        return self._extended_grants_seconds() if self._has_led else None
 
-    def _longer_seconds(self) -> float:
-        """Returns how long longer grants may last, former leaders' included."""
-        until = max(self._authority.longer_until, self._formers_lapse)
+    def _extended_grants_seconds(self) -> float:
+        """Seconds until own and former leaders' extended grants expire."""
+        until = max(self._authority.longer_until, self._former_grants_expire_at)
         return max(until - self._clock.boot(), 0.0)
 
-    def _watchers(
+    def _current_watchers(
         self, reports: Mapping[str, messages.Report]
     ) -> tuple[str, ...]:
-        """Returns VMs that follow the store beside this one.
+        """Returns the VMs that watch the store in addition to this one.
 
-        If this VM's own view of the store falls silent without a word, theirs
-        keep all VMs from routing by it. They stand in different zones as far
-        as there are some.
+        If this VM's watch of the store stalls without an error, their views
+        keep all VMs from routing by the outdated one. They are in different
+        zones as far as possible.
         """
         now = self._clock.now()
-        if now - self._watchers_at > _GATES_SECONDS:
-            self._watchers_at = now
-            self._watchers_chosen = self._ranked_watchers(reports)
-        calm = self._store_failing_since is None
-        most = _WATCHERS if calm else _WATCHERS_IN_TROUBLE
-        return self._watchers_chosen[:most]
+        if now - self._watchers_selected_at > _SELECTION_INTERVAL_SECONDS:
+            self._watchers_selected_at = now
+            self._selected_watchers = self._ranked_watchers(reports)
+        store_up = self._store_failing_since is None
+        count = _WATCHER_COUNT if store_up else _WATCHER_COUNT_STORE_DOWN
+        return self._selected_watchers[:count]
 
     def _ranked_watchers(
         self, reports: Mapping[str, messages.Report]
     ) -> tuple[str, ...]:
+        """Returns VM identifiers, best first, taking the zones in rotation."""
         here = self._settings.vm
-        able = [r.vm for r in reports.values() if r.vm.id != here.id]
-        able.sort(key=lambda vm: (vm.zone == here.zone, vm.order, vm.id))
-        turns = collections.Counter[str]()
+        candidates = [r.vm for r in reports.values() if r.vm.id != here.id]
+        candidates.sort(key=lambda vm: (vm.zone == here.zone, vm.order, vm.id))
+        zone_counts = collections.Counter[str]()
         ranked: list[tuple[int, int, str]] = []
-        for vm in able:
-            ranked.append((turns[vm.zone], len(ranked), vm.id))
-            turns[vm.zone] += 1
-        first = sorted(ranked)[:_WATCHERS_IN_TROUBLE]
-        return tuple(name for _, _, name in first)
-
-    def _informed(self, reports: Mapping[str, messages.Report]) -> bool:
-        """Whether this VM learns what the store holds.
-
-        If it told all VMs to look for themselves as soon as it is cut off from
-        the store, a hundred of them would read everything at the same time,
-        those in other regions over one narrow link. Requests on that link
-        would wait for seconds, and so would the successor's calls.
+        for vm in candidates:
+            ranked.append((zone_counts[vm.zone], len(ranked), vm.id))
+            zone_counts[vm.zone] += 1
+        best = sorted(ranked)[:_WATCHER_COUNT_STORE_DOWN]
+        return tuple(name for _, _, name in best)
+
+    def _receives_store_changes(
+        self, reports: Mapping[str, messages.Report]
+    ) -> bool:
+        """Whether this VM receives changes in the store, directly or not.
+
+        If it told all VMs to read the store themselves as soon as it is cut
+        off, a hundred of them would read everything at the same time, those in
+        other regions over one narrow link. Requests on that link would wait
+        for seconds, and so would the successor's calls.
         """
         since = self._store_failing_since
-        if since is None or self._clock.boot() - since < _WATCHERS_TRIED:
+        if since is None or self._clock.boot() - since < _WATCHER_PROBE_SECONDS:
             return True
-        watchers = self._watchers(reports)
+        watchers = self._current_watchers(reports)
         return any(reports[name].store for name in watchers if name in reports)
 
-    # Telling VMs.
+    # Publishing assignments.
 
-    def _published(self) -> None:
-        """Has changed assignments told, the first at once.
+    def _schedule_publish(self) -> None:
+        """Publishes changed assignments, the first change immediately.
 
-        Hundreds of grants are answered at the same time when a table is new,
-        and each assignment names all ranges.
+        Later changes are batched: with a new table, hundreds of grants are
+        acknowledged at the same time, and each assignment lists all ranges.
         """
-        if self._publishing is not None:
+        if self._publish_timer is not None:
             return
         now = self._clock.now()
-        wait = self._published_at + _PUBLISH_SECONDS - now
+        wait = self._published_at + _PUBLISH_INTERVAL_SECONDS - now
         if wait <= 0:
             self._publish()
             return
         loop = asyncio.get_running_loop()
-        self._publishing = loop.call_later(wait, self._publish)
+        self._publish_timer = loop.call_later(wait, self._publish)
 
     def _publish(self) -> None:
-        """Makes a new assignment of what has changed and has it told."""
-        self._publishing = None
+        """Publishes an assignment with a new serial for every service."""
+        self._publish_timer = None
         entry = self._entry
         if entry is None:
             return
@@ -687,54 +716,54 @@
 
     # Leadership in the store.
 
-    async def _confirm_on(self) -> None:
+    async def _confirm_loop(self) -> None:
         pause = self._settings.leader.confirm
         while True:
             failing = self._store_failing_since is not None
-            await asyncio.sleep(_CONFIRM_AGAIN if failing else pause)
+            await asyncio.sleep(_CONFIRM_RETRY_SECONDS if failing else pause)
             await self._confirm()
             reached = self._store_failing_since is None
             if self._witnesses is not None and reached:
                 clear_at = max(
-                    self._formers_lapse, self._authority.longer_until
+                    self._former_grants_expire_at, self._authority.longer_until
                 )
                 await self._witnesses.name(self._revision, clear_at)
 
     async def _confirm(self) -> None:
-        asked = self._clock.boot()
-        late = asyncio.get_running_loop().call_later(
+        sent_at = self._clock.boot()
+        extension_timer = asyncio.get_running_loop().call_later(
             self._settings.leader.extension_after, self._ask_witnesses
         )
         try:
             read = await self._store.read(messages.LEADER_KEY)
         finally:
-            late.cancel()
+            extension_timer.cancel()
         if isinstance(read, result.Err):
-            self._store_failed(read.err_value, asked)
+            self._store_failed(read.err_value, sent_at)
             return
         self._beliefs.note_store(ok=True)
         self._store_failing_since = None
         self._succession.clear()
         self._authority.replaceable = False
-        entry = self._decoded(read.ok_value, leadership.LeaderEntry)
+        entry = self._decode(read.ok_value, leadership.LeaderEntry)
         if entry is None or entry != self._entry:
             if entry is not None:
                 self._beliefs.take_leader(entry)
             self.step_down("the store names another leader")
             return
-        self._authority.confirm(asked)
+        self._authority.confirm(sent_at)
 
-    def _store_failed(self, failure: errors.Failure, asked: float) -> None:
-        """Notes that a call to the store that began at `asked` has failed."""
+    def _store_failed(self, failure: errors.Failure, sent_at: float) -> None:
+        """Handles the failure of a store call that was sent at `sent_at`."""
         now = self._clock.boot()
         self._beliefs.note_store(ok=False, why=failure.detail)
         if self._store_failing_since is None:
-            self._store_failing_since = asked
+            self._store_failing_since = sent_at
         self._ask_witnesses()
-        self._authority.replaceable = bool(self._able())
-        if now - self._store_failing_since < _RESIGN_AFTER:
+        self._authority.replaceable = bool(self._successor_candidates())
+        if now - self._store_failing_since < _RESIGN_AFTER_SECONDS:
             return
-        successors = self._ask_others()
+        successors = self._request_successors()
         if successors:
             self._events.write(
                 "leader",
@@ -747,33 +776,33 @@
         if self._witnesses is not None and self.leading:
             self._witnesses.ask()
 
-    def _ask_others(self) -> tuple[str, ...]:
-        """Asks VMs that reach the store to lead; returns the newly asked."""
-        able = self._able()
+    def _request_successors(self) -> tuple[str, ...]:
+        """Asks VMs that reach the store to lead; returns those just asked."""
+        candidates = self._successor_candidates()
         asked = self._succession.next(
-            [vm.id for vm in able], self._clock.boot()
+            [vm.id for vm in candidates], self._clock.boot()
         )
-        self._telling.ask_to_lead(vm for vm in able if vm.id in asked)
+        self._telling.ask_to_lead(vm for vm in candidates if vm.id in asked)
         return asked
 
-    def _able(self) -> list[messages.VmEntry]:
-        """Returns other VMs that say they reach the store, the best first."""
-        able = [
+    def _successor_candidates(self) -> list[messages.VmEntry]:
+        """Returns other VMs that report a reachable store, best first."""
+        candidates = [
             report.vm
             for report in self._telling.fresh().values()
             if report.store and report.vm.id != self._settings.vm.id
         ]
-        return sorted(able, key=lambda vm: (vm.order, vm.id))
+        return sorted(candidates, key=lambda vm: (vm.order, vm.id))
 
     # Planning.
 
-    async def _plan_on(self) -> None:
+    async def _plan_loop(self) -> None:
         while True:
             await asyncio.sleep(self._settings.leader.plan)
             try:
                 await self._plan()
             except Exception as error:
-                # One service's fault must not end the renewals of all.
+                # A fault in one service must not end the renewals of all.
                 self._events.write("leader", "plan_failed", why=repr(error))
 
     async def _plan(self) -> None:
@@ -801,17 +830,20 @@
         if not targets:
             return
         configured = self._settings.leader
-        newest = max(
+        last_started_at = max(
             entry.since
             for entry in self._beliefs.directory
             if entry.target.service == service
         )
-        waited = self._clock.boot() - self._started
-        if now - newest < configured.settle and waited < configured.settle_most:
+        waited = self._clock.boot() - self._term_started_at
+        if (
+            now - newest_since < configured.settle
+            and waited < configured.settle_most
+        ):
             return
         weights = {planning.holder(t): float(t.slots) for t in targets}
         table = ranges.initial(service, weights, self._clock.new_id())
-        keyed = self._new_keyed(table, 0)
+        keyed = self._new_service(table, 0)
         await self._commit(keyed, table)
 
     # Committing.
@@ -819,23 +851,23 @@
     async def _commit(
         self, keyed: planning.Keyed, table: ranges.RangeTable
     ) -> bool:
-        """Writes a table and has it carried out.
+        """Writes a table to the store and applies it.
 
         Returns:
-            Whether it is in force.
+            Whether the table is in force.
         """
         entry = self._entry
         if entry is None:
             return False
-        wrong = ranges.problem(table)
-        if wrong:
+        problem = ranges.problem(table)
+        if problem:
             self._events.write(
-                "leader", "table_refused", service=table.service, why=wrong
+                "leader", "table_refused", service=table.service, why=problem
             )
             return False
-        settled = keyed.granting.settled()
-        if settled:
-            table = _without_settled(table, settled)
+        released = keyed.granting.settled()
+        if released:
+            table = _without_released(table, released)
         pace = self._settings.leader.pace(len(table.ranges))
         if pace.hold > max(table.hold, self._settings.leader.hold):
             table = msgspec.structs.replace(table, hold=pace.hold)
@@ -845,28 +877,31 @@
             key: keyed.revision,
         }
         write = ports.Write(key, messages.encode(table))
-        asked = self._clock.boot()
+        sent_at = self._clock.boot()
         written = await self._store.commit(expected, (write,))
         if self._entry is not entry:
             return False
         if isinstance(written, result.Ok):
-            self._authority.confirm(asked)
-            self._take(keyed, table, written.ok_value)
+            self._authority.confirm(sent_at)
+            self._apply_committed(keyed, table, written.ok_value)
             return True
         if isinstance(written.err_value, errors.Failure):
-            self._store_failed(written.err_value, asked)
+            self._store_failed(written.err_value, sent_at)
             if written.err_value.kind is errors.ErrorKind.STORE_UNAVAILABLE:
                 return False
-        return await self._resolve(keyed, table)
+        return await self._resolve_commit(keyed, table)
 
-    async def _resolve(
+    async def _resolve_commit(
         self, keyed: planning.Keyed, table: ranges.RangeTable
     ) -> bool:
-        """Finds out what became of a commit without an answer.
+        """Determines the outcome of a commit that got no response.
+
+        The write may still be carried out as long as its condition holds, so
+        the value read here may change. The next commit carries the same
+        condition, and only one of the two can succeed.
 
-        The write may be carried out later, as long as its condition holds. So
-        what is read now may change; the next commit carries the same
-        condition, and only one of the two can be carried out.
+        Returns:
+            Whether `table` is in force.
         """
         key = messages.table_key(table.service)
         read = await self._store.read(key)
@@ -876,44 +911,46 @@
         item = read.ok_value
         if self._entry is None or item is None:
             return False
-        found = self._decoded_table(item)
-        if found is None:
+        stored = self._decode_table(item)
+        if stored is None:
             return False
         if item.revision != keyed.revision:
-            self._take(keyed, found, item.revision)
-        return found.commit == table.commit
+            self._apply_committed(keyed, stored, item.revision)
+        return stored.commit == table.commit
 
-    def _take(
+    def _apply_committed(
         self, keyed: planning.Keyed, table: ranges.RangeTable, revision: int
     ) -> None:
-        fresh = keyed.table.next_fence
-        stale = {item.owner for item in table.ranges if item.fence < fresh}
-        renewed = table.holders() - stale
+        first_new_fence = keyed.table.next_fence
+        unchanged = {
+            item.owner for item in table.ranges if item.fence < first_new_fence
+        }
+        renewed = table.holders() - unchanged
         keyed.table = table
         keyed.revision = revision
         self._services[table.service] = keyed
         keyed.granting.follow(table)
         keyed.granting.refenced(renewed)
-        self._published()
+        self._schedule_publish()
 
     async def hand_over(self, seconds: float) -> None:
-        """Has another VM take over before this one stops.
+        """Asks other VMs to take over and waits until one does.
 
         Args:
-            seconds: Longest wait for it.
+            seconds: Maximum wait.
         """
         if self._entry is None:
             return
-        successors = self._ask_others()
+        successors = self._request_successors()
         if not successors:
             return
         self._events.write("leader", "hands_over", successors=successors)
-        ends = self._clock.now() + seconds
-        while self.leading and self._clock.now() < ends:
+        deadline = self._clock.now() + seconds
+        while self.leading and self._clock.now() < deadline:
             await asyncio.sleep(0.05)
 
     def dump(self) -> dict[str, object]:
-        """Returns the state of leadership."""
+        """Returns the leader state for the state dump."""
         return {
             "leading": self.leading,
             "epoch": self._entry.epoch if self._entry else None,
@@ -929,9 +966,9 @@
         }
 
 
-def _without_settled(
-    table: ranges.RangeTable, settled: Mapping[ranges.Piece, Iterable[int]]
+def _without_released(
+    table: ranges.RangeTable, released: Mapping[ranges.Piece, Iterable[int]]
 ) -> ranges.RangeTable:
-    """Drops settled formers of pieces that a change has left as they were."""
-    cleaned = ranges.settle(table, settled, table.commit)
+    """Removes released former owners from pieces that did not change."""
+    cleaned = ranges.settle(table, released, table.commit)
     return msgspec.structs.replace(cleaned, version=table.version)
