--- a/packages/mimosastile-gateway/src/mimosastile_gateway/leading.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/leading.py
@@ -82,7 +82,6 @@
     """
 
     __slots__ = (
-        "_last_alive_at",
         "_authority",
         "_beliefs",
         "_boot",
@@ -94,25 +93,26 @@
         "_events",
         "_former_leaders",
         "_gates_selected_at",
-        "_selected_gates",
         "_has_led",
+        "_last_alive_at",
         "_orders",
         "_planner",
-        "_published_at",
         "_publish_timer",
+        "_published_at",
         "_revision",
+        "_selected_gates",
+        "_selected_watchers",
         "_serial",
         "_services",
         "_settings",
-        "_term_started_at",
         "_store",
         "_store_failing_since",
         "_succession",
         "_taking_over",
         "_tasks",
         "_telling",
+        "_term_started_at",
         "_watchers_selected_at",
-        "_selected_watchers",
         "_witness",
         "_witnesses",
         "address",
@@ -830,14 +830,14 @@
         if not targets:
             return
         configured = self._settings.leader
-        last_started_at = max(
+        last_added_at = max(
             entry.since
             for entry in self._beliefs.directory
             if entry.target.service == service
         )
         waited = self._clock.boot() - self._term_started_at
         if (
-            now - newest_since < configured.settle
+            now - last_added_at < configured.settle
             and waited < configured.settle_most
         ):
             return
