--- a/packages/mimosastile-gateway/src/mimosastile_gateway/granting.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/granting.py
@@ -1,4 +1,7 @@
-"""Carries one service's table out: takes keys from targets and grants them."""
+"""Applies one service's table of key ranges: releases and grants of keys.
+
+Every grant is a lease on a range of keys, protected by a fencing token.
+"""
 
 import asyncio
 import bisect
@@ -19,32 +22,37 @@
 from mimosastile_gateway import ports
 from mimosastile_gateway import settings
 
-_RETRY_SECONDS = 0.1
-"""Pause after an order that was not answered."""
+_ORDER_RETRY_SECONDS = 0.1
+"""Delay before an order is sent again after it got no response."""
 LINK_QUEUE_SECONDS = 1.0
-"""Longest wait of bytes before a link between regions. Callers' requests that
-cross it time out after that, which empties it; 0.8 s was seen at worst."""
-_FENCE_AFTER = 1.0
-"""Silence after which a target may have started again; that takes seconds."""
+"""Longest time that data queues before a link between regions. Callers'
+requests across the link time out after that, which drains the queue; the
+longest time observed was 0.8 s."""
+_REFENCE_AFTER_SECONDS = 1.0
+"""Time without a response after which a target may have restarted; a restart
+takes seconds."""
 _ALIVE_SECONDS = 0.6
-"""Age up to which a VM's word that a target answers callers is believed: two
-reports and the way."""
-_RELEASE_TRY_SECONDS = 0.45
-"""Wait for the first answer to a release before it is sent again; it is
-answered when running work has ended, and some are carried out late. Grows with
-each try."""
-_ORDERS_AT_ONCE = 256
-"""Grants on their way at a time. All targets of a new table at once would have
-their answers wait for each other until the orders' timeouts."""
-_TICK_SECONDS = 0.001
-"""Shortest wait; one below the clock's resolution would spin."""
-_MISS_REST = 0.2
-"""A target that rejects a key is granted it again at once, but not more often
-than this: VMs that have not heard of a change report misses as well."""
+"""Maximum age of a VM's report that a target responds to callers: two report
+intervals and the network delay."""
+_RELEASE_TIMEOUT_SECONDS = 0.45
+"""Timeout of the first attempt of a release; it grows by the same amount with
+each further attempt. A target responds when its running requests have ended,
+and some targets carry a release out late."""
+_MAX_CONCURRENT_GRANTS = 256
+"""Maximum number of concurrent grants. If the grants to all targets of a new
+table were sent at once, their responses would delay each other until the orders
+time out."""
+_MIN_WAIT_SECONDS = 0.001
+"""Minimum wait; a shorter one, below the clock's resolution, would cause a busy
+loop."""
+_REGRANT_INTERVAL_SECONDS = 0.2
+"""Minimum interval between two repeated grants of a range. A target that
+rejects a key is granted its range again at once, but VMs that have not received
+a change report rejections too."""
 
 
 class _Exposure:
-    """Keys that a target may hold until some time."""
+    """A range of keys and the time until which a target may hold it."""
 
     __slots__ = ("first", "last", "until")
 
@@ -54,17 +62,27 @@
         self.until = until
 
 
-class _State:
-    """How far a piece of the table is carried out."""
+class _PieceState:
+    """Progress of one piece of the table: releases and the grant.
+
+    Attributes:
+        item: The range.
+        granted: Whether the owner has acknowledged a grant.
+        due: Time of the next grant.
+        handover: Ticket from the former owner, for the first grant.
+        released: Fences of the former owners that hold no keys any more.
+        releasing: Running releases, by the fence of the former owner.
+        regranted_at: Time at which a rejected key last caused a new grant.
+    """
 
     __slots__ = (
         "due",
-        "freed",
-        "freeing",
         "granted",
         "handover",
         "item",
-        "missed_at",
+        "regranted_at",
+        "released",
+        "releasing",
     )
 
     def __init__(self, item: ranges.Range) -> None:
@@ -72,18 +90,27 @@
         self.granted = False
         self.due = 0.0
         self.handover = ""
-        self.freed: set[int] = set()
-        self.freeing: dict[int, asyncio.Task[None]] = {}
-        self.missed_at = 0.0
+        self.released: set[int] = set()
+        self.releasing: dict[int, asyncio.Task[None]] = {}
+        self.regranted_at = 0.0
 
     @property
     def free(self) -> bool:
-        """Whether nobody but the owner can hold the keys."""
-        return all(f.fence in self.freed for f in self.item.formers)
+        """Whether no former owner can still hold keys of the piece."""
+        return all(f.fence in self.released for f in self.item.formers)
+
 
+class _OwnerStatus:
+    """Grant status of one target that owns keys.
 
-class _Owner:
-    """One target that owns keys."""
+    Attributes:
+        failing_since: Time at which the first of the failed orders was sent,
+            None after a success.
+        failures: Consecutive failed orders.
+        refused: Whether the target has refused a current fence.
+        wake: Interrupts the wait for the next due grant.
+        task: Sends the grants to the target.
+    """
 
     __slots__ = ("failing_since", "failures", "refused", "task", "wake")
 
@@ -96,26 +123,30 @@
 
 
 class Granting:
-    """Gives the orders that a table asks for, and renews grants."""
+    """Sends grants and releases to the targets of one table.
+
+    Times are seconds of the boot clock, which also advances while the machine
+    is suspended.
+    """
 
     __slots__ = (
-        "_alive_at",
         "_authority",
         "_beliefs",
         "_clock",
-        "_doubtful",
         "_events",
         "_exposures",
-        "_formers",
-        "_of_owner",
+        "_former_leaders",
+        "_grant_permits",
+        "_last_alive_at",
         "_on_change",
         "_orders",
         "_owners",
-        "_sending",
         "_settings",
         "_states",
+        "_states_by_owner",
         "_stopped",
         "_table",
+        "_uncertain_incarnations",
     )
 
     def __init__(
@@ -130,76 +161,94 @@
         alive_at: Mapping[str, float],
         on_change: Callable[[], None],
     ) -> None:
+        """Creates an instance without a table.
+
+        Args:
+            configured: Settings of this VM.
+            orders: Sends orders to targets.
+            known: This VM's view of the cluster.
+            timer: The clock.
+            log: The event log.
+            authority: The leader lease; orders are sent only within it.
+            former: Former leaders and the expiry of their grants.
+            alive_at: Times at which targets last responded to callers, by
+                target.
+            on_change: Called when a piece has been granted to its owner.
+        """
         self._settings = configured
         self._orders = orders
         self._beliefs = known
         self._clock = timer
         self._events = log
         self._authority = authority
-        self._formers = former
-        self._alive_at = alive_at
+        self._former_leaders = former
+        self._last_alive_at = alive_at
         self._on_change = on_change
         self._table: ranges.RangeTable | None = None
-        self._states: dict[ranges.Piece, _State] = {}
-        self._of_owner: dict[ranges.Holder, list[_State]] = {}
-        self._owners: dict[ranges.Holder, _Owner] = {}
-        self._doubtful: set[ranges.Holder] = set()
+        self._states: dict[ranges.Piece, _PieceState] = {}
+        self._states_by_owner: dict[ranges.Holder, list[_PieceState]] = {}
+        self._owners: dict[ranges.Holder, _OwnerStatus] = {}
+        self._uncertain_incarnations: set[ranges.Holder] = set()
         self._exposures: dict[ranges.Holder, list[_Exposure]] = {}
         self._stopped = False
-        self._sending = asyncio.Semaphore(_ORDERS_AT_ONCE)
+        self._grant_permits = asyncio.Semaphore(_MAX_CONCURRENT_GRANTS)
 
     @property
-    def _table_hold(self) -> float:
+    def _table_grant_seconds(self) -> float:
+        """Grant duration stored in the table, 0 without one."""
         return self._table.hold if self._table else 0.0
 
     @property
-    def _formers_lapse(self) -> float:
-        """Time at which all grants of former leaders have run out."""
-        return self._formers.lapse(self._table_hold)
+    def _former_grants_expire_at(self) -> float:
+        """Time at which all grants of former leaders have expired."""
+        return self._former_leaders.lapse(self._table_grant_seconds)
 
     @property
-    def _hold(self) -> float:
-        """Seconds of a usual grant."""
-        return max(self._settings.leader.hold, self._table_hold)
+    def _regular_grant_seconds(self) -> float:
+        """Duration of a regular grant in seconds."""
+        return max(self._settings.leader.hold, self._table_grant_seconds)
 
     @property
-    def _renew(self) -> float:
-        """Seconds between two renewals of a grant."""
+    def _renewal_interval(self) -> float:
+        """Renewal interval of a grant in seconds."""
         configured = self._settings.leader
-        return configured.renew * self._hold / configured.hold
+        return configured.renew * self._regular_grant_seconds / configured.hold
 
-    # What the leader asks.
+    # Queries of the leader.
 
     def ready(self) -> set[ranges.Piece]:
-        """Returns the pieces that their owners have been granted."""
+        """Returns the pieces whose owners have acknowledged their grants."""
         return {p for p, state in self._states.items() if state.granted}
 
     def settled(self) -> dict[ranges.Piece, tuple[int, ...]]:
-        """Returns, by piece, the former holders that hold nothing more."""
+        """Returns the fences of released former owners, by piece."""
         return {
-            piece: tuple(state.freed)
+            piece: tuple(state.released)
             for piece, state in self._states.items()
-            if state.freed and state.item.formers
+            if state.released and state.item.formers
         }
 
     def silent(self, holder: ranges.Holder) -> bool:
-        """Whether a target has not answered orders for too long."""
+        """Whether a target has failed to acknowledge orders for too long."""
         owner = self._owners.get(holder)
         if owner is None or owner.failing_since is None:
             return False
         now = self._clock.boot()
-        limit = self._settings.leader
-        patience = limit.give_up
+        configured = self._settings.leader
+        detection_timeout = configured.give_up
         if self._is_alive(holder):
-            # Callers get answers from it, so it is orders that are lost or
-            # late. Taking its keys would leave them without an owner until
-            # its grant has run out.
-            patience = limit.give_up_alive
+            # The target responds to callers, so the orders are lost or late.
+            # If its keys were taken away, they would have no owner until its
+            # grant has expired.
+            detection_timeout = configured.give_up_alive
         silence = now - owner.failing_since
-        return owner.failures >= 2 and silence > patience - limit.order_timeout
+        return (
+            owner.failures >= 2
+            and silence > detection_timeout - configured.order_timeout
+        )
 
     def needs_fence(self, holder: ranges.Holder) -> bool:
-        """Whether a target must not get its present fences any more."""
+        """Whether a target needs new fences before it may be granted keys."""
         owner = self._owners.get(holder)
         if owner is None:
             return False
@@ -207,30 +256,33 @@
             return True
         since = owner.failing_since
         if since is None or self._is_alive(holder):
-            # One that serves its keys has not started again.
+            # A target that serves its keys has not restarted.
             return False
-        return self._clock.boot() - since > _FENCE_AFTER
+        return self._clock.boot() - since > _REFENCE_AFTER_SECONDS
 
     def _is_alive(self, holder: ranges.Holder) -> bool:
-        """Whether callers got answers from a target just now."""
-        at = self._alive_at.get(holder.id, float("-inf"))
+        """Whether a target has recently responded to callers."""
+        at = self._last_alive_at.get(holder.id, float("-inf"))
         return self._clock.boot() - at < _ALIVE_SECONDS
 
     def missed(self, key: int, target: str) -> None:
-        """Notes that a target has rejected a key that it should own."""
+        """Grants a range again after its owner rejected one of its keys."""
         if self._table is None:
             return
         state = self._states.get(self._table.find(key).piece)
         if state is None or state.item.owner.id != target:
             return
         now = self._clock.boot()
-        if state.granted and now - state.missed_at > _MISS_REST:
-            state.missed_at = now
+        if (
+            state.granted
+            and now - state.regranted_at > _REGRANT_INTERVAL_SECONDS
+        ):
+            state.regranted_at = now
             state.due = now
             self._wake(state.item.owner)
 
     def dump(self) -> dict[str, object]:
-        """Returns the state of the orders."""
+        """Returns the state of grants and releases for the state dump."""
         return {
             "pieces": len(self._states),
             "ready": len(self.ready()),
@@ -240,91 +292,97 @@
     # The table.
 
     def follow(self, table: ranges.RangeTable) -> None:
-        """Carries a table out in place of the one before."""
-        former = self._states
-        # In order of keys, as the table that they came from.
-        earlier = list(former.values())
+        """Replaces the table that is applied by a newer one."""
+        previous = self._states
+        # Sorted by key, as in the table that they were created from.
+        earlier = list(previous.values())
         firsts = [state.item.first for state in earlier]
         self._table = table
         self._states = {}
         for item in table.ranges:
-            state = former.pop(item.piece, None)
+            state = previous.pop(item.piece, None)
             if state is None:
                 begin = max(bisect.bisect_right(firsts, item.first) - 1, 0)
                 end = bisect.bisect_right(firsts, item.last)
-                state = self._inherited(item, earlier[begin:end])
+                state = self._derived_state(item, earlier[begin:end])
             state.item = item
             self._states[item.piece] = state
-        self._of_owner = {}
+        self._states_by_owner = {}
         for state in self._states.values():
-            self._of_owner.setdefault(state.item.owner, []).append(state)
-        for old in former.values():
-            for task in old.freeing.values():
+            self._states_by_owner.setdefault(state.item.owner, []).append(state)
+        for old in previous.values():
+            for task in old.releasing.values():
                 task.cancel()
-        self._prune()
+        self._prune_expired()
         for state in self._states.values():
-            self._free_all(state)
-        self._keep_owners()
+            self._release_all(state)
+        self._update_owner_tasks()
 
     def stop(self) -> None:
-        """Gives no further orders."""
+        """Cancels all orders; none is sent afterwards."""
         self._stopped = True
         for state in self._states.values():
-            for task in state.freeing.values():
+            for task in state.releasing.values():
                 task.cancel()
         for owner in self._owners.values():
             if owner.task is not None:
                 owner.task.cancel()
         self._owners = {}
 
-    def _inherited(
-        self, item: ranges.Range, former: Iterable[_State]
-    ) -> _State:
-        """Makes the state of a new piece from those that it was made of."""
-        state = _State(item)
+    def _derived_state(
+        self, item: ranges.Range, candidates: Iterable[_PieceState]
+    ) -> _PieceState:
+        """Returns the state of a new piece, derived from overlapping ones.
+
+        Args:
+            item: The range of the new piece.
+            candidates: States of earlier pieces that may overlap it.
+        """
+        state = _PieceState(item)
         parts = [
             old
-            for old in former
+            for old in candidates
             if old.item.first <= item.last and item.first <= old.item.last
         ]
-        # A piece that was cut or joined stays with its owner, who goes on
-        # holding its keys under the earlier fence until the new grant comes.
-        kept = parts and all(
+        # If a piece was split or merged without a change of owner, the owner
+        # keeps its keys under the earlier fence until the new grant arrives.
+        owner_kept = parts and all(
             old.granted and old.item.owner == item.owner for old in parts
         )
         owner = self._owners.get(item.owner)
-        if kept and not item.formers and not (owner and owner.refused):
+        if owner_kept and not item.formers and not (owner and owner.refused):
             state.granted = True
         if len(parts) == 1 and parts[0].item.formers == item.formers:
-            state.freed = set(parts[0].freed)
+            state.released = set(parts[0].released)
             state.handover = parts[0].handover
-            state.granted = parts[0].granted and bool(kept)
+            state.granted = parts[0].granted and bool(owner_kept)
         return state
 
-    def _keep_owners(self) -> None:
-        wanted = self._of_owner
-        for holder in [h for h in self._owners if h not in wanted]:
+    def _update_owner_tasks(self) -> None:
+        states_by_owner = self._states_by_owner
+        for holder in [h for h in self._owners if h not in states_by_owner]:
             owner = self._owners.pop(holder)
             if owner.task is not None:
                 owner.task.cancel()
-        for holder in wanted:
-            owner = self._owners.setdefault(holder, _Owner())
+        for holder in states_by_owner:
+            owner = self._owners.setdefault(holder, _OwnerStatus())
             if owner.refused:
                 owner.refused = False
             if owner.task is None and not self._stopped:
                 owner.task = asyncio.create_task(
-                    self._serve(holder, owner), name=f"grant-{holder.id}"
+                    self._grant_loop(holder, owner), name=f"grant-{holder.id}"
                 )
             owner.wake.set()
 
     def refenced(self, holders: Iterable[ranges.Holder]) -> None:
-        """Notes that targets have new fences and may be granted again."""
+        """Resumes grants to targets whose pieces have got new fences."""
         for holder in holders:
             owner = self._owners.get(holder)
             if owner is not None:
                 if owner.failing_since is not None:
-                    # It may be another run by now that takes the new grants.
-                    self._doubtful.add(holder)
+                    # A later incarnation of the target may accept the new
+                    # grants.
+                    self._uncertain_incarnations.add(holder)
                 owner.failing_since = None
                 owner.failures = 0
                 owner.refused = False
@@ -337,98 +395,118 @@
 
     # Grants.
 
-    async def _serve(self, holder: ranges.Holder, owner: _Owner) -> None:
-        """Grants and renews all pieces of one target, one after the other."""
+    async def _grant_loop(
+        self, holder: ranges.Holder, owner: _OwnerStatus
+    ) -> None:
+        """Grants and renews the pieces of one target, one at a time."""
         while not self._stopped:
             owner.wake.clear()
-            state = self._next(holder)
+            state = self._next_due(holder)
             now = self._clock.boot()
             if state is None or self.needs_fence(holder):
                 await owner.wake.wait()
                 continue
             if state.due > now:
                 await clock.wait(
-                    owner.wake, max(state.due - now, _TICK_SECONDS)
+                    owner.wake, max(state.due - now, _MIN_WAIT_SECONDS)
                 )
                 continue
-            # The order may wait on its way, and must not arrive later.
-            late = self._settings.leader.order_timeout + self._held_up(holder)
-            if not self._authority.holds(now + late):
+            # The order may be delayed in transit and must not arrive after
+            # the leader lease has ended.
+            max_delay = (
+                self._settings.leader.order_timeout
+                + self._transit_delay(holder)
+            )
+            if not self._authority.holds(now + max_delay):
                 self._events.write(
                     "grants",
                     "authority_ended",
                     target=holder.id,
                     since=round(now - self._authority.ends, 2),
                 )
-                await asyncio.sleep(_RETRY_SECONDS)
+                await asyncio.sleep(_ORDER_RETRY_SECONDS)
                 continue
-            async with self._sending:
-                if not self._authority.holds(self._clock.boot() + late):
+            async with self._grant_permits:
+                if not self._authority.holds(self._clock.boot() + max_delay):
                     continue
                 await self._grant(holder, owner, state)
 
-    def _next(self, holder: ranges.Holder) -> _State | None:
-        """Returns the piece that is due first; new ones go before renewals."""
+    def _next_due(self, holder: ranges.Holder) -> _PieceState | None:
+        """Returns the piece due first; new pieces come before renewals."""
         return min(
-            (state for state in self._of_owner.get(holder, ()) if state.free),
+            (
+                state
+                for state in self._states_by_owner.get(holder, ())
+                if state.free
+            ),
             key=lambda state: (state.granted, state.due),
             default=None,
         )
 
-    def _hear(self, holder: ranges.Holder, notice: reported.Notice) -> None:
-        """Takes what an owner says of itself; callers may ask it nothing."""
+    def _apply_feedback(
+        self, holder: ranges.Holder, notice: reported.Notice
+    ) -> None:
+        """Applies target feedback from the response to an order.
+
+        A target that gets no requests from callers gives feedback only here.
+        """
         entry = self._beliefs.directory.get(holder.id)
         if entry is not None and entry.target.born == holder.born:
             self._beliefs.hear_notice(entry.target, notice)
 
     async def _grant(
-        self, holder: ranges.Holder, owner: _Owner, state: _State
+        self, holder: ranges.Holder, owner: _OwnerStatus, state: _PieceState
     ) -> None:
+        """Sends one grant to the owner of a piece and records the outcome."""
         configured = self._settings.leader
-        sent = self._clock.boot()
-        latest = sent + configured.order_timeout + self._held_up(holder)
-        hold = self._authority.hold_seconds(
-            sent,
-            latest,
-            self._hold,
+        sent_at = self._clock.boot()
+        latest_arrival = (
+            sent_at + configured.order_timeout + self._transit_delay(holder)
+        )
+        grant_seconds = self._authority.hold_seconds(
+            sent_at,
+            latest_arrival,
+            self._regular_grant_seconds,
             self._settings.bounds.hold_most,
             configured.trouble_after,
         )
         item = state.item
-        # Until its outcome is known it may still leave this machine: with too
-        # little processor or link that takes longer than its timeout, and the
-        # target holds the keys from its arrival on.
+        # The order may leave this machine at any time until its outcome is
+        # known: on an overloaded processor or link that takes longer than its
+        # timeout. The target holds the keys from the arrival of the order on.
         exposure = _Exposure(item.first, item.last, float("inf"))
-        if hold > self._hold:
-            # Before it can arrive: a leader that is replaced meanwhile is
-            # asked how long its grants last.
-            self._authority.note_longer(leadership.lapsed_at(latest, hold))
+        if grant_seconds > self._regular_grant_seconds:
+            # Recorded before the order can arrive: a leader that is replaced
+            # meanwhile reports how long its grants last.
+            self._authority.note_longer(
+                leadership.lapsed_at(latest_arrival, grant_seconds)
+            )
         self._exposures.setdefault(holder, []).append(exposure)
         order = ports.GrantOrder(
-            item.first, item.last, item.fence, hold, state.handover
+            item.first, item.last, item.fence, grant_seconds, state.handover
         )
         try:
-            answer = await self._orders.grant(
+            response = await self._orders.grant(
                 holder.id, holder.address, order, configured.order_timeout
             )
         finally:
-            # Answered, or its connection was reset.
+            # The order was acknowledged or its connection was reset.
             now = self._clock.boot()
-            exposure.until = leadership.lapsed_at(now, hold)
-            exposure.until += self._held_up(holder)
-            if hold > self._hold:
+            exposure.until = leadership.lapsed_at(now, grant_seconds)
+            exposure.until += self._transit_delay(holder)
+            if grant_seconds > self._regular_grant_seconds:
                 self._authority.note_longer(exposure.until)
         current = self._states.get(item.piece) is state
-        if isinstance(answer, result.Ok):
-            exposure.until = leadership.lapsed_at(now, hold)
-            self._hear(holder, answer.ok_value)
-            self._granted(holder, owner, state, sent, current)
+        if isinstance(response, result.Ok):
+            exposure.until = leadership.lapsed_at(now, grant_seconds)
+            self._apply_feedback(holder, response.ok_value)
+            self._note_granted(holder, owner, state, sent_at, current)
             return
-        failure = answer.err_value
+        failure = response.err_value
         if failure.kind is errors.ErrorKind.UNREACHABLE:
             exposure.until = now
         if failure.kind is errors.ErrorKind.WRONG_FENCE:
-            # Whoever gave the higher fence, this one is of no use any more.
+            # The target has seen a higher fence, so this order has no effect.
             exposure.until = now
             owner.refused = owner.refused or current
         if failure.kind is errors.ErrorKind.TARGET_REPLACED:
@@ -436,7 +514,7 @@
             self._beliefs.end_target(holder.id, holder.born)
         owner.failures += 1
         owner.failing_since = (
-            sent if owner.failing_since is None else owner.failing_since
+            sent_at if owner.failing_since is None else owner.failing_since
         )
         if current:
             self._events.write(
@@ -451,35 +529,44 @@
                 why=failure.detail,
                 failures=owner.failures,
             )
-        await asyncio.sleep(_RETRY_SECONDS * (0.5 + self._clock.random()))
+        await asyncio.sleep(_ORDER_RETRY_SECONDS * (0.5 + self._clock.random()))
 
-    def _held_up(self, holder: ranges.Holder) -> float:
-        """Returns how much later than its reset an order may arrive.
+    def _transit_delay(self, holder: ranges.Holder) -> float:
+        """Returns the seconds by which an order may arrive after its reset.
 
-        What waits before a full link between regions is delivered in order:
-        an order first, the reset of its connection after it. Its time counts
-        from its arrival, and the target would still hold keys that another
-        one has been given.
+        A saturated link between regions delivers queued data in order: first
+        the order, then the reset of its connection. The grant duration counts
+        from the arrival of the order, so without this allowance the target
+        could still hold keys that another target has been granted.
         """
         entry = self._beliefs.directory.get(holder.id)
         vm = self._settings.vm
         zone = entry.target.zone if entry else ""
-        near = vm.regions.get(zone) == vm.region
-        return 0.0 if near else LINK_QUEUE_SECONDS
+        same_region = vm.regions.get(zone) == vm.region
+        return 0.0 if same_region else LINK_QUEUE_SECONDS
 
-    def _granted(
+    def _note_granted(
         self,
         holder: ranges.Holder,
-        owner: _Owner,
-        state: _State,
-        sent: float,
+        owner: _OwnerStatus,
+        state: _PieceState,
+        sent_at: float,
         current: bool,
     ) -> None:
+        """Records an acknowledged grant and schedules its renewal.
+
+        Args:
+            holder: The target.
+            owner: Its grant status.
+            state: The granted piece.
+            sent_at: Time at which the order was sent.
+            current: Whether the piece is still in the table.
+        """
         owner.failures = 0
         owner.failing_since = None
         if not current:
             return
-        state.due = sent + self._renew
+        state.due = sent_at + self._renewal_interval
         if state.granted:
             return
         state.granted = True
@@ -497,48 +584,54 @@
         state.handover = ""
         self._on_change()
 
-    # Taking keys back.
+    # Releases.
 
-    def _free_all(self, state: _State) -> None:
+    def _release_all(self, state: _PieceState) -> None:
         if self._stopped:
             return
         for former in state.item.formers:
-            if former.fence not in state.freed | state.freeing.keys():
-                state.freeing[former.fence] = asyncio.create_task(
-                    self._free(state, former),
+            if former.fence not in state.released | state.releasing.keys():
+                state.releasing[former.fence] = asyncio.create_task(
+                    self._release(state, former),
                     name=f"free-{former.holder.id}",
                 )
 
-    async def _free(self, state: _State, former: ranges.Former) -> None:
-        """Waits until a former holder holds nothing of a piece any more."""
+    async def _release(self, state: _PieceState, former: ranges.Former) -> None:
+        """Releases the keys of a piece from a former owner.
+
+        Returns once the target has confirmed the release, its grants have
+        expired, or its incarnation has ended.
+        """
         item, holder = state.item, former.holder
-        began = self._clock.boot()
+        started_at = self._clock.boot()
         order = ports.ReleaseOrder(item.first, item.last, former.fence)
         how = ""
-        tries = 0
+        attempts = 0
         while not how:
             now = self._clock.boot()
-            lapse = self._lapse(holder, item)
-            if self._run_ended(holder):
+            expires_at = self._grants_expire_at(holder, item)
+            if self._incarnation_ended(holder):
                 how = "run ended"
-            elif now >= lapse:
+            elif now >= expires_at:
                 how = "lapsed"
             elif self._authority.holds(now):
-                tries += 1
-                timeout = min(_RELEASE_TRY_SECONDS * tries, lapse - now)
-                answer = await self._orders.release(
+                attempts += 1
+                timeout = min(
+                    _RELEASE_TIMEOUT_SECONDS * attempts, expires_at - now
+                )
+                response = await self._orders.release(
                     holder.id, holder.address, order, max(timeout, 0.02)
                 )
-                if isinstance(answer, result.Ok):
-                    state.handover = answer.ok_value
+                if isinstance(response, result.Ok):
+                    state.handover = response.ok_value
                     how = "released"
                     break
-                if answer.err_value.kind is errors.ErrorKind.TARGET_REPLACED:
+                if response.err_value.kind is errors.ErrorKind.TARGET_REPLACED:
                     self._beliefs.end_target(holder.id, holder.born)
-                left = lapse - self._clock.boot()
-                await asyncio.sleep(min(max(left, 0.0), _RETRY_SECONDS))
+                left = expires_at - self._clock.boot()
+                await asyncio.sleep(min(max(left, 0.0), _ORDER_RETRY_SECONDS))
             else:
-                await asyncio.sleep(_RETRY_SECONDS)
+                await asyncio.sleep(_ORDER_RETRY_SECONDS)
         self._events.write(
             "grants",
             "freed",
@@ -547,48 +640,51 @@
             last=item.last,
             fence=former.fence,
             how=how,
-            seconds=round(self._clock.boot() - began, 3),
+            seconds=round(self._clock.boot() - started_at, 3),
         )
-        state.freed.add(former.fence)
-        state.freeing.pop(former.fence, None)
+        state.released.add(former.fence)
+        state.releasing.pop(former.fence, None)
         self._wake(state.item.owner)
 
-    def _lapse(self, holder: ranges.Holder, item: ranges.Range) -> float:
-        """Returns when a target's grants for some keys have run out."""
-        given = (
+    def _grants_expire_at(
+        self, holder: ranges.Holder, item: ranges.Range
+    ) -> float:
+        """Returns the time at which a target's grants for a range expire."""
+        expiries = (
             exposure.until
             for exposure in self._exposures.get(holder, ())
             if exposure.first <= item.last and item.first <= exposure.last
         )
-        # A former leader may have renewed them as well, whatever this one has
-        # sent since.
-        return max((self._formers_lapse, *given))
-
-    def _run_ended(self, holder: ranges.Holder) -> bool:
-        """Whether a run of a target is surely over, with all that it held.
-
-        A later run shows that the earlier one is over. But where the target
-        was silent before its last grants, or a former leader may have given
-        some, these may have gone to the later run already, in the earlier
-        one's name; that one then answers a release, or they run out.
+        # A former leader may have renewed the grants too, regardless of the
+        # orders that this one has sent.
+        return max((self._former_grants_expire_at, *expiries))
+
+    def _incarnation_ended(self, holder: ranges.Holder) -> bool:
+        """Whether an incarnation of a target and its grants have ended.
+
+        A later incarnation proves that the earlier one has ended. The latest
+        grants may still be held by the later incarnation under the earlier
+        one's name, if the target did not respond before they were sent or a
+        former leader may have sent some. In that case the later incarnation
+        has to confirm a release, or the grants have to expire.
         """
         known = self._beliefs.directory
         if known.has_left_address(holder.id, holder.born):
             return True
-        if holder in self._doubtful:
+        if holder in self._uncertain_incarnations:
             return False
-        if self._clock.boot() < self._formers_lapse:
+        if self._clock.boot() < self._former_grants_expire_at:
             return False
         return known.has_started_again(holder.id, holder.born)
 
-    def _prune(self) -> None:
+    def _prune_expired(self) -> None:
         now = self._clock.boot()
         self._exposures = {
-            holder: left
+            holder: unexpired
             for holder, all_ in self._exposures.items()
-            if (left := [e for e in all_ if e.until > now])
+            if (unexpired := [e for e in all_ if e.until > now])
         }
-        named = (
+        holders = (
             holder
             for state in self._states.values()
             for holder in (
@@ -596,4 +692,4 @@
                 *(former.holder for former in state.item.formers),
             )
         )
-        self._doubtful.intersection_update(named)
+        self._uncertain_incarnations.intersection_update(holders)
--- a/tests/gateway/test_proofs.py
+++ b/tests/gateway/test_proofs.py
@@ -212,10 +212,10 @@
 
         mutations = {
             "released": (fakes.Orders, "release", release),
-            "lapsed": (granting.Granting, "_lapse", lambda *_: 0.0),
+            "lapsed": (granting.Granting, "_grants_expire_at", lambda *_: 0.0),
             "run ended": (
                 granting.Granting,
-                "_run_ended",
+                "_incarnation_ended",
                 lambda made, holder: (
                     (entry := made._beliefs.directory.get(holder.id)) is None
                     or entry.target.born != holder.born
