--- a/packages/mimosastile-gateway/src/mimosastile_gateway/planning.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/planning.py
@@ -1,7 +1,7 @@
-"""What a leader changes in the tables of key ranges, and why.
+"""The leader's planner for the tables of key ranges.
 
-Decisions about single moves are in `rebalance`; this module says when one is
-due, by what VMs report and by how targets answer orders.
+It decides when a table has to change, from the load reports of VMs and the
+responses of targets to orders. `rebalance` chooses the single moves.
 """
 
 import collections
@@ -21,45 +21,58 @@
 from mimosastile_gateway import settings
 from mimosastile_gateway import telling
 
-_RESTING_VMS = 2
-"""VMs from which a target must want nothing for its keys to move: what concerns
-one VM alone is that one's share of the load."""
+_BACKOFF_VMS = 2
+"""Number of VMs that a target must have asked to back off before its keys move.
+A backoff that concerns a single VM is caused by that VM's share of the load."""
 _LIMIT_SHARE = 0.6
-"""Part of a target's limit up to which it gets keys; counts of a few requests a
-second differ by that much by chance before keys move."""
-_LIMIT_LEAST = 0.05
-"""Requests a second that it is reckoned to carry at least."""
-_LEFT_LEAST = 0.1
-"""Part of all requests that targets without a limit are reckoned to get."""
-_LIMIT_SECONDS = 20.0
-"""For how long a limit counts that nobody has heard again: its target may have
-no keys that anyone asks for, and gets some then."""
-_LOST_REST = 3.0
-"""Seconds for which a target that was silent gets no keys."""
+"""Share of a target's rate limit up to which it gets keys. The rest is a margin:
+counts of a few requests per second deviate that far by chance before keys
+move."""
+_MIN_LIMITED_RATE = 0.05
+"""Lower bound, in requests per second, on the estimated capacity of a
+rate-limited target."""
+_MIN_UNLIMITED_SHARE = 0.1
+"""Lower bound on the estimated share of requests that go to targets without a
+rate limit."""
+_LIMIT_MAX_AGE_SECONDS = 20.0
+"""Time for which a reported rate limit counts without being reported again. A
+target whose keys are not requested cannot repeat its limit; after this time it
+is given keys again."""
+_LOST_TARGET_PAUSE_SECONDS = 3.0
+"""Seconds for which a target that did not respond to orders gets no keys."""
 _COLD_SHARE = 0.5
-"""What a target that has just started can carry, against one that is warm."""
-_SETTLE_PAUSE = 0.3
-"""Seconds between changes that only note which targets have let go."""
-_LONE_REST = 4.0
-"""Seconds for which a hot key stays where it was moved. Each move holds its
-requests up, and the speeds of targets are not known so well that a second move
-would gain what it costs."""
-_WORK_GUESS = 0.1
-"""Seconds of a request while no VM has reported any."""
-_JOIN_LIMIT = 8
-"""Joins in one change; each needs one grant more."""
-_JOIN_EVERY = 2.0
-_FACTOR_LEAST = 0.3
-_FACTOR_MOST = 8.0
-"""Bounds on how slow or fast a target is taken for."""
+"""Capacity of a target in slow start, relative to a warm one."""
+_RELEASE_COMMIT_INTERVAL_SECONDS = 0.3
+"""Minimum interval between changes that only record released former owners."""
+_HOT_KEY_PAUSE_SECONDS = 4.0
+"""Seconds for which a hot key stays at its target after a move. Each move delays
+its requests, and the estimated speeds of targets are not precise enough for a
+second move to gain what it costs."""
+_DEFAULT_REQUEST_SECONDS = 0.1
+"""Assumed duration of a request while no VM has reported one."""
+_MAX_MERGES = 8
+"""Maximum number of merged ranges per change; each merge needs one more
+grant."""
+_MERGE_INTERVAL_SECONDS = 2.0
+_MIN_SLOWNESS = 0.3
+_MAX_SLOWNESS = 8.0
+"""Bounds on the estimated slowness of a target, relative to the mean."""
 
 
 class Keyed:
-    """What a leader keeps of one service that is divided by key."""
+    """The leader's state for one sharded service.
+
+    Attributes:
+        table: The table in force.
+        revision: Store revision of the table, 0 before the first commit.
+        granting: Sends the orders of the table.
+        fast: Request rates of keys over the short time constant.
+        slow: Request rates of keys over the long time constant.
+    """
 
     __slots__ = (
-        "_lone_at",
-        "_lone_key",
+        "_key_moved_at",
+        "_moved_key",
         "fast",
         "granting",
         "revision",
@@ -75,40 +88,49 @@
         fast: heat.KeyHeat,
         slow: heat.KeyHeat,
     ) -> None:
+        """Creates the state of a service for its first or stored table.
+
+        Args:
+            table: The table.
+            revision: Store revision of the table, 0 if it is not stored yet.
+            grants: Sends the orders of the table.
+            fast: Request rates of keys over the short time constant.
+            slow: Request rates of keys over the long time constant.
+        """
         self.table = table
         self.revision = revision
         self.granting = grants
         self.fast = fast
         self.slow = slow
-        self._lone_key: int | None = None
-        self._lone_at = 0.0
+        self._moved_key: int | None = None
+        self._key_moved_at = 0.0
 
     def note_moves(self, moves: Iterable[ranges.Move], now: float) -> None:
-        """Remembers a single key that has just moved."""
+        """Records the time of a move that concerns a single key."""
         for move in moves:
             if move.first == move.last:
-                self._lone_key = move.first
-                self._lone_at = now
+                self._moved_key = move.first
+                self._key_moved_at = now
 
     def settled_key(self, now: float) -> int | None:
-        """Returns a single key that moved too recently to move again."""
-        recent = now - self._lone_at < _LONE_REST
-        return self._lone_key if recent else None
+        """Returns the key that moved too recently to move again, if any."""
+        recent = now - self._key_moved_at < _HOT_KEY_PAUSE_SECONDS
+        return self._moved_key if recent else None
 
 
 class Planner:
-    """Chooses the next table of a service."""
+    """Computes the next table of a service."""
 
     __slots__ = (
+        "_backoffs_by_vm",
         "_beliefs",
         "_clock",
         "_events",
-        "_factors_of",
-        "_joined_at",
-        "_lost_until",
-        "_resting",
+        "_excluded_until",
+        "_merged_at",
+        "_released_at",
         "_settings",
-        "_settled_at",
+        "_slowness_by_vm",
         "_telling",
     )
 
@@ -120,48 +142,56 @@
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
-        """Makes one that has heard of no load yet."""
+        """Creates a planner without any load reports.
+
+        Args:
+            configured: Settings of this VM.
+            reports: The reports of VMs.
+            known: This VM's view of the cluster.
+            timer: The clock.
+            log: The event log.
+        """
         self._settings = configured
         self._telling = reports
         self._beliefs = known
         self._clock = timer
         self._events = log
-        self._factors_of: dict[str, dict[str, float]] = {}
-        self._lost_until: dict[str, float] = {}
-        self._resting: dict[str, dict[str, float]] = {}
-        self._settled_at = 0.0
-        self._joined_at = 0.0
+        self._slowness_by_vm: dict[str, dict[str, float]] = {}
+        self._excluded_until: dict[str, float] = {}
+        self._backoffs_by_vm: dict[str, dict[str, float]] = {}
+        self._released_at = 0.0
+        self._merged_at = 0.0
 
     def next_table(
         self, keyed: Keyed, targets: list[directory.Target], now: float
     ) -> ranges.RangeTable | None:
-        """Returns the next table, None if the present one is right.
+        """Returns the next table, None if the current one need not change.
 
         Args:
             keyed: The service.
-            targets: Its targets that may own keys.
+            targets: Targets of the service that may own keys.
             now: The time.
         """
-        table = self._changed_lives(keyed, targets)
+        table = self._refenced(keyed, targets)
         if table is None:
             table = self._moved(keyed, targets, now)
         if table is None:
-            table = self._settled(keyed)
+            table = self._without_released(keyed)
         if table is None:
-            table = self._joined(keyed)
+            table = self._merged(keyed)
         return table
 
-    def _changed_lives(
+    def _refenced(
         self, keyed: Keyed, targets: list[directory.Target]
     ) -> ranges.RangeTable | None:
-        """New fences for targets that started again or were silent."""
-        present = {target.id: holder(target) for target in targets}
+        """Assigns new fences to restarted or unresponsive targets."""
+        current = {target.id: holder(target) for target in targets}
         renewed = {
-            owner: present[owner.id]
+            owner: current[owner.id]
             for owner in keyed.table.holders()
-            if owner.id in present
+            if owner.id in current
             and (
-                present[owner.id] != owner or keyed.granting.needs_fence(owner)
+                current[owner.id] != owner or keyed.granting.needs_fence(owner)
             )
         }
         if not renewed:
@@ -177,18 +207,19 @@
     def _moved(
         self, keyed: Keyed, targets: list[directory.Target], now: float
     ) -> ranges.RangeTable | None:
+        """Moves keys off lost targets, or else to balance the load."""
         capacity = self._capacity(targets, now)
         lost = self._lost(keyed, capacity, now)
         for holder in lost:
             capacity.pop(holder, None)
         fast = keyed.fast.counts(now)
         slow = keyed.slow.counts(now)
-        asked = sum(slow.values()) / self._settings.leader.heat_slow
+        request_rate = sum(slow.values()) / self._settings.leader.heat_slow
         rates = self._rates(capacity, keyed.table.service)
-        capacity = self._within_limits(capacity, asked, now)
+        capacity = self._within_rate_limits(capacity, request_rate, now)
         moves = rebalance.evacuate(keyed.table, capacity, slow, lost)
         why = "evacuated"
-        if not moves and not lost and self._hears_others():
+        if not moves and not lost and self._has_enough_reports():
             why = "isolated a hot key"
             moves = rebalance.isolate(
                 keyed.table,
@@ -224,107 +255,119 @@
         )
         return ranges.move(keyed.table, moves, self._clock.new_id())
 
-    def _hears_others(self) -> bool:
-        """Whether reports are complete enough to judge load by them."""
+    def _has_enough_reports(self) -> bool:
+        """Whether enough VMs report for the load to be estimated."""
         fresh = self._telling.fresh()
-        known = len(self._beliefs.vms)
-        return len(fresh) * 2 >= known
+        vm_count = len(self._beliefs.vms)
+        return len(fresh) * 2 >= vm_count
 
     def _capacity(
         self, targets: Iterable[directory.Target], now: float
     ) -> dict[ranges.Holder, float]:
-        factors = self._factors()
-        rested = self._rested(now)
+        """Returns the usable targets' capacities in concurrent requests."""
+        factors = self._mean_slowness()
+        backing_off = self._targets_in_backoff(now)
         capacity = {}
         for target in targets:
             factor = factors.get(target.id, 1.0)
-            factor = min(max(factor, _FACTOR_LEAST), _FACTOR_MOST)
-            able = target.slots / factor
+            factor = min(max(factor, _MIN_SLOWNESS), _MAX_SLOWNESS)
+            slots = target.slots / factor
             if now < target.warm_at:
-                able *= _COLD_SHARE
-            if self._lost_until.get(target.id, 0.0) > now:
+                slots *= _COLD_SHARE
+            if self._excluded_until.get(target.id, 0.0) > now:
                 continue
-            capacity[holder(target)] = able
-        awake = {h: part for h, part in capacity.items() if h.id not in rested}
-        # Where most rest, moving their keys to the others helps nobody.
-        return awake if 2 * len(awake) >= len(capacity) else capacity
+            capacity[holder(target)] = slots
+        available = {
+            h: slots for h, slots in capacity.items() if h.id not in backing_off
+        }
+        # If most targets back off, the others cannot take over their keys.
+        return available if 2 * len(available) >= len(capacity) else capacity
 
     def _rates(
         self, capacity: Mapping[ranges.Holder, float], service: str
     ) -> dict[ranges.Holder, float]:
-        """Returns capacities in requests a second."""
+        """Returns capacities in requests per second."""
         reports = self._telling.fresh().values()
-        works = [r.work[service] for r in reports if service in r.work]
-        work = sum(works) / len(works) if works else _WORK_GUESS
-        limits = self._limits(capacity, self._clock.now())
+        durations = [r.work[service] for r in reports if service in r.work]
+        duration = (
+            sum(durations) / len(durations)
+            if durations
+            else _DEFAULT_REQUEST_SECONDS
+        )
+        limits = self._rate_limits(capacity, self._clock.now())
         return {
-            holder: min(part / work, limits.get(holder, math.inf))
-            for holder, part in capacity.items()
+            holder: min(slots / duration, limits.get(holder, math.inf))
+            for holder, slots in capacity.items()
         }
 
-    def _limits(
+    def _rate_limits(
         self, holders: Iterable[ranges.Holder], now: float
     ) -> dict[ranges.Holder, float]:
-        """Returns the limits that targets have named lately."""
-        named = self._beliefs.limits
-        earliest = now - _LIMIT_SECONDS
-        found = {
-            holder: named.rate_since(holder.id, holder.born, earliest)
+        """Returns the recently reported rate limits of targets."""
+        reported = self._beliefs.limits
+        earliest = now - _LIMIT_MAX_AGE_SECONDS
+        rates = {
+            holder: reported.rate_since(holder.id, holder.born, earliest)
             for holder in holders
         }
-        return {h: rate for h, rate in found.items() if rate is not None}
+        return {h: rate for h, rate in rates.items() if rate is not None}
 
-    def _within_limits(
+    def _within_rate_limits(
         self,
         capacity: Mapping[ranges.Holder, float],
-        asked: float,
+        request_rate: float,
         now: float,
     ) -> dict[ranges.Holder, float]:
-        """Returns capacities that give no target more than it takes.
+        """Returns capacities reduced to the rate limits of targets.
 
         Args:
             capacity: Capacities in any common unit.
-            asked: Requests a second for the whole service.
+            request_rate: Requests per second for the whole service.
             now: The time.
         """
-        within = dict(capacity)
-        most = {
-            holder: max(rate * _LIMIT_SHARE, _LIMIT_LEAST)
-            for holder, rate in self._limits(capacity, now).items()
+        limited = dict(capacity)
+        max_rates = {
+            holder: max(rate * _LIMIT_SHARE, _MIN_LIMITED_RATE)
+            for holder, rate in self._rate_limits(capacity, now).items()
         }
-        others = sum(p for h, p in capacity.items() if h not in most)
-        if not others or not most:
-            return {**within, **most}
-        left = max(asked - sum(most.values()), asked * _LEFT_LEAST)
-        for holder, rate in most.items():
-            if left:
-                within[holder] = min(within[holder], rate * others / left)
-        return within
+        unlimited = sum(c for h, c in capacity.items() if h not in max_rates)
+        if not unlimited or not max_rates:
+            return {**limited, **max_rates}
+        remaining_rate = max(
+            request_rate - sum(max_rates.values()),
+            request_rate * _MIN_UNLIMITED_SHARE,
+        )
+        for holder, rate in max_rates.items():
+            if remaining_rate:
+                limited[holder] = min(
+                    limited[holder], rate * unlimited / remaining_rate
+                )
+        return limited
 
     def learn(self, report: messages.Report) -> None:
-        """Takes what a VM has newly seen of targets' speeds."""
-        known = self._factors_of.setdefault(report.vm.id, {})
-        known.update(report.factors)
+        """Records the slowness factors and backoffs of a VM's report."""
+        factors = self._slowness_by_vm.setdefault(report.vm.id, {})
+        factors.update(report.factors)
         now = self._clock.now()
-        self._resting[report.vm.id] = {
+        self._backoffs_by_vm[report.vm.id] = {
             target: now + seconds for target, seconds in report.resting.items()
         }
 
-    def _rested(self, now: float) -> set[str]:
-        """Returns targets that want nothing from several VMs for long."""
-        resting = collections.Counter(
+    def _targets_in_backoff(self, now: float) -> set[str]:
+        """Returns targets that have asked several VMs to back off."""
+        vm_counts = collections.Counter(
             target
             for vm in self._telling.fresh()
-            for target, ends in self._resting.get(vm, {}).items()
+            for target, ends in self._backoffs_by_vm.get(vm, {}).items()
             if now < ends
         )
-        return {t for t, vms in resting.items() if vms >= _RESTING_VMS}
+        return {t for t, vms in vm_counts.items() if vms >= _BACKOFF_VMS}
 
-    def _factors(self) -> dict[str, float]:
-        """Returns the mean of what VMs say of each target's speed."""
+    def _mean_slowness(self) -> dict[str, float]:
+        """Returns each target's slowness, averaged over reporting VMs."""
         fresh = self._telling.fresh()
         sums: dict[str, list[float]] = {}
-        for vm, factors in self._factors_of.items():
+        for vm, factors in self._slowness_by_vm.items():
             if vm in fresh:
                 for target, factor in factors.items():
                     sums.setdefault(target, []).append(factor)
@@ -336,42 +379,47 @@
         capacity: Mapping[ranges.Holder, float],
         now: float,
     ) -> list[ranges.Holder]:
-        """Returns owners that need to be relieved of all keys."""
+        """Returns the owners that have to lose all their keys."""
         owners = keyed.table.holders()
-        silent = {o for o in owners if keyed.granting.silent(o)}
-        if len(silent) * 2 > len(owners) and len(owners) > 1:
-            # It is this VM that is cut off, not most of the targets.
+        unresponsive = {o for o in owners if keyed.granting.silent(o)}
+        if len(unresponsive) * 2 > len(owners) and len(owners) > 1:
+            # This VM is probably cut off, rather than most of the targets.
             self._events.write(
                 "leader",
                 "most_targets_silent",
-                silent=len(silent),
+                silent=len(unresponsive),
                 owners=len(owners),
             )
-            silent = set()
-        for owner in silent:
-            self._lost_until[owner.id] = now + _LOST_REST
+            unresponsive = set()
+        for owner in unresponsive:
+            self._excluded_until[owner.id] = now + _LOST_TARGET_PAUSE_SECONDS
         gone = {o for o in owners if o not in capacity}
-        return sorted(silent | gone, key=lambda holder: holder.id)
+        return sorted(unresponsive | gone, key=lambda holder: holder.id)
 
-    def _settled(self, keyed: Keyed) -> ranges.RangeTable | None:
+    def _without_released(self, keyed: Keyed) -> ranges.RangeTable | None:
+        """Removes released former owners from the table."""
         now = self._clock.now()
-        settled = keyed.granting.settled()
-        if not settled or now - self._settled_at < _SETTLE_PAUSE:
+        released = keyed.granting.settled()
+        if (
+            not released
+            or now - self._released_at < _RELEASE_COMMIT_INTERVAL_SECONDS
+        ):
             return None
-        self._settled_at = now
-        return ranges.settle(keyed.table, settled, self._clock.new_id())
+        self._released_at = now
+        return ranges.settle(keyed.table, released, self._clock.new_id())
 
-    def _joined(self, keyed: Keyed) -> ranges.RangeTable | None:
+    def _merged(self, keyed: Keyed) -> ranges.RangeTable | None:
+        """Merges adjacent ranges of the same owner."""
         now = self._clock.now()
-        if now - self._joined_at < _JOIN_EVERY:
+        if now - self._merged_at < _MERGE_INTERVAL_SECONDS:
             return None
-        self._joined_at = now
-        table = ranges.join(keyed.table, _JOIN_LIMIT, self._clock.new_id())
+        self._merged_at = now
+        table = ranges.join(keyed.table, _MAX_MERGES, self._clock.new_id())
         if len(table.ranges) == len(keyed.table.ranges):
             return None
         return table
 
 
 def holder(target: directory.Target) -> ranges.Holder:
-    """Returns a target as a holder of keys."""
+    """Returns a target's incarnation as an owner of keys."""
     return ranges.Holder(target.id, target.born, target.address)
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/witnessing.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/witnessing.py
@@ -1,4 +1,4 @@
-"""Both sides of the extension of a leader's authority by its witnesses."""
+"""Extension of the leader lease by witnesses: the witness and leader sides."""
 
 import asyncio
 
@@ -17,18 +17,18 @@
 from mimosastile_gateway import settings
 from mimosastile_gateway import telling
 
-_CALL_MARGIN_SECONDS = 0.2
-"""What a witness's answer may take beside its own look at the store: several
-times the way to another region and back."""
-_NAME_SECONDS = 0.5
-"""Shortest time between two looks whether the named witnesses still report."""
+_RESPONSE_MARGIN_SECONDS = 0.2
+"""Time allowed for a witness's response beyond its own read of the store; several
+round trips to another region."""
+_NAMING_INTERVAL_SECONDS = 0.5
+"""Minimum interval between two checks whether the named witnesses report."""
 
 
 class Witness:
-    """Lets a leader go on while the store is unreachable, and remembers it.
+    """Extends the lease of a leader while the store is unreachable.
 
-    Whoever leads next hears of it, this VM included; it keeps nobody from
-    leading.
+    The promises are recorded and reported to the next leader, also if that is
+    this VM. They keep no VM from becoming the leader.
     """
 
     __slots__ = (
@@ -50,15 +50,15 @@
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
-        """Makes one that has promised nothing.
+        """Creates a witness that has made no promise.
 
         Args:
             configured: Settings of this VM.
-            boot: Identifier of this run of the daemon.
+            boot: Identifier of this incarnation of the daemon.
             store: The platform's store.
-            known: What this VM believes.
+            known: This VM's view of the cluster.
             timer: The clock.
-            log: Where it logs.
+            log: The event log.
         """
         self._settings = configured
         self._boot = boot
@@ -70,25 +70,30 @@
 
     @property
     def identity(self) -> extension.Witness:
-        """This run of this VM, as leaders name it."""
+        """This VM and its daemon's incarnation, as leaders name them."""
         return extension.Witness(self._settings.vm.id, self._boot)
 
     def promised(self) -> float | None:
-        """Returns the seconds until the last promise ends, None for none."""
+        """Returns the seconds until the last promise ends, None without one.
+
+        The value is negative once the promise has ended.
+        """
         return self._promises.seconds(self._clock.boot())
 
     async def answer(
         self, request: messages.ExtensionRequest
     ) -> messages.ExtensionReply:
-        """Decides on a leader's request, after a look at the store."""
+        """Promises an extension if this VM does not reach the store either."""
         refused = messages.ExtensionReply(promised=False)
-        if request.boot != self._boot or not self._may_follow(request.epoch):
+        if request.boot != self._boot or not self._is_current_epoch(
+            request.epoch
+        ):
             return refused
         received = self._clock.boot()
         if await self._reaches_store():
             return refused
-        if not self._may_follow(request.epoch):
-            # Another VM leads by now.
+        if not self._is_current_epoch(request.epoch):
+            # Another VM has become the leader meanwhile.
             return refused
         seconds = min(request.seconds, self._settings.leader.authority)
         self._promises.add(received + seconds)
@@ -100,17 +105,20 @@
         )
         return messages.ExtensionReply(promised=True)
 
-    def _may_follow(self, epoch: int) -> bool:
-        """Whether no later leader is known than one of an epoch."""
-        known = self._beliefs.leader
-        return known is None or known.epoch <= epoch
+    def _is_current_epoch(self, epoch: int) -> bool:
+        """Whether the recorded leader has no later epoch."""
+        leader = self._beliefs.leader
+        return leader is None or leader.epoch <= epoch
 
     async def _reaches_store(self) -> bool:
+        """Reads the leader's entry to find out whether the store responds."""
         try:
             async with asyncio.timeout(self._settings.leader.extension_after):
                 read = await self._store.read(messages.LEADER_KEY)
         except TimeoutError:
-            self._beliefs.note_store(ok=False, why="no answer to a look")
+            self._beliefs.note_store(
+                ok=False, why="read of the leader's entry timed out"
+            )
             return False
         if isinstance(read, result.Err):
             self._beliefs.note_store(ok=False, why=read.err_value.detail)
@@ -120,17 +128,17 @@
 
 
 class Witnesses:
-    """Names a leader's witnesses and asks them, for one term of leading."""
+    """Names a leader's witnesses and requests extensions, for one term."""
 
     __slots__ = (
-        "_asking",
         "_authority",
         "_calls",
         "_clock",
         "_entry",
         "_events",
+        "_extension_task",
         "_named",
-        "_named_at",
+        "_naming_tried_at",
         "_record",
         "_revision",
         "_settings",
@@ -150,18 +158,18 @@
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
-        """Makes one that has named nobody.
+        """Creates an instance without witnesses.
 
         Args:
             configured: Settings of this VM.
             entry: The leader's entry.
             revision: Revision of the record in the store, 0 if there is none.
-            authority: What promises extend.
+            authority: The leader lease that promises extend.
             store: The platform's store.
-            calls: The way to peers.
-            reports: What VMs report.
+            calls: Client for calls to peers.
+            reports: The reports of VMs.
             timer: The clock.
-            log: Where it logs.
+            log: The event log.
         """
         self._settings = configured
         self._entry = entry
@@ -174,57 +182,60 @@
         self._events = log
         self._record: extension.Record | None = None
         self._named: tuple[messages.VmEntry, ...] = ()
-        self._named_at = float("-inf")
-        self._asking: asyncio.Task[None] | None = None
+        self._naming_tried_at = float("-inf")
+        self._extension_task: asyncio.Task[None] | None = None
 
     def dump(self) -> list[str]:
-        """Returns the VMs whose promises are needed."""
+        """Returns the identifiers of the VMs whose promises are needed."""
         return [vm.id for vm in self._named]
 
     def stop(self) -> None:
-        """Asks nobody any more."""
-        if self._asking is not None:
-            self._asking.cancel()
+        """Cancels a running request for promises."""
+        if self._extension_task is not None:
+            self._extension_task.cancel()
 
     # Naming.
 
     async def name(self, leader_revision: int, clear_at: float) -> None:
-        """Names witnesses in the store if the named ones do not serve.
+        """Names witnesses in the store if the current ones are outdated.
 
         Args:
             leader_revision: Revision of the leader's entry.
-            clear_at: When earlier leaders have stopped and all grants longer
-                than usual have run out. Nobody is named before: a successor
-                takes the record as proof of both.
+            clear_at: Time by which earlier leaders have stopped and all
+                extended grants have expired. No witness is named before: a
+                successor takes the record as proof of both.
         """
         now = self._clock.boot()
-        if now - self._named_at < _NAME_SECONDS:
+        if now - self._naming_tried_at < _NAMING_INTERVAL_SECONDS:
             return
         if now < max(clear_at, self._authority.extended_until):
             return
-        able = self._able()
-        present = {_identity(vm) for vm in able}
+        candidates = self._candidates()
+        present = {_identity(vm) for vm in candidates}
         record = self._record
         if record and not extension.outdated(
             record.witnesses, present, len(present)
         ):
             return
-        self._named_at = now
-        chosen = extension.chosen((_identity(vm), vm.zone) for vm in able)
+        self._naming_tried_at = now
+        chosen = extension.chosen((_identity(vm), vm.zone) for vm in candidates)
         if not chosen:
             return
         await self._write(
-            extension.Record(self._entry.epoch, chosen), able, leader_revision
+            extension.Record(self._entry.epoch, chosen),
+            candidates,
+            leader_revision,
         )
 
     async def _write(
         self,
         record: extension.Record,
-        able: list[messages.VmEntry],
+        candidates: list[messages.VmEntry],
         leader_revision: int,
     ) -> None:
-        """Writes a record; it counts once the store has acknowledged it."""
-        # It may be in force from now on, and the one before as well.
+        """Writes a record, which counts once the store has acknowledged it."""
+        # Until the outcome is clear, both the new record and the earlier one
+        # may be in force.
         self._authority.need_witnesses()
         self._record = None
         self._named = ()
@@ -237,10 +248,10 @@
         revision = 0
         if isinstance(written, result.Ok):
             revision = written.ok_value
-        elif not _surely_undone(written.err_value):
-            # No answer, or another revision than expected: an earlier write
-            # without an answer may have been carried out.
-            revision = await self._find(value)
+        elif not _certainly_not_applied(written.err_value):
+            # There was no response, or the revision was not the expected one:
+            # an earlier write without a response may have been carried out.
+            revision = await self._find_record(value)
         if not revision:
             self._events.write(
                 "leader", "witnesses_not_named", why=repr(written)
@@ -249,7 +260,7 @@
         self._revision = revision
         self._record = record
         self._named = tuple(
-            vm for vm in able if _identity(vm) in record.witnesses
+            vm for vm in candidates if _identity(vm) in record.witnesses
         )
         self._events.write(
             "leader",
@@ -258,8 +269,8 @@
             witnesses=[witness.vm for witness in record.witnesses],
         )
 
-    async def _find(self, value: bytes) -> int:
-        """Returns the revision of a record if it is the one in the store."""
+    async def _find_record(self, value: bytes) -> int:
+        """Returns the revision of the stored record, 0 if it is not `value`."""
         read = await self._store.read(messages.WITNESSES_KEY)
         if isinstance(read, result.Err) or read.ok_value is None:
             return 0
@@ -267,33 +278,38 @@
         self._revision = item.revision
         return item.revision if item.value == value else 0
 
-    def _able(self) -> list[messages.VmEntry]:
+    def _candidates(self) -> list[messages.VmEntry]:
         """Returns other VMs that report and are not stopping, best first."""
-        able = [
+        candidates = [
             report.vm
             for report in self._telling.fresh().values()
             if report.vm.id != self._settings.vm.id and not report.stopping
         ]
-        return sorted(able, key=lambda vm: (vm.order, vm.id))
+        return sorted(candidates, key=lambda vm: (vm.order, vm.id))
 
-    # Asking.
+    # Requesting extensions.
 
     def ask(self) -> None:
-        """Asks all witnesses for a promise, unless that is under way."""
-        asked = self._asking is not None and not self._asking.done()
-        if self._record is None or asked or self._authority.extended:
+        """Requests a promise from all witnesses unless one is pending."""
+        pending = (
+            self._extension_task is not None and not self._extension_task.done()
+        )
+        if self._record is None or pending or self._authority.extended:
             return
-        self._asking = asyncio.create_task(self._ask(), name="ask-witnesses")
+        self._extension_task = asyncio.create_task(
+            self._request_extension(), name="ask-witnesses"
+        )
 
-    async def _ask(self) -> None:
+    async def _request_extension(self) -> None:
+        """Extends the leader lease if every named witness promises it."""
         confirmed = self._authority.confirmed
-        span = self._settings.leader.authority
-        seconds = confirmed + span - self._clock.boot()
+        lease_seconds = self._settings.leader.authority
+        seconds = confirmed + lease_seconds - self._clock.boot()
         if seconds <= 0:
             return
         named = self._named
         promised = await asyncio.gather(
-            *(self._promised(vm, seconds) for vm in named)
+            *(self._request_promise(vm, seconds) for vm in named)
         )
         if named == self._named and all(promised):
             self._authority.extend(confirmed)
@@ -305,18 +321,21 @@
             confirmed_ago=round(self._clock.boot() - confirmed, 2),
         )
 
-    async def _promised(self, vm: messages.VmEntry, seconds: float) -> bool:
+    async def _request_promise(
+        self, vm: messages.VmEntry, seconds: float
+    ) -> bool:
+        """Requests a promise from one witness; returns whether it was made."""
         request = messages.ExtensionRequest(self._entry.epoch, vm.boot, seconds)
-        answer = await self._calls.call(
+        response = await self._calls.call(
             vm.address,
             messages.EXTEND_PATH,
             messages.encode(request),
-            self._settings.leader.extension_after + _CALL_MARGIN_SECONDS,
+            self._settings.leader.extension_after + _RESPONSE_MARGIN_SECONDS,
         )
-        if answer is None:
+        if response is None:
             return False
         try:
-            return messages.decode(answer, messages.ExtensionReply).promised
+            return messages.decode(response, messages.ExtensionReply).promised
         except msgspec.DecodeError as error:
             self._events.write(
                 "leader", "extension_unreadable", vm=vm.id, why=str(error)
@@ -328,10 +347,10 @@
     return extension.Witness(vm.id, vm.boot)
 
 
-def _surely_undone(
+def _certainly_not_applied(
     failure: errors.Failure | ports.Conflict | ports.SessionLost,
 ) -> bool:
-    """Whether a failed commit has surely changed nothing."""
+    """Whether a failed commit has certainly changed nothing."""
     return (
         isinstance(failure, errors.Failure)
         and failure.kind is errors.ErrorKind.STORE_UNAVAILABLE
