--- a/packages/mimosastile-gateway/src/mimosastile_gateway/planning.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/planning.py
@@ -23,11 +23,11 @@
 
 _BACKOFF_VMS = 2
 """Number of VMs that a target must have asked to back off before its keys move.
-A backoff that concerns a single VM is caused by that VM's share of the load."""
+A backoff that concerns a single VM is due to that VM's share of the load."""
 _LIMIT_SHARE = 0.6
-"""Share of a target's rate limit up to which it gets keys. The rest is a margin:
-counts of a few requests per second deviate that far by chance before keys
-move."""
+"""Share of a target's rate limit up to which it gets keys. The rest is a
+margin, as counts of a few requests per second deviate that far by chance before
+keys move."""
 _MIN_LIMITED_RATE = 0.05
 """Lower bound, in requests per second, on the estimated capacity of a
 rate-limited target."""
@@ -45,9 +45,9 @@
 _RELEASE_COMMIT_INTERVAL_SECONDS = 0.3
 """Minimum interval between changes that only record released former owners."""
 _HOT_KEY_PAUSE_SECONDS = 4.0
-"""Seconds for which a hot key stays at its target after a move. Each move delays
-its requests, and the estimated speeds of targets are not precise enough for a
-second move to gain what it costs."""
+"""Seconds for which a hot key stays at its target after a move. Each move
+delays the key's requests, and the estimated speeds of targets are not precise
+enough for a second move to gain what it costs."""
 _DEFAULT_REQUEST_SECONDS = 0.1
 """Assumed duration of a request while no VM has reported one."""
 _MAX_MERGES = 8
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/witnessing.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/witnessing.py
@@ -18,8 +18,8 @@
 from mimosastile_gateway import telling
 
 _RESPONSE_MARGIN_SECONDS = 0.2
-"""Time allowed for a witness's response beyond its own read of the store; several
-round trips to another region."""
+"""Time allowed for a witness's response in addition to its read of the store;
+several round trips to another region."""
 _NAMING_INTERVAL_SECONDS = 0.5
 """Minimum interval between two checks whether the named witnesses report."""
 
--- a/tests/gateway/test_granting.py
+++ b/tests/gateway/test_granting.py
@@ -1,4 +1,4 @@
-"""Orders to targets: no key has two owners, whatever is lost on the way."""
+"""Tests that no key has two owners when orders or responses are lost."""
 
 import asyncio
 
@@ -17,9 +17,9 @@
 
 
 class Rig:
-    """One service with two targets, carried out by a leader."""
+    """A leader's orders for one service with two targets."""
 
-    def __init__(self, silence=None, zone="z"):
+    def __init__(self, former_leaders=None, zone="z"):
         self.clock = fakes.VirtualClock()
         self.log = fakes.Lines()
         self.orders = fakes.Orders()
@@ -39,7 +39,7 @@
             self.clock,
             self.log,
             self.authority,
-            silence or formers.FormerLeaders(0.0),
+            former_leaders or formers.FormerLeaders(0.0),
             self.alive_at,
             lambda: None,
         )
@@ -47,21 +47,21 @@
         self.granting.follow(self.table)
 
     def move(self, first, last, to):
-        """Moves keys, as a commit would."""
+        """Moves keys and applies the new table, as a commit would."""
         moves = [ranges.Move(first, last, to)]
         self.table = ranges.move(self.table, moves, "c")
         self.granting.follow(self.table)
 
-    async def served(self, key, seconds=20.0):
-        """Waits until the owner of a key has it; returns how long."""
-        began = virtual.now()
+    async def wait_granted(self, key, seconds=20.0):
+        """Waits until the owner of a key is granted it; returns seconds."""
+        started_at = virtual.now()
         async with asyncio.timeout(seconds):
             while self.table.find(key).piece not in self.granting.ready():
                 await asyncio.sleep(0.01)
-        return virtual.now() - began
+        return virtual.now() - started_at
 
 
-def _play(coroutine):
+def _run(coroutine):
     virtual.run(coroutine)
 
 
@@ -69,48 +69,48 @@
     """Grants and renewals."""
 
     def test_all_keys_stay_granted(self):
-        """Renewals leave no gap over many grants' lengths."""
+        """Renewals leave no gap over the duration of many grants."""
 
         async def main():
             rig = Rig()
-            await rig.served(0)
+            await rig.wait_granted(0)
             for _ in range(200):
                 await asyncio.sleep(0.1)
                 assert rig.orders.holders(5) == {"a"}
                 assert rig.orders.holders(HALF) == {"b"}
             rig.granting.stop()
 
-        _play(main())
+        _run(main())
 
     def test_move_hands_over(self):
-        """Moved keys come with the token of their last owner."""
+        """The first grant of moved keys carries the former owner's ticket."""
 
         async def main():
             rig = Rig()
-            await rig.served(0)
+            await rig.wait_granted(0)
             rig.move(0, 99, B)
-            gap = await rig.served(0)
+            gap = await rig.wait_granted(0)
             assert gap < 0.2
             await asyncio.sleep(0.1)
-            given = [
+            grants = [
                 order
                 for what, name, order in rig.orders.log
                 if what == "grant" and name == "b" and order.first == 0
             ]
-            assert given[0].handover == "from-a"
+            assert grants[0].handover == "from-a"
             assert rig.orders.holders(50) == {"b"}
             assert rig.orders.holders(100) == {"a"}
             assert rig.orders.clashes == []
             rig.granting.stop()
 
-        _play(main())
+        _run(main())
 
-    def test_cut_piece_stays_in_service(self):
-        """A range is cut beside a hot run; its rest is never refused."""
+    def test_split_piece_stays_in_service(self):
+        """The rest of a range that is split beside hot keys stays granted."""
 
         async def main():
             rig = Rig()
-            await rig.served(0)
+            await rig.wait_granted(0)
             rig.move(1000, 1100, B)
             assert rig.table.find(0).piece in rig.granting.ready()
             for _ in range(50):
@@ -120,18 +120,18 @@
             assert rig.orders.clashes == []
             rig.granting.stop()
 
-        _play(main())
+        _run(main())
 
     def test_rejected_key_is_granted_again(self):
-        """A late release takes keys from their rightful owner.
+        """A late release takes keys from their current owner.
 
-        Callers see the keys refused; the next report of a VM has them granted
-        again at once, not with the next renewal.
+        Callers get rejections for the keys. The next report of a VM causes an
+        immediate grant, without waiting for the next renewal.
         """
 
         async def main():
             rig = Rig()
-            await rig.served(0)
+            await rig.wait_granted(0)
             await asyncio.sleep(0.3)
             rig.orders._cut("a", 0, 9)
             assert rig.orders.holders(5) == set()
@@ -140,14 +140,14 @@
             assert rig.orders.holders(5) == {"a"}
             rig.granting.stop()
 
-        _play(main())
+        _run(main())
 
 
 class TestManyRanges:
-    """A table that asks for longer grants than the settings."""
+    """A table with a longer grant duration than the settings."""
 
-    def test_length_and_pace(self):
-        """Guards against grants that end before their slower renewal."""
+    def test_duration_and_interval(self):
+        """Guards against grants that expire before their slower renewal."""
 
         async def main():
             rig = Rig()
@@ -160,10 +160,10 @@
             assert 9 <= by_target <= 13
             rig.granting.stop()
 
-        _play(main())
+        _run(main())
 
     def test_silent_target(self):
-        """Guards against keys given away within a longer grant."""
+        """Guards against moving keys before a longer grant has expired."""
 
         async def main():
             rig = Rig()
@@ -172,69 +172,70 @@
             await asyncio.sleep(3.0)
             rig.orders.dead.add("a")
             rig.move(0, HALF - 1, B)
-            began = virtual.now()
-            await rig.served(0)
-            assert virtual.now() - began > 2.9
+            started_at = virtual.now()
+            await rig.wait_granted(0)
+            assert virtual.now() - started_at > 2.9
             assert rig.orders.clashes == []
             rig.granting.stop()
 
-        _play(main())
+        _run(main())
 
 
 class TestLosses:
-    """What is lost on the way."""
+    """Orders, responses or whole targets are lost."""
 
     @pytest.mark.parametrize("how", ["dead", "silent"])
     def test_silent_former_owner_waits_for_its_grant(self, how):
-        """A target falls silent; its keys go to another one.
+        """A target stops responding and its keys move to another one.
 
-        It may be well and still run requests for them, cut off from the
-        leader alone. Giving the keys away before its grant has run out would
-        give them two owners.
+        The target may be cut off from the leader only and still run requests
+        for the keys. Granting them to another target before its own grant has
+        expired would give them two owners.
         """
 
         async def main():
             rig = Rig()
-            await rig.served(0)
+            await rig.wait_granted(0)
             await asyncio.sleep(1.0)
             getattr(rig.orders, how).add("a")
             while not rig.granting.silent(A):
                 await asyncio.sleep(0.01)
             rig.move(0, HALF - 1, B)
-            gap = await rig.served(0)
+            gap = await rig.wait_granted(0)
             assert gap < 2.4
             assert rig.orders.clashes == []
             rig.granting.stop()
 
-        _play(main())
+        _run(main())
 
-    def test_work_that_does_not_end(self):
-        """A release is not answered as long as a request runs.
+    def test_request_that_does_not_end(self):
+        """A release is not confirmed while a request is running.
 
-        Keys must not wait for a request that hangs: once the grant has run
-        out the target ends it with a failure.
+        Keys must not wait for a request that hangs: once the grant has
+        expired, the target ends the request with a failure.
         """
 
         async def main():
             rig = Rig()
-            await rig.served(0)
+            await rig.wait_granted(0)
             rig.orders.work = 60.0
             rig.move(0, 99, B)
-            assert await rig.served(0) < 2.4
+            assert await rig.wait_granted(0) < 2.4
             rig.granting.stop()
 
-        _play(main())
+        _run(main())
 
     def test_restarted_target_is_not_granted_its_old_fence(self):
-        """A target starts again under its identifier.
+        """A target restarts under the same identifier.
 
-        It has forgotten all fences, so it would take the old grant for a new
-        one. After a second of silence it gets a new fence or nothing.
+        It has lost its record of fences, so it would accept the old grant as
+        a new one. After a second without a response it gets either a new fence
+        or no grant.
         """
 
         async def main():
             rig = Rig()
-            await rig.served(0)
+            await rig.wait_granted(0)
             rig.orders.dead.add("a")
             await asyncio.sleep(3.0)
             rig.orders.restart("a")
@@ -243,135 +244,136 @@
             await asyncio.sleep(1.0)
             assert not [x for x in rig.orders.log if x[1] == "a"]
             assert rig.granting.needs_fence(A)
-            again = ranges.Holder("a", 2, "a:80")
-            rig.table = ranges.refence(rig.table, {A: again}, "c2")
+            restarted = ranges.Holder("a", 2, "a:80")
+            rig.table = ranges.refence(rig.table, {A: restarted}, "c2")
             rig.granting.follow(rig.table)
-            assert await rig.served(0) < 0.1
+            assert await rig.wait_granted(0) < 0.1
             rig.granting.stop()
 
-        _play(main())
+        _run(main())
 
-    def test_next_run_ends_the_wait(self):
-        """A target that leaves is known to have started again.
+    def test_next_incarnation_ends_the_wait(self):
+        """A target that loses its keys registers a later incarnation.
 
-        What its earlier run held has ended with it; waiting for its grant
-        would only keep callers waiting.
+        The grants of the earlier incarnation have ended with it. Waiting for
+        them to expire would only delay callers.
         """
 
         async def main():
             rig = Rig()
-            await rig.served(0)
+            await rig.wait_granted(0)
             rig.orders.dead.add("a")
             rig.move(0, HALF - 1, B)
             rig.beliefs.take_target(fakes.target("a", born=2))
-            assert await rig.served(0) < 0.6
+            assert await rig.wait_granted(0) < 0.6
             rig.granting.stop()
 
-        _play(main())
+        _run(main())
 
-    def test_refused_fence_asks_for_a_new_one(self):
-        """A target has seen a higher fence than its owner has.
+    def test_refused_fence_requires_a_new_one(self):
+        """A target has seen a higher fence than the table's.
 
-        Renewing goes on being refused for ever unless the table changes.
+        Every renewal is refused until the table changes.
         """
 
         async def main():
             rig = Rig()
-            await rig.served(0)
+            await rig.wait_granted(0)
             rig.orders._fences["a"].append((0, 9, 99))
             await asyncio.sleep(1.0)
             assert rig.granting.needs_fence(A)
             rig.granting.stop()
 
-        _play(main())
+        _run(main())
 
 
-class TestStarvedLeader:
-    """A leader that gets too little processor or link."""
+class TestOverloadedLeader:
+    """A leader whose processor or link is overloaded."""
 
-    def test_grant_that_leaves_late(self):
-        """A renewal leaves seconds after it was decided.
+    def test_grant_that_is_sent_late(self):
+        """A renewal leaves the machine seconds after it was started.
 
-        Its target then holds the keys for longer than the leader reckons from
-        the decision; giving part of them away by that gives them two owners.
+        The target then holds the keys for longer than an estimate from the
+        start of the order says. Moving some of them by that estimate would
+        give them two owners.
         """
 
         async def main():
             rig = Rig()
-            await rig.served(0)
+            await rig.wait_granted(0)
             rig.orders.delay = 3.5
             await asyncio.sleep(0.7)
             rig.orders.delay = 0.0
             rig.orders.deaf.add("a")
             rig.move(0, 99, B)
-            await rig.served(0)
+            await rig.wait_granted(0)
             await asyncio.sleep(4.0)
             assert rig.orders.clashes == []
             rig.granting.stop()
 
-        _play(main())
+        _run(main())
 
-    def test_grant_that_is_broken_off(self):
+    def test_grant_that_is_cancelled(self):
         """A target loses all its keys while a renewal is under way.
 
-        The renewal is broken off; its keys do not wait for it for ever.
+        The renewal is cancelled, and the keys do not wait for it forever.
         """
 
         async def main():
             rig = Rig()
-            await rig.served(0)
+            await rig.wait_granted(0)
             rig.orders.delay = 1.5
             await asyncio.sleep(0.7)
             rig.orders.deaf.add("a")
             rig.move(0, HALF - 1, B)
             rig.orders.delay = 0.0
-            assert await rig.served(0) < 3.0
+            assert await rig.wait_granted(0) < 3.0
             assert rig.orders.clashes == []
             rig.granting.stop()
 
-        _play(main())
+        _run(main())
 
 
 class TestFullLink:
-    """Orders that wait before a link between regions."""
+    """Orders are queued before a saturated link between regions."""
 
     def test_grant_arrives_after_its_reset(self):
-        """A renewal waits before a full link; its connection is reset.
+        """A renewal is queued before the link and its connection is reset.
 
-        The bytes of both arrive in order, nearly a second later, and the
-        target holds the keys from then on. Reckoning from the reset, another
-        target would be given them while the first one serves them.
+        The order and then the reset arrive nearly a second later, and the
+        target holds the keys from then on. If the expiry were counted from the
+        reset, another target would be granted keys that this one serves.
         """
 
         async def main():
             rig = Rig(zone="far")
-            await rig.served(0)
+            await rig.wait_granted(0)
             rig.orders.queued["a"] = 1.1
             rig.orders.deaf.add("a")
             await asyncio.sleep(1.0)
             rig.move(0, HALF - 1, B)
-            await rig.served(0)
+            await rig.wait_granted(0)
             await asyncio.sleep(3.0)
             assert rig.orders.clashes == []
             rig.granting.stop()
 
-        _play(main())
+        _run(main())
 
 
 class TestLateOrders:
-    """Targets that carry orders out late and do not answer them."""
+    """Targets that carry orders out late and do not acknowledge them."""
 
-    def test_target_that_answers_callers_keeps_its_keys(self):
-        """Two renewals in a row are lost; the target serves callers.
+    def test_target_that_responds_to_callers_keeps_its_keys(self):
+        """Two renewals in a row are lost while the target serves callers.
 
-        Taking its keys would leave them without an owner until its last grant
-        has run out, and with four in ten orders lost some target would always
-        be without.
+        Taking its keys away would leave them without an owner until its last
+        grant has expired. With four in ten orders lost, some target would
+        always be without its keys.
         """
 
         async def main():
             rig = Rig()
-            await rig.served(0)
+            await rig.wait_granted(0)
             rig.orders.silent.add("a")
             for _ in range(11):
                 await asyncio.sleep(0.1)
@@ -382,54 +384,54 @@
             assert not rig.granting.needs_fence(A)
             rig.granting.stop()
 
-        _play(main())
+        _run(main())
 
-    def test_silent_target_that_answers_nobody(self):
-        """The same without any answer to callers: its keys go soon."""
+    def test_target_that_does_not_respond_at_all(self):
+        """If the target does not respond to callers either, its keys move."""
 
         async def main():
             rig = Rig()
-            await rig.served(0)
+            await rig.wait_granted(0)
             rig.orders.silent.add("a")
             await asyncio.sleep(1.3)
             assert rig.granting.silent(A)
             rig.granting.stop()
 
-        _play(main())
+        _run(main())
 
-    def test_release_without_answer_is_sent_again(self):
-        """A release is not answered, as it is carried out late.
+    def test_unconfirmed_release_is_sent_again(self):
+        """A release is not confirmed because it is carried out late.
 
-        Its keys must not wait until the grant has run out.
+        The keys must not wait until the grant has expired.
         """
 
         async def main():
             rig = Rig()
-            await rig.served(0)
+            await rig.wait_granted(0)
             rig.orders.silent.add("a")
             rig.move(0, 99, B)
             await asyncio.sleep(0.2)
             rig.orders.silent.clear()
-            assert await rig.served(0) < 0.8
+            assert await rig.wait_granted(0) < 0.8
             rig.granting.stop()
 
-        _play(main())
+        _run(main())
 
 
-class TestAuthority:
+class TestLeaderLease:
     """A leader that may have been replaced."""
 
     def test_no_order_after_a_suspension(self):
-        """The leader's machine is suspended and wakes later.
+        """The leader's machine is suspended and resumes later.
 
-        Another VM leads by then and may have given keys away. An order sent
-        now would give a key two owners.
+        Another VM leads by then and may have moved keys. An order sent now
+        could give a key two owners.
         """
 
         async def main():
             rig = Rig()
             rig.authority._span = 10.0
-            await rig.served(0)
+            await rig.wait_granted(0)
             await asyncio.sleep(1.0)
             rig.clock.suspended = 30.0
             rig.orders.log.clear()
@@ -437,42 +439,42 @@
             assert rig.orders.log == []
             rig.granting.stop()
 
-        _play(main())
+        _run(main())
 
     @pytest.mark.parametrize(
-        ("known", "calm", "expected"),
+        ("stopped", "calm", "expected"),
         [
             (None, 0.0, 12.3),
             (1.0, 5.0, 3.14),
-            # It may have given long grants before it stopped.
+            # It may have given extended grants before it stopped.
             (1.0, 0.0, 11.3),
             (9.0, 0.0, 12.3),
         ],
     )
-    def test_former_leader(self, known, calm, expected):
-        """A target is silent when a new leader begins.
+    def test_former_leader(self, stopped, calm, expected):
+        """A target does not respond when a new leader's term starts.
 
-        The former leader may renew its grants until it notices that it was
-        replaced; only then does the time of the last one begin to run.
+        The former leader may renew the target's grants until it notices that
+        it was replaced. The last grant's duration starts only then.
         """
-        silence = formers.FormerLeaders(10.0, ("vm-0",), calm, 2.0, 10.0)
-        if known is not None:
-            silence.stopped(known)
-        assert silence.lapse() == pytest.approx(expected, abs=0.01)
+        former_leaders = formers.FormerLeaders(10.0, ("vm-0",), calm, 2.0, 10.0)
+        if stopped is not None:
+            former_leaders.stopped(stopped)
+        assert former_leaders.lapse() == pytest.approx(expected, abs=0.01)
 
     def test_new_leader_waits_for_the_former_one(self):
-        """Keys of a silent target are given away by a new leader.
+        """A new leader moves the keys of an unresponsive target.
 
-        It has no record of the former leader's grants, so it waits as long as
-        that one may have given them.
+        It has no record of the former leader's grants, so it waits for the
+        time within which the former leader may have given them.
         """
 
         async def main():
             rig = Rig(formers.FormerLeaders(4.0, ("vm-0",), 0.0, 2.0, 10.0))
             rig.orders.dead.add("a")
             rig.move(0, HALF - 1, B)
-            await rig.served(0)
+            await rig.wait_granted(0)
             assert virtual.now() >= 6.04
             rig.granting.stop()
 
-        _play(main())
+        _run(main())
--- a/tests/gateway/test_leading.py
+++ b/tests/gateway/test_leading.py
@@ -1,4 +1,4 @@
-"""Leadership: who decides, and what a decision survives."""
+"""Tests of the leader role: take-over, failures, reports and evacuation."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 
 
 class Vm:
-    """One VM that may lead."""
+    """A VM with its own view of the cluster that may become the leader."""
 
     def __init__(self, name, store, orders, targets, clock=None):
         self.name = name
@@ -44,7 +44,7 @@
         return messages.Report(entry, store=reaches_store, **fields)
 
 
-def _world(*names):
+def _cluster(*names):
     store, orders = fakes.Store(), fakes.Orders()
     targets = [fakes.target(n) for n in ("a", "b", "c")]
     clock = fakes.VirtualClock()
@@ -68,13 +68,13 @@
 
 
 class TestTakeOver:
-    """One VM after the other leads."""
+    """The leader role passes from one VM to another."""
 
     def test_first_table(self):
-        """The first leader deals all keys out and grants them."""
+        """The first leader assigns all keys and grants them."""
 
         async def main():
-            store, orders, (one,) = _world("vm-1")
+            store, orders, (one,) = _cluster("vm-1")
             assert await one.leading.take_over("test")
             await _until(lambda: _owned(orders, 0) and _owned(orders, 65535))
             assert ranges.problem(_stored(store)) == ""
@@ -83,10 +83,10 @@
         virtual.run(main())
 
     def test_two_at_once(self):
-        """Two VMs think that nobody leads; one of them does then."""
+        """If two VMs try to take over at once, exactly one becomes leader."""
 
         async def main():
-            _, _, vms = _world("vm-1", "vm-2")
+            _, _, vms = _cluster("vm-1", "vm-2")
             led = await asyncio.gather(
                 *(vm.leading.take_over("test") for vm in vms)
             )
@@ -97,19 +97,20 @@
         virtual.run(main())
 
     def test_replaced_leader_changes_nothing(self):
-        """A leader does not know that it was replaced.
+        """A leader has not noticed that it was replaced.
 
-        It goes on deciding by what it knows. Its next change is refused by
-        the store, it steps down, and no key ever had two owners.
+        It goes on making decisions from its outdated view. The store refuses
+        its next commit, it steps down, and no key ever has two owners.
         """
 
         async def main():
-            store, orders, (one, two) = _world("vm-1", "vm-2")
+            store, orders, (one, two) = _cluster("vm-1", "vm-2")
             await one.leading.take_over("test")
             await _until(lambda: _owned(orders, 0))
             assert await two.leading.take_over("test")
             version = _stored(store).version
-            # The old leader sees a target leave and would move its keys.
+            # The former leader observes a target leave and tries to move its
+            # keys.
             one.beliefs.lose_target("a")
             await _until(lambda: not one.leading.leading)
             assert _stored(store).version == version
@@ -121,24 +122,24 @@
         virtual.run(main())
 
     def test_table_changes_while_another_one_takes_over(self):
-        """A successor's claim takes a second on its way to the store.
+        """A successor's claim takes a second to reach the store.
 
-        The former leader changes the table until the claim is there. By the
-        table from before, the successor would give targets fences that are too
-        low, and keys to targets that have handed them over.
+        The former leader changes the table until the claim arrives. With the
+        earlier table, the successor would send fences that are too low and
+        grant keys to targets that have handed them over.
         """
 
         async def main():
-            store, orders, (one, two) = _world("vm-1", "vm-2")
+            store, orders, (one, two) = _cluster("vm-1", "vm-2")
             await one.leading.take_over("test")
             await _until(lambda: _owned(orders, 0))
             store.slow_claims = 1.0
-            taking = asyncio.create_task(two.leading.take_over("test"))
+            takeover = asyncio.create_task(two.leading.take_over("test"))
             await asyncio.sleep(0.2)
             one.beliefs.lose_target("a")
             version = _stored(store).version
             await _until(lambda: _stored(store).version > version)
-            assert await taking
+            assert await takeover
             tables = two.leading.dump()["tables"]
             assert tables["s"]["version"] == _stored(store).version
             await asyncio.sleep(4.0)
@@ -149,14 +150,14 @@
         virtual.run(main())
 
     def test_tables_cannot_be_read_at_once(self):
-        """The store answers the claim and then falls silent for a moment.
+        """The store accepts the claim and then fails for a moment.
 
-        The successor goes on asking: whoever took over after it would meet
-        the same store.
+        The successor retries the read: any VM that took over after it would
+        get the same failures.
         """
 
         async def main():
-            store, orders, (one, two) = _world("vm-1", "vm-2")
+            store, orders, (one, two) = _cluster("vm-1", "vm-2")
             await one.leading.take_over("test")
             await _until(lambda: _owned(orders, 0))
             store.failing_lists = 3
@@ -168,10 +169,10 @@
         virtual.run(main())
 
     def test_successor_renews_in_time(self):
-        """The leader dies; no key is without its owner meanwhile."""
+        """The leader crashes, and every key keeps its owner meanwhile."""
 
         async def main():
-            _, orders, (one, two) = _world("vm-1", "vm-2")
+            _, orders, (one, two) = _cluster("vm-1", "vm-2")
             await one.leading.take_over("test")
             await _until(lambda: _owned(orders, 0))
             await asyncio.sleep(1.0)
@@ -187,18 +188,19 @@
         virtual.run(main())
 
     def test_silent_target_and_lost_leader(self):
-        """A target falls silent and the leader is cut off at once.
+        """A target stops responding while the leader is cut off.
 
-        The old leader may renew the target's grant until its authority ends;
-        the successor waits for that before it gives the keys away.
+        The former leader may renew the target's grant until its leader lease
+        ends. The successor waits for that before it moves the keys.
         """
 
         async def main():
-            _, orders, (one, two) = _world("vm-1", "vm-2")
+            _, orders, (one, two) = _cluster("vm-1", "vm-2")
             await one.leading.take_over("test")
             await _until(lambda: _owned(orders, 0))
             await asyncio.sleep(1.0)
-            # The successor cannot reach the target that the old one renews.
+            # The successor cannot reach the target whose grant the former
+            # leader has renewed.
             orders.dead.add("a")
             await two.leading.take_over("test")
             began = virtual.now()
@@ -211,52 +213,52 @@
         virtual.run(main())
 
 
-class Announced:
-    """The way to peers; notes who was told of a leader, and when."""
+class RecordedCalls:
+    """Records the peers that were notified of a leader, and when."""
 
     def __init__(self):
-        self.told = []
+        self.notified = []
 
     async def call(self, address, path, body, timeout, *, fresh=False):
-        """Notes a message."""
-        self.told.append((round(virtual.now(), 1), address))
+        """Records a message."""
+        self.notified.append((round(virtual.now(), 1), address))
         return b"{}"
 
 
 class TestAnnouncement:
-    """VMs hear of a new leader."""
+    """A new leader is announced to VMs."""
 
     def test_vm_that_registers_late(self):
-        """Guards against VMs that register after the only announcement.
+        """Guards against VMs that miss the only announcement of a leader.
 
-        Hundreds that start together register over some seconds; each has
-        looked for a leader before there was one.
+        Hundreds of VMs that start together register over several seconds. Each
+        of them has looked for a leader before there was one.
         """
 
         async def main():
-            store, _, (one, two) = _world("vm-1", "vm-2")
-            calls = Announced()
+            store, _, (one, two) = _cluster("vm-1", "vm-2")
+            calls = RecordedCalls()
             one.leading._telling._calls = calls
             await one.leading.take_over("test")
             await asyncio.sleep(0.2)
-            assert calls.told == []
+            assert calls.notified == []
             entry = messages.VmEntry("vm-2", "boot-vm-2", "two:1", "z")
             key = messages.vm_key("vm-2")
             store.items[key] = (msgspec.json.encode(entry), 3)
             await asyncio.sleep(1.0)
-            assert [address for _, address in calls.told] == ["two:1"]
-            # It reports, and needs no further announcement.
+            assert [address for _, address in calls.notified] == ["two:1"]
+            # A VM that reports gets no further announcement.
             for _ in range(12):
                 one.leading.take_report(two.report())
                 await asyncio.sleep(1.0)
-            announced = [at for at, name in calls.told if name == "two:1"]
+            announced = [at for at, name in calls.notified if name == "two:1"]
             assert len(announced) == 1
             one.leading.step_down("end")
 
         virtual.run(main())
 
-    def test_many_grants_are_few_assignments(self):
-        """Guards against an assignment of all ranges for each grant."""
+    def test_many_grants_cause_few_assignments(self):
+        """Guards against publishing a full assignment for every grant."""
 
         async def main():
             store, orders = fakes.Store(), fakes.Orders()
@@ -275,20 +277,20 @@
 
 
 class TestNewGate:
-    """A target gets a gate when more is wanted of it than it can run."""
+    """A target with more requests than slots gets an admission gate."""
 
-    def test_all_vms_hear_at_once(self):
-        """Guards against VMs that go on sending to a full target.
+    def test_all_vms_are_notified_at_once(self):
+        """Guards against VMs that go on sending to a saturated target.
 
-        Pattern: one key gets much of the traffic from one moment to the next,
-        and each of many VMs has one request for it.
+        One key suddenly gets much of the traffic, and each of many VMs has one
+        request for it.
         """
 
         async def main():
             store, orders = fakes.Store(), fakes.Orders()
             targets = [fakes.target(n) for n in ("a", "b", "c")]
             one = Vm("vm-1", store, orders, targets)
-            calls = Announced()
+            calls = RecordedCalls()
             one.leading._telling._calls = calls
             await one.leading.take_over("test")
             await asyncio.sleep(0.5)
@@ -303,33 +305,33 @@
             for name in names:
                 report(name)
             await asyncio.sleep(0.2)
-            calls.told.clear()
+            calls.notified.clear()
             for name in names[:5]:
                 report(name, under_way={"a": 1})
             await asyncio.sleep(0.11)
             report(names[5], under_way={"a": 1})
             await asyncio.sleep(0.01)
-            told = {address for _, address in calls.told}
-            assert told == {f"{name}:1" for name in names}
+            notified = {address for _, address in calls.notified}
+            assert notified == {f"{name}:1" for name in names}
             one.leading.step_down("end")
 
         virtual.run(main())
 
 
 class TestAfterAnOutage:
-    """Grants that were made longer while the store was away."""
+    """Grants that were extended during an outage of the store."""
 
-    def test_successor_waits_for_longer_grants(self):
-        """The store was away; it is back, and another VM takes over at once.
+    def test_successor_waits_for_extended_grants(self):
+        """Another VM takes over right after an outage of the store.
 
-        Its leader says that all is well, and it is: it gives usual grants
-        again. But a target that has answered no order since still holds its
-        keys by a longer one, and serves them; a successor that reckons with
-        usual grants gives them to a second target.
+        The leader gives regular grants again and reports so. But a target that
+        has not responded since the outage still holds and serves its keys by
+        an extended grant. A successor that assumes regular grants would give
+        the keys to a second target.
         """
 
         async def main():
-            store, orders, (one, two) = _world("vm-1", "vm-2")
+            store, orders, (one, two) = _cluster("vm-1", "vm-2")
             await one.leading.take_over("test")
             await _until(lambda: _owned(orders, 0))
             store.failing = fakes.UNAVAILABLE
@@ -340,7 +342,7 @@
             reply = one.leading.take_report(two.report())
             two.leading.hear(reply)
             assert await two.leading.take_over("test")
-            # The former leader follows the new one and gives no orders.
+            # The former leader reports to the new one and sends no orders.
             one.leading.step_down("replaced")
             two.leading.take_report(one.report())
             await _until(lambda: orders.holders(0) - {"a"} != set(), seconds=60)
@@ -350,10 +352,10 @@
         virtual.run(main())
 
     def test_chain_of_successors(self):
-        """The same with a third leader that has only heard the second one."""
+        """The same with a third leader that got a reply of the second only."""
 
         async def main():
-            store, orders, vms = _world("vm-1", "vm-2", "vm-3")
+            store, orders, vms = _cluster("vm-1", "vm-2", "vm-3")
             one, two, three = vms
             await one.leading.take_over("test")
             await _until(lambda: _owned(orders, 0))
@@ -376,24 +378,24 @@
         virtual.run(main())
 
 
-class TestFormerLeadersWord:
-    """A leader that was replaced says how long its grants last."""
+class TestFormerLeadersReport:
+    """A replaced leader reports how long its grants last."""
 
     @pytest.mark.parametrize(
         ("others_reach", "restarted", "least", "most"),
         [
-            pytest.param(True, False, 0.0, 4.5, id="only the leader was cut"),
-            pytest.param(False, False, 6.0, 12.0, id="an outage before"),
-            pytest.param(True, True, 9.0, 12.0, id="it cannot tell"),
+            pytest.param(True, False, 0.0, 4.5, id="only leader cut off"),
+            pytest.param(False, False, 6.0, 12.0, id="outage before"),
+            pytest.param(True, True, 9.0, 12.0, id="restarted"),
         ],
     )
     def test_keys_of_a_lost_target(self, others_reach, restarted, least, most):
-        """A leader is cut off from the store, and then a target dies.
+        """A leader is cut off from the store, and then a target crashes.
 
-        Its successor has to wait for grants that the leader may have made
-        longer, before the target's keys have an owner again: ten seconds, in
-        which callers are refused. Where others reached the store all the time
-        none were, and the leader says so when it follows the next one.
+        The successor has to wait for possibly extended grants before the
+        target's keys have an owner again: ten seconds in which callers are
+        refused. If other VMs reached the store all the time, no grant was
+        extended, and the former leader reports so to its successor.
         """
 
         async def main():
@@ -415,8 +417,8 @@
             orders.dead.add("a")
             assert await two.leading.take_over("test")
             one.leading.step_down("replaced")
-            word = None if restarted else one.leading.longer_grants()
-            two.leading.take_report(one.report(longer=word))
+            seconds = None if restarted else one.leading.longer_grants()
+            two.leading.take_report(one.report(longer=seconds))
             began = virtual.now()
             await _until(lambda: orders.holders(0) - {"a"} != set(), seconds=60)
             assert least < virtual.now() - began < most
@@ -426,10 +428,10 @@
         virtual.run(main())
 
     def test_never_led(self):
-        """A VM that has not led since its start has nothing to say."""
+        """A VM that has not led since its start reports no extended grants."""
 
         async def main():
-            _, _, (one,) = _world("vm-1")
+            _, _, (one,) = _cluster("vm-1")
             assert one.leading.longer_grants() is None
             await one.leading.take_over("test")
             one.leading.step_down("end")
@@ -439,15 +441,15 @@
 
 
 class TestFullLink:
-    """Orders of a leader that wait before a link between regions."""
+    """A leader's orders are queued before a saturated link between regions."""
 
-    @pytest.mark.parametrize("says", [True, False])
+    @pytest.mark.parametrize("reports", [True, False])
     @pytest.mark.parametrize("wait", [0.0, 0.3, 0.6, 0.9])
-    def test_arrive_after_it_was_replaced(self, wait, says):
-        """Guards against keys given away while such an order arrives.
+    def test_orders_arrive_after_leader_was_replaced(self, wait, reports):
+        """Guards against moving keys while such an order is in transit.
 
-        The leader stops and follows its successor, or a witness shows when it
-        had to stop; what it sent until then arrives up to a second later.
+        The leader stops and reports to its successor, or a witness shows when
+        it had to stop. Orders sent until then arrive up to a second later.
         """
 
         async def main():
@@ -470,9 +472,9 @@
             await asyncio.sleep(0.6)
             await two.leading.take_over("test")
             one.leading.step_down("replaced")
-            if says:
-                word = one.leading.longer_grants()
-                two.leading.take_report(one.report(longer=word))
+            if reports:
+                seconds = one.leading.longer_grants()
+                two.leading.take_report(one.report(longer=seconds))
             await _until(lambda: orders.holders(0) - {"a"} != set(), seconds=60)
             assert orders.clashes == []
             two.leading.step_down("end")
@@ -481,14 +483,14 @@
 
 
 class TestThirdLeader:
-    """Leaders follow each other faster than the first one notices."""
+    """Two take-overs happen before the first leader notices the first one."""
 
     def test_waits_for_the_first_one(self):
-        """A leader is cut off from the store and renews on.
+        """A leader is cut off from the store and goes on renewing grants.
 
-        Its successor dies at once; that one's successor knows that it has
-        ended, but nothing of the first. A target that only the first reaches
-        still holds its keys.
+        Its successor crashes at once. The third leader can tell that the
+        second has stopped, but not that the first has. A target that only the
+        first leader reaches still holds its keys.
         """
 
         async def main():
@@ -509,7 +511,7 @@
             await two.leading.take_over("test")
             two.leading.step_down("killed")
             await three.leading.take_over("test")
-            # The second one's next run reports.
+            # The next incarnation of the second leader's daemon reports.
             three.leading.take_report(two.report())
             await asyncio.sleep(16.0)
             assert orders.clashes == []
@@ -524,12 +526,12 @@
     """Some VMs are cut off from the store, the leader among them."""
 
     @pytest.mark.parametrize(("cut", "most"), [(1, 2.0), (2, 2.0), (4, 3.0)])
-    def test_another_one_leads_soon(self, cut, most):
+    def test_another_vm_takes_over_soon(self, cut, most):
         """The leader and the VMs that it asks first do not reach the store.
 
-        These have made no call for a while and do not know it. As long as
-        nobody leads that reaches the store, no table changes and the keys of
-        a lost target are refused.
+        These VMs have made no call to the store recently and have not noticed.
+        Until a VM that reaches the store leads, no table changes, and requests
+        for the keys of a lost target are refused.
         """
 
         async def main():
@@ -563,17 +565,17 @@
         virtual.run(main())
 
 
-class TestStoreTrouble:
-    """The store fails a leader."""
+class TestStoreFailures:
+    """The store fails while a VM leads."""
 
     def test_outage(self):
         """The store is down for longer than a grant lasts.
 
-        Nobody can take over, so the leader goes on renewing.
+        No VM can take over, so the leader goes on renewing grants.
         """
 
         async def main():
-            store, orders, (one,) = _world("vm-1")
+            store, orders, (one,) = _cluster("vm-1")
             await one.leading.take_over("test")
             await _until(lambda: _owned(orders, 0))
             store.failing = fakes.UNAVAILABLE
@@ -589,13 +591,13 @@
         virtual.run(main())
 
     def test_outage_without_end(self):
-        """The store stays away; the leader stops giving orders in time.
+        """The store does not recover, and the leader stops sending orders.
 
-        A successor that it does not hear of counts on that.
+        A successor that it cannot observe relies on that.
         """
 
         async def main():
-            store, orders, (one,) = _world("vm-1")
+            store, orders, (one,) = _cluster("vm-1")
             await one.leading.take_over("test")
             await _until(lambda: _owned(orders, 0))
             store.failing = fakes.UNAVAILABLE
@@ -609,15 +611,15 @@
 
         virtual.run(main())
 
-    def test_commit_without_answer(self):
-        """A change is made and its answer is lost, again and again.
+    def test_commit_without_response(self):
+        """Commits are carried out, but every response is lost.
 
-        The leader finds out what is in force; no key has two owners and the
-        target that leaves is relieved.
+        The leader determines which table is in force, no key has two owners,
+        and the leaving target loses its keys.
         """
 
         async def main():
-            store, orders, (one,) = _world("vm-1")
+            store, orders, (one,) = _cluster("vm-1")
             await one.leading.take_over("test")
             await _until(lambda: _owned(orders, 0))
             store.loses = True
@@ -637,15 +639,16 @@
         virtual.run(main())
 
     def test_asks_for_a_successor(self):
-        """The store turns this VM away and serves another one.
+        """The store refuses the leader and serves another VM.
 
-        Keys could not move until this VM is let in again; the other one is
-        asked to take over. It tells what the store holds meanwhile. Once no
-        VM reaches the store, all are told to look for themselves.
+        Keys cannot move while the leader does not reach the store, so it asks
+        the other VM to take over. Until then it gets the store's changes from
+        that VM. Once no VM reports a reachable store, the leader's replies say
+        that it no longer receives changes, and VMs read the store themselves.
         """
 
         async def main():
-            store, orders, (one, two) = _world("vm-1", "vm-2")
+            store, orders, (one, two) = _cluster("vm-1", "vm-2")
             await one.leading.take_over("test")
             await _until(lambda: _owned(orders, 0))
             store.failing = fakes.UNAVAILABLE
@@ -668,14 +671,14 @@
 
     @pytest.mark.parametrize("raw", [b"", b"{}", b'{"service": 1}', b"\xff"])
     def test_unreadable_table(self, raw):
-        """What stands under a table's key cannot be read.
+        """The value stored for a table cannot be decoded.
 
-        The leader says so and goes on; it makes a table of its own only once
-        the key is free.
+        The leader logs that and goes on. It creates a new table only once the
+        stored value has been removed.
         """
 
         async def main():
-            store, _, (one,) = _world("vm-1")
+            store, _, (one,) = _cluster("vm-1")
             store.items[messages.table_key("s")] = (raw, 1)
             assert await one.leading.take_over("test")
             await asyncio.sleep(1.0)
@@ -687,14 +690,14 @@
 
 
 class TestReports:
-    """What VMs hear."""
+    """Replies to the reports of VMs."""
 
     def test_not_the_leader(self):
-        """A VM that does not lead says who does."""
+        """A VM that does not lead names the leader that it has recorded."""
         entry = leadership.LeaderEntry("vm-9", "b", 3, "x:1")
 
         async def main():
-            _, _, (one,) = _world("vm-1")
+            _, _, (one,) = _cluster("vm-1")
             one.beliefs.take_leader(entry)
             reply = one.leading.take_report(one.report())
             assert (reply.leading, reply.leader) == (False, entry)
@@ -702,29 +705,29 @@
         virtual.run(main())
 
     def test_contended_target_has_a_gate(self):
-        """Many VMs want one target; all hear of the same gate."""
+        """All VMs get the same admission gate for a contended target."""
 
         async def main():
-            _, orders, (one, two, three) = _world("vm-1", "vm-2", "vm-3")
+            _, orders, (one, two, three) = _cluster("vm-1", "vm-2", "vm-3")
             await one.leading.take_over("test")
-            told = []
+            gates = []
             for vm in (two, three, two, three):
                 reply = one.leading.take_report(
                     vm.report(under_way={"a": 8}, waiting={"a": 10})
                 )
-                told.append(reply.gates)
+                gates.append(reply.gates)
                 await asyncio.sleep(0.2)
-            assert told[2] == told[3]
-            assert told[2].keys() == {"a"}
+            assert gates[2] == gates[3]
+            assert gates[2].keys() == {"a"}
             one.leading.step_down("end")
 
         virtual.run(main())
 
     def test_stopping_vm_is_no_gate(self):
-        """A VM that is about to end is named for no target."""
+        """A VM that is about to stop is not named as any target's gate."""
 
         async def main():
-            _, orders, (one, two) = _world("vm-1", "vm-2")
+            _, orders, (one, two) = _cluster("vm-1", "vm-2")
             await one.leading.take_over("test")
             for _ in range(2):
                 reply = one.leading.take_report(
@@ -736,16 +739,16 @@
 
         virtual.run(main())
 
-    def test_news_of_a_watcher(self):
-        """The leader's own view of the store stands still.
+    def test_updates_of_a_watcher(self):
+        """The leader's own watch of the store has stalled.
 
-        A target leaves; a VM that follows the store as well tells the leader,
-        and every other VM hears of it: one that no message reaches, with the
-        answer to its report.
+        A target leaves. A VM that also watches the store reports that to the
+        leader, which notifies all other VMs. A VM that its messages do not
+        reach gets the update with the reply to its report.
         """
 
         async def main():
-            _, _, (one, two) = _world("vm-1", "vm-2")
+            _, _, (one, two) = _cluster("vm-1", "vm-2")
             await one.leading.take_over("test")
             leaving = fakes.target("a", leaving=True, revision=9)
             news = messages.News(
@@ -755,22 +758,24 @@
             one.leading.take_report(two.report(seen=5))
             await asyncio.sleep(0.1)
             reply = one.leading.take_report(two.report(seen=5))
-            told = {n.target.id: n.target.leaving for n in reply.news.targets}
-            assert told == {"a": True}
+            leaving_by_target = {
+                n.target.id: n.target.leaving for n in reply.news.targets
+            }
+            assert leaving_by_target == {"a": True}
             one.leading.step_down("end")
 
         virtual.run(main())
 
     def test_write_without_value_type(self):
-        """Sessions and writes are plain values."""
+        """A write belongs to no session by default."""
         assert ports.Write("k", b"v").session == 0
 
 
 class TestEvacuation:
-    """Keys leave targets of an evacuated zone."""
+    """Keys move away from targets of an evacuated zone."""
 
     @staticmethod
-    def _world(per_zone, vms=("vm-1", "vm-2")):
+    def _cluster(per_zone, vms=("vm-1", "vm-2")):
         store, orders = fakes.Store(), fakes.Orders()
         targets = [
             fakes.target(f"{zone}-{n}", zone=zone)
@@ -788,10 +793,10 @@
 
     @pytest.mark.parametrize("per_zone", [2, 23, 120])
     def test_within_a_second(self, per_zone):
-        """Guards against keys whose owner gets nothing any more."""
+        """Guards against keys whose owner no longer gets any request."""
 
         async def main():
-            orders, (one, _) = self._world(per_zone)
+            orders, (one, _) = self._cluster(per_zone)
             await one.leading.take_over("test")
             await _until(lambda: len(self._holders(orders)) >= per_zone)
             await asyncio.sleep(2.0)
@@ -805,10 +810,10 @@
         virtual.run(main())
 
     def test_leader_is_replaced_meanwhile(self):
-        """Guards against two owners when the leader changes in between."""
+        """Guards against two owners when the leader changes meanwhile."""
 
         async def main():
-            orders, (one, two) = self._world(8)
+            orders, (one, two) = self._cluster(8)
             await one.leading.take_over("test")
             await _until(lambda: _owned(orders, 0))
             await asyncio.sleep(1.0)
@@ -831,11 +836,11 @@
 
         virtual.run(main())
 
-    def test_nowhere_to_go(self):
-        """Guards against keys without an owner while all is evacuated."""
+    def test_all_zones_evacuated(self):
+        """Guards against keys without an owner if all zones are evacuated."""
 
         async def main():
-            orders, (one, _) = self._world(2)
+            orders, (one, _) = self._cluster(2)
             await one.leading.take_over("test")
             await _until(lambda: _owned(orders, 0))
             one.beliefs.take_evacuations(
--- a/tests/gateway/test_proofs.py
+++ b/tests/gateway/test_proofs.py
@@ -1,9 +1,9 @@
-"""What shows that a run of a target is over, and what only seems to.
+"""Tests of the proofs that a former owner holds no keys any more.
 
-Keys are given to their next owner when the former one has released them, when
-its grants have run out, or when its run is over. These tests play histories
-of registrations, starts, lost orders and moves against targets that keep every
-grant as long as the slowest promised clock allows.
+Keys are granted to their next owner when the former one has released them, when
+its grants have expired, or when its incarnation has ended. These tests run
+histories of registrations, restarts, lost orders and moves against targets that
+keep every grant as long as the slowest clock within the drift bound allows.
 """
 
 import asyncio
@@ -26,12 +26,12 @@
 B = ranges.Holder("b", 1, "b:80")
 
 
-def _run(born):
+def _holder(born):
     return ranges.Holder("a", born, "a:80")
 
 
-class World:
-    """Two targets and a leader's orders; registrations are made by hand."""
+class Cluster:
+    """Two targets and a leader's orders, with explicit registrations."""
 
     def __init__(self):
         self.clock = fakes.VirtualClock()
@@ -58,93 +58,93 @@
             {},
             lambda: None,
         )
-        self.table = ranges.initial("s", {_run(BORN): 1.0, B: 1.0}, "c")
+        self.table = ranges.initial("s", {_holder(BORN): 1.0, B: 1.0}, "c")
         self.granting.follow(self.table)
 
     def register(self, name="a", **changes):
-        """Has the store show a registration."""
+        """Applies a registration with the next store revision."""
         self._revision += 1
         self.beliefs.take_target(
             fakes.target(name, revision=self._revision, **changes)
         )
 
-    def registers(self):
-        """The target's present run writes its registration."""
+    def register_current_incarnation(self):
+        """The target's current incarnation writes its registration."""
         self.register(born=self.born)
 
-    def late_write_of_former_run(self):
-        """A write of its former run is carried out late."""
+    def late_write_of_former_incarnation(self):
+        """A write of its former incarnation is carried out late."""
         self.register(born=BORN - 1)
 
-    def former_run_under_another_name(self):
-        """The same of a former run that had another identifier."""
+    def former_incarnation_under_another_name(self):
+        """The same for a former incarnation with another identifier."""
         self.register("ghost", born=BORN - 1, address="a:80")
 
-    def cut_short(self):
-        """A registration comes without its start time."""
+    def registration_without_start_time(self):
+        """A registration arrives without its start time."""
         self.register(born=0)
 
     def another_service_at_its_address(self):
-        """A registration names an address that is another target's."""
+        """Another service's target registers the same address."""
         self.register("other", service="other", born=BORN + 999, address="a:80")
 
-    def vanishes(self):
-        """Its registration lapses; it lives behind a cut, or leaves."""
+    def registration_expires(self):
+        """Its registration expires: it is partitioned but runs, or leaves."""
         self._revision += 1
         self.beliefs.lose_target("a", self._revision)
 
-    def starts_again(self):
-        """It dies, and its next run registers."""
+    def restart(self):
+        """It crashes, and its next incarnation registers."""
         self.orders.restart("a")
         former, self.born = self.born, self.born + 1
-        self.registers()
-        renewed = {_run(former): _run(self.born)}
+        self.register_current_incarnation()
+        renewed = {_holder(former): _holder(self.born)}
         self.table = ranges.refence(self.table, renewed, "c")
         self.granting.follow(self.table)
         self.granting.refenced(renewed.values())
 
-    def starts_again_unseen(self):
-        """It dies, and its next run has not registered yet."""
+    def restart_without_registration(self):
+        """It crashes, and its next incarnation has not registered yet."""
         self.orders.restart("a")
         self.born += 1
 
-    def gets_new_fences(self):
-        """It was silent, and the leader knows its former run only."""
+    def assign_new_fences(self):
+        """It did not respond, and only its former incarnation is recorded."""
         known = self.beliefs.directory.get("a").target.born
-        renewed = {_run(known): _run(known)}
+        renewed = {_holder(known): _holder(known)}
         self.table = ranges.refence(self.table, renewed, "c")
         self.granting.follow(self.table)
         self.granting.refenced(renewed)
 
     def orders_lost(self):
-        """Orders do not reach it any more."""
+        """Orders no longer reach it."""
         self.orders.dead.add("a")
 
-    def answers_lost(self):
-        """Orders reach it, their answers are lost."""
+    def responses_lost(self):
+        """Orders reach it, but its responses are lost."""
         self.orders.silent.add("a")
 
     def releases_lost(self):
         """Only releases do not reach it."""
         self.orders.deaf.add("a")
 
-    def heard_again(self):
-        """Orders and answers come through."""
+    def connection_restored(self):
+        """Orders and responses get through again."""
         self.orders.dead.clear()
         self.orders.silent.clear()
         self.orders.deaf.clear()
 
-    def gives(self):
+    def move_all_keys_away(self):
         """Its keys move to the other target."""
         self._move(0, HALF - 1, B)
 
-    def gives_some(self):
-        """A few of its keys move."""
+    def move_some_keys_away(self):
+        """A few of its keys move to the other target."""
         self._move(7, 99, B)
 
-    def takes(self):
-        """Keys of the other target move to it."""
-        self._move(HALF, HALF + 99, _run(self.born))
+    def move_keys_here(self):
+        """Some keys of the other target move to it."""
+        self._move(HALF, HALF + 99, _holder(self.born))
 
     def _move(self, first, last, to):
         moves = [ranges.Move(first, last, to)]
@@ -153,20 +153,20 @@
 
 
 _EVENTS = (
-    World.registers,
-    World.late_write_of_former_run,
-    World.former_run_under_another_name,
-    World.cut_short,
-    World.another_service_at_its_address,
-    World.vanishes,
-    World.starts_again,
-    World.orders_lost,
-    World.answers_lost,
-    World.releases_lost,
-    World.heard_again,
-    World.gives,
-    World.gives_some,
-    World.takes,
+    Cluster.register_current_incarnation,
+    Cluster.late_write_of_former_incarnation,
+    Cluster.former_incarnation_under_another_name,
+    Cluster.registration_without_start_time,
+    Cluster.another_service_at_its_address,
+    Cluster.registration_expires,
+    Cluster.restart,
+    Cluster.orders_lost,
+    Cluster.responses_lost,
+    Cluster.releases_lost,
+    Cluster.connection_restored,
+    Cluster.move_all_keys_away,
+    Cluster.move_some_keys_away,
+    Cluster.move_keys_here,
 )
 _HISTORIES = st.lists(
     st.tuples(st.sampled_from(_EVENTS), st.sampled_from((0.0, 0.3, 1.1))),
@@ -176,17 +176,17 @@
 
 
 def _clashes(history):
-    """Plays a history; returns keys that two targets held at a time."""
+    """Runs a history; returns the keys that two targets held at once."""
 
     async def main():
-        world = World()
+        cluster = Cluster()
         await asyncio.sleep(0.3)
         for event, pause in history:
-            event(world)
+            event(cluster)
             await asyncio.sleep(pause)
         await asyncio.sleep(_GRANT_SECONDS + 0.5)
-        world.granting.stop()
-        return list(world.orders.clashes)
+        cluster.granting.stop()
+        return list(cluster.orders.clashes)
 
     return virtual.run(main())
 
@@ -197,23 +197,25 @@
     @hypothesis.given(history=_HISTORIES)
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=150)
     def test_no_key_has_two_owners(self, history):
-        """Registrations come late, vanish and contradict each other.
+        """Registrations arrive late, disappear and contradict each other.
 
-        A caller would see one certificate issued by two targets.
+        With two owners, a caller could see one certificate issued twice.
         """
         assert _clashes(history) == []
 
-    @pytest.mark.parametrize("taken_out", ["released", "lapsed", "run ended"])
-    def test_each_proof_is_needed(self, taken_out, monkeypatch):
-        """With one proof replaced by a guess, some history gives two owners."""
+    @pytest.mark.parametrize(
+        "replaced_proof", ["released", "expired", "incarnation ended"]
+    )
+    def test_each_proof_is_needed(self, replaced_proof, monkeypatch):
+        """Without any one of the proofs, some history gives two owners."""
 
         async def release(orders, name, address, order, timeout):
             return result.Ok("")
 
         mutations = {
             "released": (fakes.Orders, "release", release),
-            "lapsed": (granting.Granting, "_grants_expire_at", lambda *_: 0.0),
-            "run ended": (
+            "expired": (granting.Granting, "_grants_expire_at", lambda *_: 0.0),
+            "incarnation ended": (
                 granting.Granting,
                 "_incarnation_ended",
                 lambda made, holder: (
@@ -223,7 +225,7 @@
                 ),
             ),
         }
-        monkeypatch.setattr(*mutations[taken_out])
+        monkeypatch.setattr(*mutations[replaced_proof])
         found = hypothesis.find(
             _HISTORIES,
             _clashes,
@@ -234,87 +236,88 @@
         assert _clashes(found)
 
 
-class TestRegistrationsThatSeemToEndARun:
-    """A target lives on behind a cut; what the store shows says otherwise."""
+class TestMisleadingRegistrations:
+    """The store's registrations suggest that a partitioned target has ended."""
 
     @pytest.mark.parametrize(
         "shown",
         [
-            World.former_run_under_another_name,
-            World.late_write_of_former_run,
-            World.cut_short,
-            World.another_service_at_its_address,
+            Cluster.former_incarnation_under_another_name,
+            Cluster.late_write_of_former_incarnation,
+            Cluster.registration_without_start_time,
+            Cluster.another_service_at_its_address,
         ],
     )
     def test_its_keys_wait_for_its_grant(self, shown):
-        """A target starts again, and its earlier run's registration returns.
+        """After a restart, the earlier incarnation's registration reappears.
 
-        Writes to the store that get no answer may be carried out seconds
-        later. Then its own registration lapses. It still runs requests for
-        its keys; another target that is given them runs the same requests a
-        second time.
+        A write to the store without a response may be carried out seconds
+        later. Then the target's own registration expires. The target still
+        runs requests for its keys; if another target were granted the keys, it
+        would run the same requests a second time.
         """
         history = [
             (shown, 0.0),
-            (World.releases_lost, 0.0),
-            (World.vanishes, 0.25),
-            (World.gives, 0.0),
+            (Cluster.releases_lost, 0.0),
+            (Cluster.registration_expires, 0.25),
+            (Cluster.move_all_keys_away, 0.0),
         ]
         assert _clashes(history) == []
 
-    def test_grants_that_went_to_the_next_run(self):
-        """A target starts again, and the leader does not know it yet.
+    def test_grants_accepted_by_the_next_incarnation(self):
+        """A target restarts, and the leader has not observed it yet.
 
-        It was silent for over a second, so it gets new fences, in its former
-        run's name. Then its next run registers, vanishes behind a cut, and its
-        keys move. That run holds them by the new grants.
+        It did not respond for over a second, so it gets new fences under the
+        former incarnation's name. Then the next incarnation registers, is
+        partitioned, and its keys move. It still holds them by the new grants.
         """
         history = [
-            (World.orders_lost, 1.5),
-            (World.starts_again_unseen, 0.0),
-            (World.gets_new_fences, 0.0),
-            (World.heard_again, 0.6),
-            (World.registers, 0.0),
-            (World.releases_lost, 0.0),
-            (World.vanishes, 0.0),
-            (World.gives, 0.0),
+            (Cluster.orders_lost, 1.5),
+            (Cluster.restart_without_registration, 0.0),
+            (Cluster.assign_new_fences, 0.0),
+            (Cluster.connection_restored, 0.6),
+            (Cluster.register_current_incarnation, 0.0),
+            (Cluster.releases_lost, 0.0),
+            (Cluster.registration_expires, 0.0),
+            (Cluster.move_all_keys_away, 0.0),
         ]
         assert _clashes(history) == []
 
-    def test_table_knows_a_later_run(self):
+    def test_table_names_a_later_incarnation(self):
         """A new leader's list of targets is older than the table.
 
-        Taking the earlier run for the present one, it would move the keys
-        away from the later run, and to it in the earlier one's name.
+        If the leader took the earlier incarnation for the current one, it
+        would move the keys away from the later one, and back to it under the
+        earlier one's name.
         """
 
         async def main():
-            world = World()
-            known = world.beliefs.directory
+            cluster = Cluster()
+            known = cluster.beliefs.directory
             known.end("a", BORN, 0.0)
             known.learn_run("a", BORN + 5, "a:81", 0.0)
-            found = known.get("a").target
-            assert (found.born, found.address) == (BORN + 5, "a:81")
-            # Its earlier run has left its address; this one has not.
+            current = known.get("a").target
+            assert (current.born, current.address) == (BORN + 5, "a:81")
+            # The earlier incarnation has left its address; this one has not.
             assert not known.has_left_address("a", BORN + 5)
-            world.registers()
+            cluster.register_current_incarnation()
             assert known.get("a").target.born == BORN + 5
             known.learn_run("a", BORN, "a:80", 0.0)
             assert known.get("a").target.born == BORN + 5
-            world.granting.stop()
+            cluster.granting.stop()
 
         virtual.run(main())
 
-    def test_older_run_is_logged_and_not_used(self):
-        """The newer run stays the one that gets requests and grants."""
+    def test_older_incarnation_is_logged_and_not_used(self):
+        """The newer incarnation keeps getting requests and grants."""
 
         async def main():
-            world = World()
-            world.late_write_of_former_run()
-            assert world.beliefs.directory.get("a").target.born == BORN
-            assert world.log.named("older_run_registered") == [
+            cluster = Cluster()
+            cluster.late_write_of_former_incarnation()
+            assert cluster.beliefs.directory.get("a").target.born == BORN
+            assert cluster.log.named("older_run_registered") == [
                 {"target": "a", "born": BORN - 1, "known": BORN}
             ]
-            world.granting.stop()
+            cluster.granting.stop()
 
         virtual.run(main())
