--- a/tests/gateway/test_witnessing.py
+++ b/tests/gateway/test_witnessing.py
@@ -1,4 +1,4 @@
-"""Leaders, their witnesses and successors, in histories of faults."""
+"""Tests of leaders, their witnesses and successors under sequences of faults."""
 
 import asyncio
 
@@ -22,29 +22,32 @@
 
 
 class Calls:
-    """The way to peers in one process; some are cut off from all others."""
+    """Calls between VMs in one process, some of which are partitioned."""
 
     def __init__(self, fleet, name):
         self._fleet = fleet
         self._name = name
 
     async def call(self, address, path, body, timeout, *, fresh=False):
-        """Carries requests for promises; other messages go by the fleet."""
+        """Delivers requests for promises and discards other messages.
+
+        The fleet delivers reports itself.
+        """
         await asyncio.sleep(0.002)
         other = self._fleet.vms.get(address)
-        apart = {self._name, address} & self._fleet.alone
+        apart = {self._name, address} & self._fleet.isolated
         if other is None or apart:
             await asyncio.sleep(timeout)
             return None
         if path != messages.EXTEND_PATH:
             return b"{}"
         request = messages.decode(body, messages.ExtensionRequest)
-        answer = await other.leading.witness.answer(request)
-        return messages.encode(answer)
+        response = await other.leading.witness.answer(request)
+        return messages.encode(response)
 
 
 class Vm:
-    """One VM that may lead, with its own way to store and targets."""
+    """A VM that may lead, with its own connections to store and targets."""
 
     def __init__(self, fleet, name, boot):
         self.name = name
@@ -70,64 +73,69 @@
 
     def report(self):
         """Returns this VM's report."""
-        known = self.beliefs.leader
+        leader = self.beliefs.leader
         return messages.Report(
             messages.VmEntry(self.name, self.boot, self.name, self.name),
             store=self.store.failing is None,
             longer=self.leading.longer_grants(),
-            epoch=known.epoch if known else -1,
+            epoch=leader.epoch if leader else -1,
             promised=self.leading.witness.promised(),
         )
 
 
 class Fleet:
-    """Four VMs, three targets and a store."""
+    """Four VMs, three targets and a store.
+
+    Attributes:
+        isolated: Names of the VMs that reach no other VM.
+        boots: Number of daemons started.
+    """
 
     def __init__(self):
         self.clock = fakes.VirtualClock()
         self.store = fakes.Store()
         self.orders = fakes.Orders()
-        self.alone = set()
+        self.isolated = set()
         self.boots = 0
         self.vms = {}
         for name in _VMS:
             self.start(name)
-        self._reporting = asyncio.create_task(self._report_on())
+        self._reporting = asyncio.create_task(self._report_loop())
 
     def start(self, name):
-        """Starts a VM's daemon, in place of the run before."""
+        """Starts a VM's daemon in place of its earlier incarnation."""
         if name in self.vms:
             self.vms[name].leading.step_down("killed")
         self.boots += 1
         self.vms[name] = Vm(self, name, f"boot-{self.boots}")
 
     def stop(self):
-        """Ends everything."""
+        """Stops all VMs."""
         self._reporting.cancel()
         for vm in self.vms.values():
             vm.leading.step_down("end")
 
     @property
     def leader(self):
-        """The VM of the latest epoch that leads, None if none does."""
+        """The leading VM of the latest epoch, None if no VM leads."""
         leading_now = [v for v in self.vms.values() if v.leading.leading]
         return max(
             leading_now, key=lambda v: v.beliefs.leader.epoch, default=None
         )
 
-    async def _report_on(self):
+    async def _report_loop(self):
         while True:
             await asyncio.sleep(_REPORT_SECONDS)
             for vm in list(self.vms.values()):
                 self._report(vm)
 
     def _report(self, vm):
-        known = vm.beliefs.leader
-        other = self.vms.get(known.vm) if known else None
+        leader = vm.beliefs.leader
+        other = self.vms.get(leader.vm) if leader else None
         if (
             other is None
-            or {vm.name, other.name} & self.alone - {vm.name}
-            or (vm.name in self.alone and other is not vm)
+            or {vm.name, other.name} & self.isolated - {vm.name}
+            or (vm.name in self.isolated and other is not vm)
         ):
             return
         reply = other.leading.take_report(vm.report())
@@ -137,25 +145,25 @@
             vm.leading.hear(reply)
 
     async def take_over(self, name):
-        """Has a VM try to lead; all that it reaches hear of it."""
+        """Has a VM try to take over; notifies all VMs that it reaches."""
         vm = self.vms[name]
         if not await vm.leading.take_over("test"):
             return
         for other in self.vms.values():
-            apart = {name, other.name} & self.alone
+            apart = {name, other.name} & self.isolated
             if not apart and other.beliefs.take_leader(vm.beliefs.leader):
                 other.leading.outranked_by(vm.beliefs.leader)
 
 
-async def _served(fleet, key, besides, seconds=30.0):
-    """Waits until a target other than one owns a key; returns when."""
+async def _wait_granted(fleet, key, excluded, seconds=30.0):
+    """Waits until a target that is not excluded owns a key; returns when."""
     async with asyncio.timeout(seconds):
-        while not fleet.orders.holders(key) - besides:
+        while not fleet.orders.holders(key) - excluded:
             await asyncio.sleep(0.01)
     return virtual.now()
 
 
-async def _begun():
+async def _started_fleet():
     """Returns a fleet whose first leader has named its witnesses."""
     fleet = Fleet()
     await fleet.take_over("vm-1")
@@ -165,73 +173,74 @@
     return fleet
 
 
-class TestSilentLeader:
-    """A leader vanishes together with a target."""
+class TestLostLeader:
+    """A leader is lost together with a target."""
 
     @pytest.mark.parametrize(
         ("successor", "least", "most"),
         [
-            pytest.param("vm-2", 2.0, 5.0, id="a witness leads"),
-            pytest.param("vm-4", 2.0, 5.0, id="another VM leads"),
+            pytest.param("vm-2", 2.0, 5.0, id="witness takes over"),
+            pytest.param("vm-4", 2.0, 5.0, id="other VM takes over"),
         ],
     )
-    def test_keys_are_back(self, successor, least, most):
+    def test_keys_get_an_owner_again(self, successor, least, most):
         """Guards against twelve seconds without an owner for lost keys.
 
-        The leader is cut off from everything at once with a target: nobody
-        has its word, and it could go on renewing the target's grants.
+        The leader is partitioned from everything together with a target. No
+        VM has a report of its grants, and it could go on renewing those of the
+        target.
         """
 
         async def main():
-            fleet = await _begun()
+            fleet = await _started_fleet()
             fleet.orders.dead.add("a")
-            fleet.alone.add("vm-1")
+            fleet.isolated.add("vm-1")
             fleet.vms["vm-1"].store.failing = fakes.UNAVAILABLE
             await asyncio.sleep(0.8)
             await fleet.take_over(successor)
-            began = virtual.now()
-            taken = await _served(fleet, 0, {"a"})
-            assert least < taken - began < most
+            started_at = virtual.now()
+            granted_at = await _wait_granted(fleet, 0, {"a"})
+            assert least < granted_at - started_at < most
             assert fleet.orders.clashes == []
             fleet.stop()
 
         virtual.run(main())
 
     def test_all_witnesses_restarted(self):
-        """Guards against trust in witnesses that have forgotten."""
+        """Guards against relying on witnesses that lost their promises."""
 
         async def main():
-            fleet = await _begun()
+            fleet = await _started_fleet()
             fleet.orders.dead.add("a")
-            fleet.alone.add("vm-1")
+            fleet.isolated.add("vm-1")
             for name in _VMS[1:]:
                 fleet.start(name)
             await fleet.take_over("vm-2")
-            began = virtual.now()
-            taken = await _served(fleet, 0, {"a"})
-            assert taken - began > 9.0
+            started_at = virtual.now()
+            granted_at = await _wait_granted(fleet, 0, {"a"})
+            assert granted_at - started_at > 9.0
             assert fleet.orders.clashes == []
             fleet.stop()
 
         virtual.run(main())
 
     def test_same_vm_leads_again(self):
-        """Guards against a leader that forgets its last run's longer grants.
+        """Guards against ignoring extended grants of an earlier incarnation.
 
-        In an outage it makes grants longer, is killed, and leads again when
-        the store is back. A target that its orders do not reach still holds
-        its keys.
+        A leader extends grants during an outage, is killed, and leads again
+        when the store has recovered. A target that its orders do not reach
+        still holds its keys.
         """
 
         async def main():
-            fleet = await _begun()
+            fleet = await _started_fleet()
             fleet.store.failing = fakes.UNAVAILABLE
             await asyncio.sleep(3.5)
             fleet.orders.dead.add("a")
             fleet.start("vm-1")
             fleet.store.failing = None
             await fleet.take_over("vm-1")
-            await _served(fleet, 0, {"a"})
+            await _wait_granted(fleet, 0, {"a"})
             assert fleet.orders.clashes == []
             fleet.stop()
 
@@ -239,13 +248,13 @@
 
 
 class TestOutage:
-    """The store is unreachable for all."""
+    """The store is unreachable for all VMs."""
 
     def test_leader_goes_on(self):
-        """Guards against keys that lapse in an outage of the store."""
+        """Guards against grants that expire during a store outage."""
 
         async def main():
-            fleet = await _begun()
+            fleet = await _started_fleet()
             fleet.store.failing = fakes.UNAVAILABLE
             for _ in range(80):
                 await asyncio.sleep(0.1)
@@ -259,11 +268,11 @@
 
         virtual.run(main())
 
-    def test_leader_lost_in_it(self):
-        """Guards against keys that lapse when a leader dies in an outage."""
+    def test_leader_lost_during_outage(self):
+        """Guards against expired grants if a leader crashes in an outage."""
 
         async def main():
-            fleet = await _begun()
+            fleet = await _started_fleet()
             fleet.store.failing = fakes.UNAVAILABLE
             await asyncio.sleep(2.5)
             fleet.start("vm-1")
@@ -274,11 +283,11 @@
 
         virtual.run(main())
 
-    def test_only_the_leader_is_cut(self):
-        """Guards against longer grants while another VM could lead."""
+    def test_only_the_leader_is_cut_off(self):
+        """Guards against extended grants while another VM could lead."""
 
         async def main():
-            fleet = await _begun()
+            fleet = await _started_fleet()
             fleet.vms["vm-1"].store.failing = fakes.UNAVAILABLE
             await asyncio.sleep(4.0)
             asked = fleet.vms["vm-1"].log.named("extension_asked")
@@ -291,43 +300,43 @@
 
 
 class TestWitness:
-    """What a witness promises, and to whom."""
+    """Conditions under which a witness makes a promise."""
 
     @pytest.mark.parametrize(
         ("store", "boot", "epoch", "promised"),
         [
             pytest.param(False, "boot-2", 1, True, id="store unreachable"),
-            pytest.param(True, "boot-2", 1, False, id="it reaches the store"),
+            pytest.param(True, "boot-2", 1, False, id="store reached"),
             pytest.param(
-                False, "boot-0", 1, False, id="meant for a former run"
+                False, "boot-0", 1, False, id="for an earlier incarnation"
             ),
             pytest.param(False, "boot-2", 0, False, id="of a former leader"),
         ],
     )
-    def test_answer(self, store, boot, epoch, promised):
-        """Guards against a promise that its VM could not keep."""
+    def test_response(self, store, boot, epoch, promised):
+        """Guards against a promise that the VM could not keep."""
 
         async def main():
-            fleet = await _begun()
+            fleet = await _started_fleet()
             vm = fleet.vms["vm-2"]
             if not store:
                 vm.store.failing = fakes.UNAVAILABLE
             request = messages.ExtensionRequest(epoch, boot, 7.0)
-            answer = await vm.leading.witness.answer(request)
-            assert answer.promised is promised
+            response = await vm.leading.witness.answer(request)
+            assert response.promised is promised
             assert (vm.leading.witness.promised() is not None) is promised
             fleet.stop()
 
         virtual.run(main())
 
-    def test_silent_store(self):
-        """Guards against a witness that waits as long as the store is silent.
+    def test_unresponsive_store(self):
+        """Guards against a witness that waits until the store responds.
 
-        The leader's short authority would end meanwhile.
+        The leader's short lease would end meanwhile.
         """
 
         async def main():
-            fleet = await _begun()
+            fleet = await _started_fleet()
             vm = fleet.vms["vm-2"]
 
             async def read(key):
@@ -337,11 +346,11 @@
                 )
 
             fleet.store.read = read
-            began = virtual.now()
+            started_at = virtual.now()
             request = messages.ExtensionRequest(1, vm.boot, 7.0)
-            answer = await vm.leading.witness.answer(request)
-            assert answer.promised
-            assert virtual.now() - began < 0.7
+            response = await vm.leading.witness.answer(request)
+            assert response.promised
+            assert virtual.now() - started_at < 0.7
             fleet.stop()
 
         virtual.run(main())
@@ -350,30 +359,30 @@
         """Guards against a promise to a leader that was replaced meanwhile."""
 
         async def main():
-            fleet = await _begun()
+            fleet = await _started_fleet()
             vm = fleet.vms["vm-2"]
             vm.store.failing = fakes.UNAVAILABLE
             request = messages.ExtensionRequest(1, vm.boot, 7.0)
-            asked = asyncio.create_task(vm.leading.witness.answer(request))
+            pending = asyncio.create_task(vm.leading.witness.answer(request))
             await asyncio.sleep(0.001)
             vm.beliefs.take_leader(leadership.LeaderEntry("vm-3", "x", 2, ""))
-            assert not (await asked).promised
+            assert not (await pending).promised
             fleet.stop()
 
         virtual.run(main())
 
 
 class TestRecord:
-    """The witnesses as named in the store."""
+    """The record of witnesses in the store."""
 
     def test_lost_witness_is_replaced(self):
-        """Guards against an outage in which a named witness is gone."""
+        """Guards against an outage while a named witness is missing."""
 
         async def main():
-            fleet = await _begun()
+            fleet = await _started_fleet()
             fleet.start("vm-2")
-            known = fleet.vms["vm-1"].beliefs.leader
-            fleet.vms["vm-2"].beliefs.take_leader(known)
+            leader = fleet.vms["vm-1"].beliefs.leader
+            fleet.vms["vm-2"].beliefs.take_leader(leader)
             await asyncio.sleep(3.0)
             stored, _ = fleet.store.items[messages.WITNESSES_KEY]
             record = msgspec.json.decode(stored, type=extension.Record)
@@ -383,8 +392,8 @@
 
         virtual.run(main())
 
-    def test_unanswered_write(self):
-        """Guards against a record that is in force and not reckoned with."""
+    def test_unacknowledged_write(self):
+        """Guards against a record that is in force but not accounted for."""
 
         async def main():
             fleet = Fleet()
@@ -400,20 +409,20 @@
 
 
 class History:
-    """One history of faults."""
+    """Faults and repairs that make up a history."""
 
     def __init__(self, fleet):
         self.fleet = fleet
 
     def outage(self):
-        """The store answers nobody."""
+        """The store responds to no VM."""
         self.fleet.store.failing = fakes.UNAVAILABLE
 
     def outage_ends(self):
-        """It is back."""
+        """The store responds again."""
         self.fleet.store.failing = None
 
-    def leader_cut(self):
+    def leader_cut_off(self):
         """The leader does not reach the store."""
         if self.fleet.leader:
             self.fleet.leader.store.failing = fakes.UNAVAILABLE
@@ -422,43 +431,43 @@
         """The leader reaches targets only."""
         if self.fleet.leader:
             self.fleet.leader.store.failing = fakes.UNAVAILABLE
-            self.fleet.alone.add(self.fleet.leader.name)
+            self.fleet.isolated.add(self.fleet.leader.name)
 
     def cuts_end(self):
-        """Everybody reaches everything again."""
-        self.fleet.alone.clear()
+        """All VMs reach each other and the store again."""
+        self.fleet.isolated.clear()
         for vm in self.fleet.vms.values():
             vm.store.failing = None
 
     def leader_restarts(self):
-        """The leader's daemon is killed and starts again."""
+        """The leader's daemon is killed and restarted."""
         if self.fleet.leader:
             self.fleet.start(self.fleet.leader.name)
 
     def witness_restarts(self):
-        """A daemon that may be a witness does."""
+        """The daemon of a possible witness is killed and restarted."""
         self.fleet.start("vm-3")
 
     def all_restart(self):
-        """All daemons do."""
+        """All daemons are killed and restarted."""
         for name in _VMS:
             self.fleet.start(name)
 
-    def target_cut(self):
-        """The present leader's successors do not reach a target."""
+    def releases_lost(self):
+        """Releases do not reach a target any more."""
         self.fleet.orders.deaf.add("a")
 
-    def target_leaves(self):
-        """A target's registration vanishes; it lives behind a cut."""
+    def registration_expires(self):
+        """A partitioned target's registration expires."""
         for vm in self.fleet.vms.values():
             vm.beliefs.lose_target("a", 100)
 
     def target_dead(self):
-        """No order reaches a target any more."""
+        """Orders do not reach a target any more."""
         self.fleet.orders.dead.add("a")
 
-    def target_cut_from_successors(self):
-        """A target answers its present leader only."""
+    def target_cut_off_from_successors(self):
+        """Only the current leader reaches a target."""
         for vm in self.fleet.vms.values():
             if vm is not self.fleet.leader:
                 vm.leading._orders = fakes.Cut(self.fleet.orders)
@@ -483,16 +492,16 @@
 _EVENTS = (
     History.outage,
     History.outage_ends,
-    History.leader_cut,
+    History.leader_cut_off,
     History.leader_alone,
     History.cuts_end,
     History.leader_restarts,
     History.witness_restarts,
     History.all_restart,
-    History.target_cut,
-    History.target_leaves,
+    History.releases_lost,
+    History.registration_expires,
     History.target_dead,
-    History.target_cut_from_successors,
+    History.target_cut_off_from_successors,
     History.second_leads,
     History.fourth_leads,
     History.first_leads,
@@ -504,13 +513,13 @@
 
 
 def _clashes(history):
-    """Plays a history; returns keys that two targets held at a time."""
+    """Runs a history; returns the keys that two targets held at once."""
 
     async def main():
-        fleet = await _begun()
-        made = History(fleet)
+        fleet = await _started_fleet()
+        faults = History(fleet)
         for event, pause in history:
-            event(made)
+            event(faults)
             await asyncio.sleep(pause)
         await asyncio.sleep(6.0)
         fleet.stop()
@@ -525,17 +534,17 @@
     @hypothesis.given(history=_HISTORIES)
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=120)
     def test_no_key_has_two_owners(self, history):
-        """Guards against two owners after any order of faults."""
+        """Guards against two owners after any sequence of faults."""
         assert _clashes(history) == []
 
     @pytest.mark.parametrize(
-        "taken_out", ["promises", "runs", "short authority"]
+        "disabled", ["promises", "incarnations", "short lease"]
     )
-    def test_each_part_is_needed(self, taken_out, monkeypatch):
-        """With one part taken out, a history gives a key two owners."""
-        # The leader alone reaches the target, and goes on renewing.
-        alone = [
-            (History.target_cut_from_successors, 0.0),
+    def test_each_part_is_needed(self, disabled, monkeypatch):
+        """With one part disabled, a history gives a key two owners."""
+        # Only the leader reaches the target, and it goes on renewing grants.
+        partitioned = [
+            (History.target_cut_off_from_successors, 0.0),
             (History.leader_alone, 0.7),
             (History.fourth_leads, 2.5),
         ]
@@ -550,26 +559,31 @@
         restarted += [(History.all_restart, 0.0), *outage[3:]]
         testify = formers.FormerLeaders.testify
 
-        def any_run(former, witness, promised, now):
-            for known in former._witnesses:
-                if known.vm == witness.vm:
-                    testify(former, known, promised, now)
+        def any_incarnation(former, witness, promised, now):
+            for named in former._witnesses:
+                if named.vm == witness.vm:
+                    testify(former, named, promised, now)
 
-        target, name, guess, history = {
+        target, name, replacement, history = {
             "promises": (
                 formers.FormerLeaders,
                 "testify",
                 lambda f, w, _, now: testify(f, w, None, now),
                 outage,
             ),
-            "runs": (formers.FormerLeaders, "testify", any_run, restarted),
-            "short authority": (
+            "incarnations": (
+                formers.FormerLeaders,
+                "testify",
+                any_incarnation,
+                restarted,
+            ),
+            "short lease": (
                 leadership.Authority,
                 "need_witnesses",
                 lambda _: None,
-                alone,
+                partitioned,
             ),
-        }[taken_out]
+        }[disabled]
         assert _clashes(history) == []
-        monkeypatch.setattr(target, name, guess)
+        monkeypatch.setattr(target, name, replacement)
         assert _clashes(history)
