--- a/tests/gateway/fakes.py
+++ b/tests/gateway/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes at the gateway's ports, for decisions under virtual time."""
+"""Fakes for the gateway's ports, its clock and its event log."""
 
 import asyncio
 import collections
@@ -22,19 +22,23 @@
 
 
 class VirtualClock(clock.Clock):
-    """Takes all times from the loop; a suspension is added by hand."""
+    """A clock that follows the event loop's time.
+
+    Attributes:
+        suspended: Seconds of suspension, which only the boot clock counts.
+    """
 
     def __init__(self):
         super().__init__(1)
         self.suspended = 0.0
 
     def boot(self):
-        """Returns the loop's time and the suspensions."""
+        """Returns the loop's time plus the time of suspension."""
         return asyncio.get_running_loop().time() + self.suspended
 
 
 class Lines(events.Events):
-    """Keeps log lines in memory."""
+    """An event log that stores its lines in memory."""
 
     def __init__(self):
         descriptor = os.open(
@@ -45,16 +49,16 @@
         self.lines = []
 
     def write(self, part, event, **fields):
-        """Keeps a line."""
+        """Stores a line."""
         self.lines.append((part, event, fields))
 
     def named(self, event):
-        """Returns the fields of all lines of an event."""
+        """Returns the fields of all lines of one event."""
         return [fields for _, name, fields in self.lines if name == event]
 
 
 def configured(**leader):
-    """Returns settings of a VM."""
+    """Returns the settings of a VM, with changed leader settings."""
     return settings.GatewaySettings(
         vm=settings.VmSettings(
             id="vm-1",
@@ -95,7 +99,7 @@
 
 
 def known(timer, log, *targets, keyed=True):
-    """Returns beliefs with one service and some targets."""
+    """Returns a cluster state with one service and the given targets."""
     made = beliefs.Beliefs(configured(), timer, log)
     service = routes.Service("s", keyed=keyed)
     made.take_configuration(routes.Configuration(1, services={"s": service}))
@@ -104,24 +108,25 @@
 
 
 def ages(of):
-    """Returns how old the views of registrations and configuration are."""
+    """Returns the ages of the views of registrations and configuration."""
     return of.registrations_age, of.configuration_age
 
 
 class Orders:
-    """Targets that take orders, and an oracle of who holds what.
+    """Fake targets that receive orders, and the true owners of all keys.
 
     Attributes:
-        silent: Targets that do not answer, though orders arrive.
+        silent: Targets that receive orders but do not respond.
         dead: Targets that orders do not reach.
         deaf: Targets that releases do not reach.
-        queued: Seconds after which grants arrive whose connection has been
-            reset long before, by target.
-        work: Seconds until a release is answered.
+        queued: By target, the seconds after which grants arrive although their
+            connections have been reset before.
+        work: Seconds until a release is confirmed.
         delay: Seconds until a grant arrives.
         log: All orders that arrived.
-        clashes: Pairs of targets that held one key at the same time.
-        notices: What targets say of themselves in their answers.
+        clashes: Earlier holder, later holder, first key and time of each
+            overlap between the keys of two targets.
+        notices: Target feedback in the responses, by target.
     """
 
     def __init__(self):
@@ -135,38 +140,38 @@
         self.clashes = []
         self.notices = {}
         self._tasks = []
-        self._holds = collections.defaultdict(list)
+        self._grants = collections.defaultdict(list)
         self._fences = collections.defaultdict(list)
 
     def holders(self, key):
-        """Returns the targets that hold a key now."""
+        """Returns the targets that currently hold a key."""
         now = asyncio.get_running_loop().time()
         return {
             name
-            for name, holds in self._holds.items()
+            for name, holds in self._grants.items()
             if any(a <= key <= b and now < until for a, b, _, until in holds)
         }
 
     async def grant(self, name, address, order, timeout):
-        """Takes a grant."""
+        """Sends a grant to a target."""
         if name in self.dead:
             await asyncio.sleep(timeout)
             return result.Err(errors.Failure(errors.ErrorKind.UNREACHABLE))
         if name in self.queued:
-            late = self.queued[name]
+            delay = self.queued[name]
             self._tasks.append(
-                asyncio.create_task(self._arrives_late(name, order, late))
+                asyncio.create_task(self._arrive_later(name, order, delay))
             )
             await asyncio.sleep(timeout)
             return result.Err(errors.Failure(errors.ErrorKind.ANSWER_LOST))
         await asyncio.sleep(0.001 + self.delay)
-        return await self._arrived(name, order, timeout)
+        return await self._arrive(name, order, timeout)
 
-    async def _arrives_late(self, name, order, late):
-        await asyncio.sleep(late)
-        await self._arrived(name, order, 0.0)
+    async def _arrive_later(self, name, order, delay):
+        await asyncio.sleep(delay)
+        await self._arrive(name, order, 0.0)
 
-    async def _arrived(self, name, order, timeout):
+    async def _arrive(self, name, order, timeout):
         self.log.append(("grant", name, order))
         seen = self._fences[name]
         first, last, fence = order.first, order.last, order.fence
@@ -174,10 +179,10 @@
             return result.Err(errors.Failure(errors.ErrorKind.WRONG_FENCE))
         seen.append((first, last, fence))
         now = asyncio.get_running_loop().time()
-        self._cut(name, first, last)
-        # The slowest clock that is promised.
+        self._remove_keys(name, first, last)
+        # The slowest clock within the drift bound.
         until = now + order.hold * 1.02
-        self._holds[name].append((first, last, fence, until))
+        self._grants[name].append((first, last, fence, until))
         self._check(name, first, last, now)
         if name in self.silent:
             await asyncio.sleep(timeout)
@@ -185,14 +190,14 @@
         return result.Ok(self.notices.get(name, reported.Notice()))
 
     async def release(self, name, address, order, timeout):
-        """Takes a release."""
+        """Sends a release to a target."""
         if name in self.dead or name in self.deaf:
             await asyncio.sleep(timeout)
             return result.Err(errors.Failure(errors.ErrorKind.UNREACHABLE))
         await asyncio.sleep(0.001)
         self.log.append(("release", name, order))
         self._fences[name].append((order.first, order.last, order.fence))
-        self._cut(name, order.first, order.last)
+        self._remove_keys(name, order.first, order.last)
         if name in self.silent or self.work > timeout:
             await asyncio.sleep(timeout)
             return result.Err(errors.Failure(errors.ErrorKind.ANSWER_LOST))
@@ -200,24 +205,24 @@
         return result.Ok(f"from-{name}")
 
     def restart(self, name):
-        """Forgets all that a target holds, as its restart would."""
-        self._holds.pop(name, None)
+        """Clears all grants and fences of a target, as a restart would."""
+        self._grants.pop(name, None)
         self._fences.pop(name, None)
 
-    def _cut(self, name, first, last):
-        left = []
-        for a, b, fence, until in self._holds[name]:
+    def _remove_keys(self, name, first, last):
+        remaining = []
+        for a, b, fence, until in self._grants[name]:
             if b < first or last < a:
-                left.append((a, b, fence, until))
+                remaining.append((a, b, fence, until))
                 continue
             if a < first:
-                left.append((a, first - 1, fence, until))
+                remaining.append((a, first - 1, fence, until))
             if last < b:
-                left.append((last + 1, b, fence, until))
-        self._holds[name] = left
+                remaining.append((last + 1, b, fence, until))
+        self._grants[name] = remaining
 
     def _check(self, name, first, last, now):
-        for other, holds in self._holds.items():
+        for other, holds in self._grants.items():
             if other == name:
                 continue
             for a, b, _, until in holds:
@@ -226,16 +231,15 @@
 
 
 class Store:
-    """A store in memory that can fail.
+    """An in-memory store with injected failures.
 
     Attributes:
-        failing: What calls answer instead, None for all being well.
-        loses: Whether commits are made and not answered.
-        slow_claims: Seconds for which commits without a table are on their
-            way.
-        failing_lists: How many of the next lists are not answered.
+        failing: Failure returned by every call, None if calls succeed.
+        loses: Whether commits are carried out but their responses are lost.
+        slow_claims: Seconds by which commits without a table are delayed.
+        failing_lists: Number of the next list calls that fail.
         items: Values and revisions by key.
-        commits: How many were made.
+        commits: Number of commits carried out.
     """
 
     def __init__(self):
@@ -273,14 +277,14 @@
         return result.Ok(ports.Listing(found, self._revision))
 
     async def watch(self, prefix, after, wait):
-        """Waits in vain."""
+        """Waits without ever returning a change."""
         await asyncio.sleep(wait)
         if self.failing:
             return result.Err(self.failing)
         return result.Ok(ports.Changes((), (), self._revision))
 
     async def commit(self, expected, writes, deleted=()):
-        """Writes under a condition."""
+        """Writes if the keys have the expected revisions."""
         await asyncio.sleep(0.005)
         if not any("table" in write.key for write in writes):
             await asyncio.sleep(self.slow_claims)
@@ -299,27 +303,27 @@
         return result.Ok(self._revision)
 
     async def open_session(self, seconds):
-        """Makes a lease."""
+        """Opens a session with a lease."""
         if self.failing:
             return result.Err(self.failing)
         self._sessions += 1
         return result.Ok(ports.Session(self._sessions, seconds))
 
     async def keep_session(self, session):
-        """Renews a lease."""
+        """Renews a session's lease."""
         if self.failing:
             return result.Err(self.failing)
         return result.Ok(10.0)
 
     async def end_session(self, session):
-        """Ends a lease."""
+        """Ends a session."""
 
 
 class WatchedStore(Store):
-    """A store whose watches bring what others write.
+    """A store whose watches return changes.
 
     Attributes:
-        stale_seconds: How old stale lists are.
+        stale_seconds: Age of the data that stale lists return.
     """
 
     def __init__(self):
@@ -337,7 +341,7 @@
         return self._note(key)
 
     def silence(self):
-        """Has all watches that wait now fall silent, without an end."""
+        """Lets all pending watches hang forever."""
         self._silenced += 1
 
     def remove(self, key):
@@ -347,14 +351,14 @@
         return self._note(key)
 
     async def commit(self, expected, writes, deleted=()):
-        """Writes under a condition."""
+        """Writes if the keys have the expected revisions."""
         written = await super().commit(expected, writes, deleted)
         for write in writes if written.is_ok() else ():
             self._note(write.key)
         return written
 
     async def list(self, prefix, *, stale=False):
-        """Reads all keys with a prefix; without the newest if it is stale."""
+        """Reads all keys with a prefix; a stale list lacks the newest."""
         listed = await super().list(prefix)
         if listed.is_err() or not stale:
             return listed
@@ -374,7 +378,7 @@
         return asyncio.get_running_loop().time()
 
     async def watch(self, prefix, after, wait):
-        """Waits for a change after a revision."""
+        """Waits for changes after a revision."""
         silenced = self._silenced
         await asyncio.sleep(0.005)
         try:
@@ -404,23 +408,23 @@
 
 
 class Cut:
-    """A store or targets as seen from one VM, which may be cut off.
+    """One VM's connections to a store or to targets, with injected failures.
 
     Attributes:
-        failing: Failure of every call, None while the VM reaches it.
-        dead: Targets that this VM does not reach.
-        refused: Targets at which nothing takes its connections.
+        failing: Failure of every call, None while calls get through.
+        dead: Targets that this VM does not reach; calls time out.
+        refused: Targets that refuse this VM's connections.
     """
 
-    def __init__(self, whole):
-        self._whole = whole
+    def __init__(self, inner):
+        self._inner = inner
         self.failing = None
         self.dead = set()
         self.refused = set()
 
     def __getattr__(self, name):
-        """Returns a call that fails while this VM is cut off."""
-        call = getattr(self._whole, name)
+        """Returns a method that fails while this VM is cut off."""
+        call = getattr(self._inner, name)
 
         async def through(*args, **kwargs):
             if failing := self.failing:
@@ -432,9 +436,10 @@
                 await asyncio.sleep(0.001 if refused else args[-1])
                 kind = errors.ErrorKind.UNREACHABLE
                 return result.Err(errors.Failure(kind))
-            answer = await call(*args, **kwargs)
-            # A watch waits for long; what it brings behind a cut is lost.
+            response = await call(*args, **kwargs)
+            # A watch may wait for long. If the VM is cut off meanwhile, the
+            # response of the watch is lost.
             lost = self.failing and name == "watch"
-            return result.Err(self.failing) if lost else answer
+            return result.Err(self.failing) if lost else response
 
         return through
--- a/tests/gateway/fleet.py
+++ b/tests/gateway/fleet.py
@@ -1,7 +1,7 @@
-"""Whole VMs with a leader, targets and callers, under virtual time.
+"""Simulated fleet of VMs, targets and callers, under virtual time.
 
-Everything between sockets is real: forwarding, placing, admission, reports and
-the leader's decisions. Targets and the ways between VMs are fakes.
+All code between the sockets is real: forwarding, placement, admission, reports
+and the leader's decisions. Targets and the network between VMs are fakes.
 """
 
 import asyncio
@@ -34,12 +34,20 @@
 from tests.gateway import links
 
 KEYED, PLAIN = "s", "p"
-_WAY = 0.002
-"""Seconds between VMs, and between a VM and a target."""
+_DELAY_SECONDS = 0.002
+"""One-way delay between VMs, and between a VM and a target."""
 
 
 class Arrival(msgspec.Struct, frozen=True):
-    """A request that has reached a target."""
+    """A request that has arrived at a target.
+
+    Attributes:
+        at: Time of arrival in seconds.
+        vm: Name of the VM that forwarded it.
+        key: Its key, None without one.
+        path: Its path.
+        sent: Time at which the caller sent it, in seconds.
+    """
 
     at: float
     vm: str
@@ -49,17 +57,20 @@
 
 
 class Target:
-    """One target.
+    """A fake target.
 
     Attributes:
         id: Its identifier.
-        address: Where it registers itself, if that is in the store.
-        born: Its run.
-        says: Headers of all its answers.
-        rejects: Whether it rejects requests, without running them.
-        work: Seconds of a run.
-        arrivals: Requests that have reached it.
-        passed: When each VM got an answer, with what it said.
+        address: Its registered address, empty if it is not in the store.
+        service: Name of its service.
+        born: Start time that identifies its incarnation.
+        says: Headers that it adds to all its responses.
+        rejects: Whether it rejects requests without running them.
+        runs: Whether rejections lack the header that states this.
+        work: Duration of a request in seconds.
+        slots: Number of requests that it runs at a time.
+        arrivals: Requests that have arrived.
+        passed: Time, VM and headers of each response received by a VM.
     """
 
     def __init__(self, name, service, orders, *, work=0.05, slots=4):
@@ -79,13 +90,13 @@
 
     @property
     def registration(self):
-        """How it registers itself."""
+        """Its registration, as decoded from the store."""
         return fakes.target(
             self.id, self.service, born=self.born, slots=self.slots
         )
 
     def record(self, *, leaving=False):
-        """Returns its registration as the store holds it."""
+        """Returns its registration as encoded in the store."""
         return msgspec.json.encode(
             {
                 "ServiceName": self.service,
@@ -98,7 +109,7 @@
         )
 
     async def handle(self, vm, path, key, sent):
-        """Answers a request; returns status and headers."""
+        """Handles a request; returns status and headers."""
         said = [(n.encode(), v.encode()) for n, v in self.says.items()]
         if path == "/health":
             return 200, said
@@ -144,28 +155,28 @@
         return reply
 
     async def _exchange(self, reply, path, key, sent):
-        await asyncio.sleep(_WAY)
+        await asyncio.sleep(_DELAY_SECONDS)
         status, said = await self._target.handle(self._vm, path, key, sent)
-        await asyncio.sleep(_WAY)
+        await asyncio.sleep(_DELAY_SECONDS)
         reply.status, reply.headers = status, said
         reply.complete = True
         self._target.passed.append((virtual.now(), self._vm, dict(said)))
 
     async def wait_whole(self, reply, most):
-        """Waits for the answer."""
+        """Waits for the response."""
         await self._answer
 
     def abort(self):
-        """Ends it."""
+        """Cancels the request."""
         if self._answer is not None:
             self._answer.cancel()
 
     def close(self):
-        """Ends it."""
+        """Closes the connection."""
 
 
 class _Pool:
-    """One VM's connections."""
+    """One VM's pool of connections to targets."""
 
     def __init__(self, fleet, vm):
         self._fleet = fleet
@@ -179,11 +190,11 @@
         return _Connection(self._fleet, self._vm, target)
 
     def give_back(self, connection, address):
-        """Takes a connection back."""
+        """Returns a connection to the pool."""
 
 
 class _Channel:
-    """One VM's way to its peers."""
+    """One VM's connections to its peers."""
 
     def __init__(self, fleet, here):
         self._fleet = fleet
@@ -194,19 +205,21 @@
         vm = self._fleet.reaches(self._here, address)
         if vm is not None:
             loop = asyncio.get_running_loop()
-            loop.call_later(_WAY, vm.admitting.receive, self._here, message)
+            loop.call_later(
+                _DELAY_SECONDS, vm.admitting.receive, self._here, message
+            )
 
     async def call(self, address, path, body, timeout, *, fresh=False):
-        """Makes a call."""
+        """Calls a peer; returns its response, None after a timeout."""
         link = self._fleet.link
         if link is None or not self._fleet.apart(self._here, address):
-            await asyncio.sleep(_WAY)
+            await asyncio.sleep(_DELAY_SECONDS)
             vm = self._fleet.reaches(self._here, address)
             if vm is None:
                 await asyncio.sleep(timeout)
                 return None
             answer = await vm.answer(path, body)
-            await asyncio.sleep(_WAY)
+            await asyncio.sleep(_DELAY_SECONDS)
             return answer
         ways = ("back", "there")
         if self._fleet.zone_of(self._here) != "z":
@@ -228,7 +241,7 @@
 
 
 class Vm:
-    """One VM."""
+    """One VM with all parts of its daemon."""
 
     def __init__(self, fleet, name):
         base = fakes.configured(settle=0.1, settle_most=0.2)
@@ -331,7 +344,7 @@
         self.peers.start()
 
     async def answer(self, path, body):
-        """Answers a peer's call."""
+        """Handles a peer's call; returns the response."""
         if path == messages.ASSIGN_PATH:
             self.peers.take_push(messages.decode(body, messages.ReportReply))
             return messages.encode(messages.Taken())
@@ -349,7 +362,7 @@
         return None
 
     def end(self):
-        """Ends it as a kill would."""
+        """Stops the daemon as a kill would."""
         self.leading.step_down("end")
         self.watching.stop()
         self.peers.abort()
@@ -359,17 +372,16 @@
     """VMs, targets and callers.
 
     Attributes:
-        vms: By name, which is their address as well.
-        targets: By identifier.
+        vms: VMs by name, which is also their address.
+        targets: Targets by identifier.
         cut: Pairs of VMs that do not reach each other.
-        statuses: How many answers callers got, by status.
-        refusals: Retry-After of all refusals.
-        watched: Whether VMs learn configuration and targets from the store;
-            they know the first ones from the start otherwise.
-        report_seconds: Time that an answer to a report from beyond the link
-            takes.
-        link: The link between zone `z`, where the store is, and all others;
-            None for one without a bound.
+        statuses: Number of responses to callers, by status.
+        refusals: Retry-After values of all responses that refused a request.
+        watched: Whether VMs read the configuration and the targets from the
+            store; otherwise these are set when a VM starts.
+        report_seconds: Processing time of a report that arrives over the link.
+        link: The link between zone `z`, where the store is, and all other
+            zones; None for one of unlimited bandwidth.
     """
 
     def __init__(
@@ -400,8 +412,8 @@
         for service, count in ((KEYED, keyed), (PLAIN, plain)):
             for number in range(count):
                 name = f"{service}{number}"
-                made = Target(name, service, self.orders, **target)
-                self.targets[name] = made
+                added = Target(name, service, self.orders, **target)
+                self.targets[name] = added
         self.configuration = _configuration()
         if watched:
             self.write_configuration(2)
@@ -421,7 +433,7 @@
         return self._zones[int(name.removeprefix("vm-")) % len(self._zones)]
 
     def apart(self, here, address):
-        """Whether a link lies between two VMs."""
+        """Whether the link is between two VMs."""
         return (self.zone_of(here) == "z") != (self.zone_of(address) == "z")
 
     def target_at(self, address):
@@ -432,12 +444,12 @@
         return None
 
     def write_configuration(self, version, extra=0):
-        """Has operators write a version; returns when.
+        """Writes a configuration as an operator would; returns when.
 
         Args:
-            version: The version.
-            extra: Number of routes besides those to the two services; all of
-                them are new with each version.
+            version: Version of the configuration.
+            extra: Number of routes in addition to those to the two services;
+                all of them are new in each version.
         """
         rules = [(name, name, f"/{name}/") for name in (KEYED, PLAIN)]
         rules += [
@@ -460,31 +472,31 @@
         return self.store.put("op/config", msgspec.json.encode(written))
 
     def leave(self, target):
-        """Has a target register that it leaves; returns when."""
+        """Registers a target as leaving; returns when."""
         return self.store.put(
             f"servers/{target.id}", target.record(leaving=True)
         )
 
     def reaches(self, here, address):
-        """Returns a VM if another one reaches it."""
+        """Returns the VM at an address, None if `here` does not reach it."""
         if (here, address) in self.cut or (address, here) in self.cut:
             return None
         return self.vms.get(address)
 
     def isolate(self, *names):
-        """Cuts VMs off from all others and from the store."""
+        """Partitions VMs from all other VMs and from the store."""
         for name in names:
             self.vms[name].store.failing = fakes.UNAVAILABLE
             self.cut.update((name, other) for other in self.vms)
 
     def rejoin(self, *names):
-        """Ends the isolation of VMs."""
+        """Ends the partition of VMs."""
         for name in names:
             self.vms[name].store.failing = None
             self.cut -= {(name, other) for other in self.vms}
 
     def take_target(self, registration):
-        """Has all VMs hear of a registration."""
+        """Applies a registration on all VMs."""
         for vm in self.vms.values():
             vm.beliefs.take_target(registration)
 
@@ -493,7 +505,7 @@
         return next(vm for vm in self.vms.values() if vm.leading.leading)
 
     def end(self):
-        """Ends all VMs."""
+        """Stops all VMs."""
         for vm in self.vms.values():
             vm.end()
 
@@ -518,25 +530,30 @@
         """Has callers send requests at random times.
 
         Args:
-            seconds: For how long.
-            rate: Requests a second.
-            path: `/k` for keys, `/p` for others.
+            seconds: Duration.
+            rate: Requests per second.
+            path: `/s` for the sharded service, `/p` for the other one.
             key: Draws a key; None for requests without one.
-            vms: Names of the VMs that get them; all if empty.
+            vms: Names of the VMs that receive requests; all if empty.
+
+        Returns:
+            The tasks of all requests.
         """
-        ends = virtual.now() + seconds
-        asked = []
-        while (wait := self.chance.expovariate(rate)) + virtual.now() < ends:
+        deadline = virtual.now() + seconds
+        tasks = []
+        while (
+            wait := self.chance.expovariate(rate)
+        ) + virtual.now() < deadline:
             await asyncio.sleep(wait)
             name = self.chance.choice(sorted(vms or self.vms))
             if name in self.vms:
                 drawn = key(self.chance) if key is not None else None
-                asked.append(asyncio.create_task(self.ask(name, path, drawn)))
-        await asyncio.sleep(max(ends - virtual.now(), 0.0))
-        return asked
+                tasks.append(asyncio.create_task(self.ask(name, path, drawn)))
+        await asyncio.sleep(max(deadline - virtual.now(), 0.0))
+        return tasks
 
     async def ask(self, name, path, key=None, deadline_ms=2000):
-        """Makes one request."""
+        """Sends one request to a VM; returns its response."""
         now = virtual.now()
         incoming = http_server.Incoming("GET", f"{path}/".encode(), now)
         incoming.headers = [
@@ -569,9 +586,9 @@
     }
 
 
-def any_key(chance):
-    """Draws any key."""
-    return chance.randrange(65536)
+def any_key(rng):
+    """Draws a uniformly distributed key."""
+    return rng.randrange(65536)
 
 
 def _configuration():
--- a/tests/gateway/test_granting.py
+++ b/tests/gateway/test_granting.py
@@ -133,7 +133,7 @@
             rig = Rig()
             await rig.wait_granted(0)
             await asyncio.sleep(0.3)
-            rig.orders._cut("a", 0, 9)
+            rig.orders._remove_keys("a", 0, 9)
             assert rig.orders.holders(5) == set()
             rig.granting.missed(5, "a")
             await asyncio.sleep(0.02)
--- a/tests/gateway/test_witnessing.py
+++ b/tests/gateway/test_witnessing.py
@@ -1,4 +1,4 @@
-"""Tests of leaders, their witnesses and successors under sequences of faults."""
+"""Tests of leaders, their witnesses and successors under faults."""
 
 import asyncio
 
