--- a/packages/mimosastile-gateway/src/mimosastile_gateway/granting.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/granting.py
@@ -241,10 +241,11 @@
             # If its keys were taken away, they would have no owner until its
             # grant has expired.
             detection_timeout = configured.give_up_alive
-        silence = now - owner.failing_since
+        unresponsive_seconds = now - owner.failing_since
         return (
             owner.failures >= 2
-            and silence > detection_timeout - configured.order_timeout
+            and unresponsive_seconds
+            > detection_timeout - configured.order_timeout
         )
 
     def needs_fence(self, holder: ranges.Holder) -> bool:
@@ -628,8 +629,10 @@
                     break
                 if response.err_value.kind is errors.ErrorKind.TARGET_REPLACED:
                     self._beliefs.end_target(holder.id, holder.born)
-                left = expires_at - self._clock.boot()
-                await asyncio.sleep(min(max(left, 0.0), _ORDER_RETRY_SECONDS))
+                remaining = expires_at - self._clock.boot()
+                await asyncio.sleep(
+                    min(max(remaining, 0.0), _ORDER_RETRY_SECONDS)
+                )
             else:
                 await asyncio.sleep(_ORDER_RETRY_SECONDS)
         self._events.write(
@@ -668,14 +671,14 @@
         former leader may have sent some. In that case the later incarnation
         has to confirm a release, or the grants have to expire.
         """
-        known = self._beliefs.directory
-        if known.has_left_address(holder.id, holder.born):
+        target_directory = self._beliefs.directory
+        if target_directory.has_left_address(holder.id, holder.born):
             return True
         if holder in self._uncertain_incarnations:
             return False
         if self._clock.boot() < self._former_grants_expire_at:
             return False
-        return known.has_started_again(holder.id, holder.born)
+        return target_directory.has_started_again(holder.id, holder.born)
 
     def _prune_expired(self) -> None:
         now = self._clock.boot()
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/leading.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/leading.py
@@ -1,4 +1,4 @@
-"""The leader role: elects, renews, and commits tables of key ranges."""
+"""The leader role: election, tables of key ranges and replies to reports."""
 
 import asyncio
 import collections
@@ -67,7 +67,7 @@
 
 
 class Leading:
-    """Runs leader election on this VM and, while it leads, the key ranges.
+    """Takes part in leader election and, while leading, assigns key ranges.
 
     Times are seconds of the boot clock, which also advances while the machine
     is suspended.
@@ -540,7 +540,7 @@
                 keyed.granting.missed(miss.key, miss.target)
         self._telling.take(report)
         self._demand.take(vm.id, report.under_way, report.waiting, now)
-        known = self._beliefs.directory
+        target_directory = self._beliefs.directory
         fresh_reports = self._telling.fresh()
         missing = self._telling.answer(report)
         return messages.ReportReply(
@@ -548,7 +548,7 @@
             leading=True,
             confirmed=self._clock.boot() - self._authority.confirmed,
             longer=self._extended_grants_seconds(),
-            under_way=self._demand.busy(vm.id, vm.zone, known),
+            under_way=self._demand.busy(vm.id, vm.zone, target_directory),
             gates=self._current_gates(fresh_reports, now),
             assignments=missing.assignments,
             differences=missing.differences,
@@ -564,9 +564,9 @@
             evacuations=self._beliefs.evacuations,
             limits=self._beliefs.limits.news(now),
             leaving=tuple(
-                run
-                for run in self._beliefs.leaving_news().values()
-                if run.age < _LEAVING_LISTED_SECONDS
+                target
+                for target in self._beliefs.leaving_news().values()
+                if target.age < _LEAVING_LISTED_SECONDS
             ),
             stamp=now,
             seen_age=self._beliefs.registrations_age,
@@ -668,10 +668,10 @@
     ) -> bool:
         """Whether this VM receives changes in the store, directly or not.
 
-        If it told all VMs to read the store themselves as soon as it is cut
+        If all VMs had to read the store themselves as soon as this one is cut
         off, a hundred of them would read everything at the same time, those in
-        other regions over one narrow link. Requests on that link would wait
-        for seconds, and so would the successor's calls.
+        other regions over one narrow link. Requests on that link would be
+        delayed by seconds, and so would the successor's calls.
         """
         since = self._store_failing_since
         if since is None or self._clock.boot() - since < _WATCHER_PROBE_SECONDS:
