--- a/packages/mimosastile-gateway/src/mimosastile_gateway/granting.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/granting.py
@@ -360,6 +360,7 @@
         return state
 
     def _update_owner_tasks(self) -> None:
+        """Starts and stops grant tasks to match the owners in the table."""
         states_by_owner = self._states_by_owner
         for holder in [h for h in self._owners if h not in states_by_owner]:
             owner = self._owners.pop(holder)
@@ -390,6 +391,7 @@
                 owner.wake.set()
 
     def _wake(self, holder: ranges.Holder) -> None:
+        """Interrupts the wait of a target's grant task."""
         owner = self._owners.get(holder)
         if owner is not None:
             owner.wake.set()
@@ -588,6 +590,7 @@
     # Releases.
 
     def _release_all(self, state: _PieceState) -> None:
+        """Starts the missing releases of a piece."""
         if self._stopped:
             return
         for former in state.item.formers:
@@ -681,6 +684,7 @@
         return target_directory.has_started_again(holder.id, holder.born)
 
     def _prune_expired(self) -> None:
+        """Drops expired exposures and targets no longer in the table."""
         now = self._clock.boot()
         self._exposures = {
             holder: unexpired
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/leading.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/leading.py
@@ -131,6 +131,18 @@
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
+        """Creates the role of a VM that does not lead.
+
+        Args:
+            configured: Settings of this VM.
+            boot: Identifier of this incarnation of the daemon.
+            store: The platform's store.
+            orders: Sends orders to targets.
+            calls: Client for calls to peers.
+            known: This VM's view of the cluster.
+            timer: The clock.
+            log: The event log.
+        """
         self._settings = configured
         self._boot = boot
         self._store = store
@@ -186,6 +198,7 @@
         self.longer_until = now + reply.longer
 
     def _new_authority(self) -> leadership.Authority:
+        """Returns a leader lease that permits no orders yet."""
         configured = self._settings.leader
         return leadership.Authority(configured.authority, configured.unextended)
 
@@ -228,6 +241,7 @@
             self._taking_over = False
 
     async def _take_over(self, why: str) -> bool:
+        """Writes the leader's entry, reads the tables and starts the term."""
         read = await self._store.read(messages.LEADER_KEY)
         if isinstance(read, result.Err):
             # If the leader is cut off from the store too, it asks another VM.
@@ -330,6 +344,14 @@
         items: Mapping[str, ports.Item],
         former: leadership.LeaderEntry | None,
     ) -> None:
+        """Initializes the state of a term and starts its tasks.
+
+        Args:
+            entry: This leader's entry.
+            revision: Store revision of the entry.
+            items: All items in the store, by key.
+            former: The former leader's entry, None if there was none.
+        """
         now = self._clock.boot()
         configured = self._settings.leader
         self._entry = entry
@@ -404,6 +426,7 @@
 
     @property
     def _spans_regions(self) -> bool:
+        """Whether the deployment's zones are in several regions."""
         return len(set(self._settings.vm.regions.values())) > 1
 
     def _unconfirmed_leaders(
@@ -422,6 +445,7 @@
         return tuple(sorted(unconfirmed - {self._settings.vm.id}))
 
     def _decode_table(self, item: ports.Item) -> ranges.RangeTable | None:
+        """Decodes a stored table; None if it is unreadable."""
         try:
             return messages.decode(item.value, ranges.RangeTable)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -431,6 +455,7 @@
             return None
 
     def _load_table(self, item: ports.Item) -> None:
+        """Applies a table that a former leader has stored."""
         table = self._decode_table(item)
         if table is None:
             return
@@ -445,6 +470,7 @@
     def _new_service(
         self, table: ranges.RangeTable, revision: int
     ) -> planning.Keyed:
+        """Returns the state of a sharded service with a given table."""
         configured = self._settings.leader
         now = self._clock.now()
         grants = granting.Granting(
@@ -717,6 +743,7 @@
     # Leadership in the store.
 
     async def _confirm_loop(self) -> None:
+        """Confirms the leader's entry and renews the witness record."""
         pause = self._settings.leader.confirm
         while True:
             failing = self._store_failing_since is not None
@@ -730,6 +757,7 @@
                 await self._witnesses.name(self._revision, clear_at)
 
     async def _confirm(self) -> None:
+        """Reads the leader's entry and extends the lease or steps down."""
         sent_at = self._clock.boot()
         extension_timer = asyncio.get_running_loop().call_later(
             self._settings.leader.extension_after, self._ask_witnesses
@@ -773,6 +801,7 @@
             )
 
     def _ask_witnesses(self) -> None:
+        """Requests an extension of the leader lease from the witnesses."""
         if self._witnesses is not None and self.leading:
             self._witnesses.ask()
 
@@ -797,6 +826,7 @@
     # Planning.
 
     async def _plan_loop(self) -> None:
+        """Plans the tables of all sharded services at regular intervals."""
         while True:
             await asyncio.sleep(self._settings.leader.plan)
             try:
@@ -806,6 +836,7 @@
                 self._events.write("leader", "plan_failed", why=repr(error))
 
     async def _plan(self) -> None:
+        """Plans the tables of all sharded services."""
         configuration = self._beliefs.configuration
         if configuration is None:
             return
@@ -814,6 +845,7 @@
                 await self._plan_service(service)
 
     async def _plan_service(self, service: routes.Service) -> None:
+        """Creates or changes the table of a service if required."""
         now = self._clock.now()
         targets = self._beliefs.able_owners(service)
         keyed = self._services.get(service.name)
@@ -827,6 +859,7 @@
     async def _first_table(
         self, service: str, targets: list[directory.Target], now: float
     ) -> None:
+        """Creates a service's first table once its targets have registered."""
         if not targets:
             return
         configured = self._settings.leader
@@ -921,6 +954,7 @@
     def _apply_committed(
         self, keyed: planning.Keyed, table: ranges.RangeTable, revision: int
     ) -> None:
+        """Applies a committed table and publishes its assignment."""
         first_new_fence = keyed.table.next_fence
         unchanged = {
             item.owner for item in table.ranges if item.fence < first_new_fence
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/witnessing.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/witnessing.py
@@ -344,6 +344,7 @@
 
 
 def _identity(vm: messages.VmEntry) -> extension.Witness:
+    """Returns a VM and its daemon's incarnation as a witness."""
     return extension.Witness(vm.id, vm.boot)
 
 
