--- a/tests/gateway/fleet.py
+++ b/tests/gateway/fleet.py
@@ -110,21 +110,25 @@
 
     async def handle(self, vm, path, key, sent):
         """Handles a request; returns status and headers."""
-        said = [(n.encode(), v.encode()) for n, v in self.says.items()]
+        response_headers = [
+            (n.encode(), v.encode()) for n, v in self.says.items()
+        ]
         if path == "/health":
-            return 200, said
+            return 200, response_headers
         now = virtual.now()
         self.arrivals.append(Arrival(now, vm, key, path, sent))
         keyed = self.service == KEYED and key is not None
         if keyed and self.id not in self._orders.holders(key):
-            return 421, [*said, (b"x-not-executed", b"1")]
+            return 421, [*response_headers, (b"x-not-executed", b"1")]
         if self.rejects:
             not_run = [(b"x-not-executed", b"1")] if not self.runs else []
-            return 503, [*said, *not_run, (b"x-server-seal", b"s")]
+            return 503, [*response_headers, *not_run, (b"x-server-seal", b"s")]
         async with self._running:
             await asyncio.sleep(self.work)
-        said = [(n.encode(), v.encode()) for n, v in self.says.items()]
-        return 200, [*said, (b"x-server-seal", b"s")]
+        response_headers = [
+            (n.encode(), v.encode()) for n, v in self.says.items()
+        ]
+        return 200, [*response_headers, (b"x-server-seal", b"s")]
 
 
 class _Connection:
@@ -134,17 +138,17 @@
         self._fleet = fleet
         self._vm = vm
         self._target = target
-        self._answer = None
+        self._response_task = None
         self.reusable = True
 
     def start(self, data, echo=None, *, no_body=False):
         """Sends a request."""
         reply = http_client.Reply(reused=False)
         first, *lines = data.partition(b"\r\n\r\n")[0].decode().split("\r\n")
-        named = dict(line.lower().split(": ", 1) for line in lines)
-        key = named.get("x-shard-key")
-        sent = float(named.get("x-sent", 0.0))
-        self._answer = asyncio.create_task(
+        request_headers = dict(line.lower().split(": ", 1) for line in lines)
+        key = request_headers.get("x-shard-key")
+        sent = float(request_headers.get("x-sent", 0.0))
+        self._response_task = asyncio.create_task(
             self._exchange(
                 reply,
                 first.split(" ")[1],
@@ -156,20 +160,24 @@
 
     async def _exchange(self, reply, path, key, sent):
         await asyncio.sleep(_DELAY_SECONDS)
-        status, said = await self._target.handle(self._vm, path, key, sent)
+        status, response_headers = await self._target.handle(
+            self._vm, path, key, sent
+        )
         await asyncio.sleep(_DELAY_SECONDS)
-        reply.status, reply.headers = status, said
+        reply.status, reply.headers = status, response_headers
         reply.complete = True
-        self._target.passed.append((virtual.now(), self._vm, dict(said)))
+        self._target.passed.append(
+            (virtual.now(), self._vm, dict(response_headers))
+        )
 
     async def wait_whole(self, reply, most):
         """Waits for the response."""
-        await self._answer
+        await self._response_task
 
     def abort(self):
         """Cancels the request."""
-        if self._answer is not None:
-            self._answer.cancel()
+        if self._response_task is not None:
+            self._response_task.cancel()
 
     def close(self):
         """Closes the connection."""
@@ -218,24 +226,24 @@
             if vm is None:
                 await asyncio.sleep(timeout)
                 return None
-            answer = await vm.answer(path, body)
+            response = await vm.answer(path, body)
             await asyncio.sleep(_DELAY_SECONDS)
-            return answer
-        ways = ("back", "there")
+            return response
+        directions = ("back", "there")
         if self._fleet.zone_of(self._here) != "z":
-            ways = ("there", "back")
+            directions = ("there", "back")
         try:
             async with asyncio.timeout(timeout):
-                await link.carry(len(body) + 250, path, ways[0])
+                await link.carry(len(body) + 250, path, directions[0])
                 vm = self._fleet.reaches(self._here, address)
                 while vm is None:
                     await asyncio.sleep(timeout)
-                answer = await vm.answer(path, body)
+                response = await vm.answer(path, body)
                 if path == messages.REPORT_PATH:
                     await asyncio.sleep(self._fleet.report_seconds)
-                size = len(answer or b"") + 150
-                await link.carry(size, f"{path} answered", ways[1])
-                return answer
+                size = len(response or b"") + 150
+                await link.carry(size, f"{path} answered", directions[1])
+                return response
         except TimeoutError:
             return None
 
