--- a/packages/mimosastile-gateway/src/mimosastile_gateway/granting.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/grant_reconciliation.py
@@ -12,12 +12,12 @@
 import result
 
 from mimosastile_core import errors
-from mimosastile_core.gateway import formers
+from mimosastile_core.gateway import former_leaders
 from mimosastile_core.gateway import leadership
 from mimosastile_core.gateway import ranges
-from mimosastile_core.gateway import reported
-from mimosastile_gateway import beliefs
+from mimosastile_core.gateway import target_feedback
 from mimosastile_gateway import clock
+from mimosastile_gateway import cluster_state
 from mimosastile_gateway import events
 from mimosastile_gateway import ports
 from mimosastile_gateway import settings
@@ -122,7 +122,7 @@
         self.task: asyncio.Task[None] | None = None
 
 
-class Granting:
+class GrantReconciler:
     """Sends grants and releases to the targets of one table.
 
     Times are seconds of the boot clock, which also advances while the machine
@@ -153,11 +153,11 @@
         self,
         configured: settings.GatewaySettings,
         orders: ports.OrderPort,
-        known: beliefs.Beliefs,
+        known: cluster_state.ClusterState,
         timer: clock.Clock,
         log: events.Events,
-        authority: leadership.Authority,
-        former: formers.FormerLeaders,
+        authority: leadership.LeaderLease,
+        former: former_leaders.FormerLeaders,
         alive_at: Mapping[str, float],
         on_change: Callable[[], None],
     ) -> None:
@@ -447,7 +447,7 @@
         )
 
     def _apply_feedback(
-        self, holder: ranges.Holder, notice: reported.Notice
+        self, holder: ranges.Holder, notice: target_feedback.TargetFeedback
     ) -> None:
         """Applies target feedback from the response to an order.
 
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/leading.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/leader_role.py
@@ -12,26 +12,26 @@
 
 from mimosastile_core import errors
 from mimosastile_core.gateway import assignments
-from mimosastile_core.gateway import casualties
+from mimosastile_core.gateway import crash_detection
 from mimosastile_core.gateway import demand
 from mimosastile_core.gateway import directory
-from mimosastile_core.gateway import extension
-from mimosastile_core.gateway import formers
-from mimosastile_core.gateway import heat
+from mimosastile_core.gateway import former_leaders
+from mimosastile_core.gateway import key_rates
 from mimosastile_core.gateway import leadership
+from mimosastile_core.gateway import lease_extension
 from mimosastile_core.gateway import ranges
 from mimosastile_core.gateway import routes
-from mimosastile_core.gateway import succession
-from mimosastile_gateway import beliefs
+from mimosastile_core.gateway import successors
 from mimosastile_gateway import clock
+from mimosastile_gateway import cluster_state
+from mimosastile_gateway import dissemination
 from mimosastile_gateway import events
-from mimosastile_gateway import granting
+from mimosastile_gateway import grant_reconciliation
 from mimosastile_gateway import messages
 from mimosastile_gateway import peer_calls
 from mimosastile_gateway import planning
 from mimosastile_gateway import ports
 from mimosastile_gateway import settings
-from mimosastile_gateway import telling
 from mimosastile_gateway import witnessing
 
 _T = TypeVar("_T")
@@ -66,7 +66,7 @@
 """Attempts of a new leader to read the tables before it gives up."""
 
 
-class Leading:
+class LeaderRole:
     """Takes part in leader election and, while leading, assigns key ranges.
 
     Times are seconds of the boot clock, which also advances while the machine
@@ -127,7 +127,7 @@
         store: ports.StorePort,
         orders: ports.OrderPort,
         calls: peer_calls.PeerCalls,
-        known: beliefs.Beliefs,
+        known: cluster_state.ClusterState,
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
@@ -150,8 +150,8 @@
         self._beliefs = known
         self._clock = timer
         self._events = log
-        self._casualties = casualties.Casualties()
-        self._telling = telling.Telling(
+        self._casualties = crash_detection.CrashDetector()
+        self._telling = dissemination.Disseminator(
             configured.vm.id, configured.vm.zone, calls, known, timer, log
         )
         self._last_alive_at: dict[str, float] = {}
@@ -167,20 +167,20 @@
         self._serial = 0
         self._publish_timer: asyncio.TimerHandle | None = None
         self._published_at = float("-inf")
-        self._demand = demand.Demand(telling.REPORT_FRESH)
+        self._demand = demand.Demand(dissemination.REPORT_FRESH)
         self._gates_selected_at = float("-inf")
         self._selected_gates: dict[str, str] = {}
         self._watchers_selected_at = float("-inf")
         self._selected_watchers: tuple[str, ...] = ()
         self._planner = self._new_planner()
-        self._services: dict[str, planning.Keyed] = {}
-        self._former_leaders = formers.FormerLeaders(0.0)
+        self._services: dict[str, planning.KeyedService] = {}
+        self._former_leaders = former_leaders.FormerLeaders(0.0)
         self.address = configured.vm.peers
         self.calm_until = float("-inf")
         self.longer_until = float("-inf")
         self._term_started_at = 0.0
         self._store_failing_since: float | None = None
-        self._succession = succession.Succession()
+        self._succession = successors.SuccessorSelection()
         self._tasks: list[asyncio.Task[Any]] = []
         self._taking_over = False
 
@@ -197,10 +197,12 @@
         # on the safe side.
         self.longer_until = now + reply.longer
 
-    def _new_authority(self) -> leadership.Authority:
+    def _new_authority(self) -> leadership.LeaderLease:
         """Returns a leader lease that permits no orders yet."""
         configured = self._settings.leader
-        return leadership.Authority(configured.authority, configured.unextended)
+        return leadership.LeaderLease(
+            configured.authority, configured.unextended
+        )
 
     @property
     def witness(self) -> witnessing.Witness:
@@ -358,14 +360,14 @@
         self._has_led = True
         self._revision = revision
         self._planner = self._new_planner()
-        self._demand = demand.Demand(telling.REPORT_FRESH)
+        self._demand = demand.Demand(dissemination.REPORT_FRESH)
         self._succession.clear()
         self._store_failing_since = None
         self._term_started_at = now
         record_item = items.get(messages.WITNESSES_KEY)
-        record = self._decode(record_item, extension.Record)
+        record = self._decode(record_item, lease_extension.Record)
         of_former = former and record and record.epoch == former.epoch
-        self._former_leaders = formers.FormerLeaders(
+        self._former_leaders = former_leaders.FormerLeaders(
             now + configured.authority if former else now,
             entry.unsure,
             self.calm_until,
@@ -374,7 +376,9 @@
             self.longer_until,
             record.witnesses if record and of_former else (),
             now + configured.unextended,
-            granting.LINK_QUEUE_SECONDS if self._spans_regions else 0.0,
+            grant_reconciliation.LINK_QUEUE_SECONDS
+            if self._spans_regions
+            else 0.0,
         )
         if not entry.unsure:
             # There was no former leader, or it was an earlier incarnation of
@@ -469,11 +473,11 @@
 
     def _new_service(
         self, table: ranges.RangeTable, revision: int
-    ) -> planning.Keyed:
+    ) -> planning.KeyedService:
         """Returns the state of a sharded service with a given table."""
         configured = self._settings.leader
         now = self._clock.now()
-        grants = granting.Granting(
+        grants = grant_reconciliation.GrantReconciler(
             self._settings,
             self._orders,
             self._beliefs,
@@ -484,12 +488,12 @@
             self._last_alive_at,
             self._schedule_publish,
         )
-        return planning.Keyed(
+        return planning.KeyedService(
             table,
             revision,
             grants,
-            heat.KeyHeat(configured.heat_fast, now),
-            heat.KeyHeat(configured.heat_slow, now),
+            key_rates.KeyRates(configured.heat_fast, now),
+            key_rates.KeyRates(configured.heat_slow, now),
         )
 
     def outranked_by(self, entry: leadership.LeaderEntry) -> None:
@@ -530,7 +534,7 @@
         # A VM that reports to this leader does not lead itself.
         self._former_leaders.follows(vm.id, boot, report.longer)
         if report.epoch >= self._entry.epoch:
-            witness = extension.Witness(vm.id, vm.boot)
+            witness = lease_extension.Witness(vm.id, vm.boot)
             self._former_leaders.testify(witness, report.promised, boot)
         if report.news is not None:
             self._beliefs.take_news(report.news)
@@ -882,7 +886,7 @@
     # Committing.
 
     async def _commit(
-        self, keyed: planning.Keyed, table: ranges.RangeTable
+        self, keyed: planning.KeyedService, table: ranges.RangeTable
     ) -> bool:
         """Writes a table to the store and applies it.
 
@@ -925,7 +929,7 @@
         return await self._resolve_commit(keyed, table)
 
     async def _resolve_commit(
-        self, keyed: planning.Keyed, table: ranges.RangeTable
+        self, keyed: planning.KeyedService, table: ranges.RangeTable
     ) -> bool:
         """Determines the outcome of a commit that got no response.
 
@@ -952,7 +956,10 @@
         return stored.commit == table.commit
 
     def _apply_committed(
-        self, keyed: planning.Keyed, table: ranges.RangeTable, revision: int
+        self,
+        keyed: planning.KeyedService,
+        table: ranges.RangeTable,
+        revision: int,
     ) -> None:
         """Applies a committed table and publishes its assignment."""
         first_new_fence = keyed.table.next_fence
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/planning.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/planning.py
@@ -10,16 +10,16 @@
 import math
 
 from mimosastile_core.gateway import directory
-from mimosastile_core.gateway import heat
+from mimosastile_core.gateway import key_rates
 from mimosastile_core.gateway import ranges
 from mimosastile_core.gateway import rebalance
-from mimosastile_gateway import beliefs
 from mimosastile_gateway import clock
+from mimosastile_gateway import cluster_state
+from mimosastile_gateway import dissemination
 from mimosastile_gateway import events
-from mimosastile_gateway import granting
+from mimosastile_gateway import grant_reconciliation
 from mimosastile_gateway import messages
 from mimosastile_gateway import settings
-from mimosastile_gateway import telling
 
 _BACKOFF_VMS = 2
 """Number of VMs that a target must have asked to back off before its keys move.
@@ -59,7 +59,7 @@
 """Bounds on the estimated slowness of a target, relative to the mean."""
 
 
-class Keyed:
+class KeyedService:
     """The leader's state for one sharded service.
 
     Attributes:
@@ -84,9 +84,9 @@
         self,
         table: ranges.RangeTable,
         revision: int,
-        grants: granting.Granting,
-        fast: heat.KeyHeat,
-        slow: heat.KeyHeat,
+        grants: grant_reconciliation.GrantReconciler,
+        fast: key_rates.KeyRates,
+        slow: key_rates.KeyRates,
     ) -> None:
         """Creates the state of a service for its first or stored table.
 
@@ -137,8 +137,8 @@
     def __init__(
         self,
         configured: settings.GatewaySettings,
-        reports: telling.Telling,
-        known: beliefs.Beliefs,
+        reports: dissemination.Disseminator,
+        known: cluster_state.ClusterState,
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
@@ -163,7 +163,7 @@
         self._merged_at = 0.0
 
     def next_table(
-        self, keyed: Keyed, targets: list[directory.Target], now: float
+        self, keyed: KeyedService, targets: list[directory.Target], now: float
     ) -> ranges.RangeTable | None:
         """Returns the next table, None if the current one need not change.
 
@@ -182,7 +182,7 @@
         return table
 
     def _refenced(
-        self, keyed: Keyed, targets: list[directory.Target]
+        self, keyed: KeyedService, targets: list[directory.Target]
     ) -> ranges.RangeTable | None:
         """Assigns new fences to restarted or unresponsive targets."""
         current = {target.id: holder(target) for target in targets}
@@ -205,7 +205,7 @@
         return ranges.refence(keyed.table, renewed, self._clock.new_id())
 
     def _moved(
-        self, keyed: Keyed, targets: list[directory.Target], now: float
+        self, keyed: KeyedService, targets: list[directory.Target], now: float
     ) -> ranges.RangeTable | None:
         """Moves keys off lost targets, or else to balance the load."""
         capacity = self._capacity(targets, now)
@@ -375,7 +375,7 @@
 
     def _lost(
         self,
-        keyed: Keyed,
+        keyed: KeyedService,
         capacity: Mapping[ranges.Holder, float],
         now: float,
     ) -> list[ranges.Holder]:
@@ -396,7 +396,9 @@
         gone = {o for o in owners if o not in capacity}
         return sorted(unresponsive | gone, key=lambda holder: holder.id)
 
-    def _without_released(self, keyed: Keyed) -> ranges.RangeTable | None:
+    def _without_released(
+        self, keyed: KeyedService
+    ) -> ranges.RangeTable | None:
         """Removes released former owners from the table."""
         now = self._clock.now()
         released = keyed.granting.settled()
@@ -408,7 +410,7 @@
         self._released_at = now
         return ranges.settle(keyed.table, released, self._clock.new_id())
 
-    def _merged(self, keyed: Keyed) -> ranges.RangeTable | None:
+    def _merged(self, keyed: KeyedService) -> ranges.RangeTable | None:
         """Merges adjacent ranges of the same owner."""
         now = self._clock.now()
         if now - self._merged_at < _MERGE_INTERVAL_SECONDS:
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/witnessing.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/witnessing.py
@@ -6,16 +6,16 @@
 import result
 
 from mimosastile_core import errors
-from mimosastile_core.gateway import extension
 from mimosastile_core.gateway import leadership
-from mimosastile_gateway import beliefs
+from mimosastile_core.gateway import lease_extension
 from mimosastile_gateway import clock
+from mimosastile_gateway import cluster_state
+from mimosastile_gateway import dissemination
 from mimosastile_gateway import events
 from mimosastile_gateway import messages
 from mimosastile_gateway import peer_calls
 from mimosastile_gateway import ports
 from mimosastile_gateway import settings
-from mimosastile_gateway import telling
 
 _RESPONSE_MARGIN_SECONDS = 0.2
 """Time allowed for a witness's response in addition to its read of the store;
@@ -46,7 +46,7 @@
         configured: settings.GatewaySettings,
         boot: str,
         store: ports.StorePort,
-        known: beliefs.Beliefs,
+        known: cluster_state.ClusterState,
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
@@ -66,12 +66,12 @@
         self._beliefs = known
         self._clock = timer
         self._events = log
-        self._promises = extension.Promises()
+        self._promises = lease_extension.Promises()
 
     @property
-    def identity(self) -> extension.Witness:
+    def identity(self) -> lease_extension.Witness:
         """This VM and its daemon's incarnation, as leaders name them."""
-        return extension.Witness(self._settings.vm.id, self._boot)
+        return lease_extension.Witness(self._settings.vm.id, self._boot)
 
     def promised(self) -> float | None:
         """Returns the seconds until the last promise ends, None without one.
@@ -151,10 +151,10 @@
         configured: settings.GatewaySettings,
         entry: leadership.LeaderEntry,
         revision: int,
-        authority: leadership.Authority,
+        authority: leadership.LeaderLease,
         store: ports.StorePort,
         calls: peer_calls.PeerCalls,
-        reports: telling.Telling,
+        reports: dissemination.Disseminator,
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
@@ -180,7 +180,7 @@
         self._telling = reports
         self._clock = timer
         self._events = log
-        self._record: extension.Record | None = None
+        self._record: lease_extension.Record | None = None
         self._named: tuple[messages.VmEntry, ...] = ()
         self._naming_tried_at = float("-inf")
         self._extension_task: asyncio.Task[None] | None = None
@@ -213,23 +213,25 @@
         candidates = self._candidates()
         present = {_identity(vm) for vm in candidates}
         record = self._record
-        if record and not extension.outdated(
+        if record and not lease_extension.outdated(
             record.witnesses, present, len(present)
         ):
             return
         self._naming_tried_at = now
-        chosen = extension.chosen((_identity(vm), vm.zone) for vm in candidates)
+        chosen = lease_extension.chosen(
+            (_identity(vm), vm.zone) for vm in candidates
+        )
         if not chosen:
             return
         await self._write(
-            extension.Record(self._entry.epoch, chosen),
+            lease_extension.Record(self._entry.epoch, chosen),
             candidates,
             leader_revision,
         )
 
     async def _write(
         self,
-        record: extension.Record,
+        record: lease_extension.Record,
         candidates: list[messages.VmEntry],
         leader_revision: int,
     ) -> None:
@@ -343,9 +345,9 @@
             return False
 
 
-def _identity(vm: messages.VmEntry) -> extension.Witness:
+def _identity(vm: messages.VmEntry) -> lease_extension.Witness:
     """Returns a VM and its daemon's incarnation as a witness."""
-    return extension.Witness(vm.id, vm.boot)
+    return lease_extension.Witness(vm.id, vm.boot)
 
 
 def _certainly_not_applied(
--- a/tests/gateway/test_granting.py
+++ b/tests/gateway/test_grant_reconciliation.py
@@ -5,10 +5,10 @@
 import msgspec
 import pytest
 
-from mimosastile_core.gateway import formers
+from mimosastile_core.gateway import former_leaders
 from mimosastile_core.gateway import leadership
 from mimosastile_core.gateway import ranges
-from mimosastile_gateway import granting
+from mimosastile_gateway import grant_reconciliation
 from mimosastile_standins import virtual
 from tests.gateway import fakes
 
@@ -19,7 +19,7 @@
 class Rig:
     """A leader's orders for one service with two targets."""
 
-    def __init__(self, former_leaders=None, zone="z"):
+    def __init__(self, former=None, zone="z"):
         self.clock = fakes.VirtualClock()
         self.log = fakes.Lines()
         self.orders = fakes.Orders()
@@ -30,16 +30,16 @@
             fakes.target("b"),
         )
         self.alive_at = {}
-        self.authority = leadership.Authority(1e9)
+        self.authority = leadership.LeaderLease(1e9)
         self.authority.confirm(0.0)
-        self.granting = granting.Granting(
+        self.granting = grant_reconciliation.GrantReconciler(
             fakes.configured(trouble_after=1e9),
             self.orders,
             self.beliefs,
             self.clock,
             self.log,
             self.authority,
-            former_leaders or formers.FormerLeaders(0.0),
+            former or former_leaders.FormerLeaders(0.0),
             self.alive_at,
             lambda: None,
         )
@@ -457,10 +457,10 @@
         The former leader may renew the target's grants until it notices that
         it was replaced. The last grant's duration starts only then.
         """
-        former_leaders = formers.FormerLeaders(10.0, ("vm-0",), calm, 2.0, 10.0)
+        former = former_leaders.FormerLeaders(10.0, ("vm-0",), calm, 2.0, 10.0)
         if stopped is not None:
-            former_leaders.stopped(stopped)
-        assert former_leaders.lapse() == pytest.approx(expected, abs=0.01)
+            former.stopped(stopped)
+        assert former.lapse() == pytest.approx(expected, abs=0.01)
 
     def test_new_leader_waits_for_the_former_one(self):
         """A new leader moves the keys of an unresponsive target.
@@ -470,7 +470,9 @@
         """
 
         async def main():
-            rig = Rig(formers.FormerLeaders(4.0, ("vm-0",), 0.0, 2.0, 10.0))
+            rig = Rig(
+                former_leaders.FormerLeaders(4.0, ("vm-0",), 0.0, 2.0, 10.0)
+            )
             rig.orders.dead.add("a")
             rig.move(0, HALF - 1, B)
             await rig.wait_granted(0)
