--- a/packages/mimosastile-gateway/src/mimosastile_gateway/daemon.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/daemon.py
@@ -444,7 +444,7 @@
             **{name: age for name, age in ages.items() if age is not None},
             "configuration_version": max(known.version, 0),
             "ready": self.ready,
-            "leading": self._leading.leading,
+            "leading": self._leading.is_leader,
             "store_reached": known.store_ok,
             "log_lines_dropped": self._events.dropped,
             "connections_opened": self._pool.opened,
@@ -478,7 +478,7 @@
     ) -> msgspec.Struct | None:
         if path == messages.REPORT_PATH:
             report = messages.decode(body, messages.Report)
-            return self._leading.take_report(report)
+            return self._leading.handle_report(report)
         if path == messages.ASSIGN_PATH:
             told = messages.decode(body, messages.ReportReply)
             self._peers.take_push(told)
@@ -490,7 +490,7 @@
         if path == messages.HEARD_PATH:
             return self._peers.heard()
         if path == messages.EXTEND_PATH:
-            return await self._leading.witness.answer(
+            return await self._leading.witness.handle_request(
                 messages.decode(body, messages.ExtensionRequest)
             )
         return None
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/grant_reconciliation.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/grant_reconciliation.py
@@ -130,14 +130,14 @@
     """
 
     __slots__ = (
-        "_authority",
-        "_beliefs",
         "_clock",
+        "_cluster_state",
         "_events",
         "_exposures",
         "_former_leaders",
         "_grant_permits",
         "_last_alive_at",
+        "_lease",
         "_on_change",
         "_orders",
         "_owners",
@@ -153,10 +153,10 @@
         self,
         configured: settings.GatewaySettings,
         orders: ports.OrderPort,
-        known: cluster_state.ClusterState,
+        cluster: cluster_state.ClusterState,
         timer: clock.Clock,
         log: events.Events,
-        authority: leadership.LeaderLease,
+        lease: leadership.LeaderLease,
         former: former_leaders.FormerLeaders,
         alive_at: Mapping[str, float],
         on_change: Callable[[], None],
@@ -166,10 +166,10 @@
         Args:
             configured: Settings of this VM.
             orders: Sends orders to targets.
-            known: This VM's view of the cluster.
+            cluster: This VM's view of the cluster.
             timer: The clock.
             log: The event log.
-            authority: The leader lease; orders are sent only within it.
+            lease: The leader lease; orders are sent only within it.
             former: Former leaders and the expiry of their grants.
             alive_at: Times at which targets last responded to callers, by
                 target.
@@ -177,10 +177,10 @@
         """
         self._settings = configured
         self._orders = orders
-        self._beliefs = known
+        self._cluster_state = cluster
         self._clock = timer
         self._events = log
-        self._authority = authority
+        self._lease = lease
         self._former_leaders = former
         self._last_alive_at = alive_at
         self._on_change = on_change
@@ -216,11 +216,11 @@
 
     # Queries of the leader.
 
-    def ready(self) -> set[ranges.Piece]:
+    def granted_pieces(self) -> set[ranges.Piece]:
         """Returns the pieces whose owners have acknowledged their grants."""
         return {p for p, state in self._states.items() if state.granted}
 
-    def settled(self) -> dict[ranges.Piece, tuple[int, ...]]:
+    def released_fences(self) -> dict[ranges.Piece, tuple[int, ...]]:
         """Returns the fences of released former owners, by piece."""
         return {
             piece: tuple(state.released)
@@ -228,7 +228,7 @@
             if state.released and state.item.formers
         }
 
-    def silent(self, holder: ranges.Holder) -> bool:
+    def is_unresponsive(self, holder: ranges.Holder) -> bool:
         """Whether a target has failed to acknowledge orders for too long."""
         owner = self._owners.get(holder)
         if owner is None or owner.failing_since is None:
@@ -266,7 +266,7 @@
         at = self._last_alive_at.get(holder.id, float("-inf"))
         return self._clock.boot() - at < _ALIVE_SECONDS
 
-    def missed(self, key: int, target: str) -> None:
+    def regrant(self, key: int, target: str) -> None:
         """Grants a range again after its owner rejected one of its keys."""
         if self._table is None:
             return
@@ -286,13 +286,13 @@
         """Returns the state of grants and releases for the state dump."""
         return {
             "pieces": len(self._states),
-            "ready": len(self.ready()),
-            "silent": [h.id for h in self._owners if self.silent(h)],
+            "ready": len(self.granted_pieces()),
+            "silent": [h.id for h in self._owners if self.is_unresponsive(h)],
         }
 
     # The table.
 
-    def follow(self, table: ranges.RangeTable) -> None:
+    def apply(self, table: ranges.RangeTable) -> None:
         """Replaces the table that is applied by a newer one."""
         previous = self._states
         # Sorted by key, as in the table that they were created from.
@@ -376,7 +376,7 @@
                 )
             owner.wake.set()
 
-    def refenced(self, holders: Iterable[ranges.Holder]) -> None:
+    def resume(self, holders: Iterable[ranges.Holder]) -> None:
         """Resumes grants to targets whose pieces have got new fences."""
         for holder in holders:
             owner = self._owners.get(holder)
@@ -420,17 +420,17 @@
                 self._settings.leader.order_timeout
                 + self._transit_delay(holder)
             )
-            if not self._authority.holds(now + max_delay):
+            if not self._lease.holds(now + max_delay):
                 self._events.write(
                     "grants",
                     "authority_ended",
                     target=holder.id,
-                    since=round(now - self._authority.ends, 2),
+                    since=round(now - self._lease.ends, 2),
                 )
                 await asyncio.sleep(_ORDER_RETRY_SECONDS)
                 continue
             async with self._grant_permits:
-                if not self._authority.holds(self._clock.boot() + max_delay):
+                if not self._lease.holds(self._clock.boot() + max_delay):
                     continue
                 await self._grant(holder, owner, state)
 
@@ -453,9 +453,9 @@
 
         A target that gets no requests from callers gives feedback only here.
         """
-        entry = self._beliefs.directory.get(holder.id)
+        entry = self._cluster_state.directory.get(holder.id)
         if entry is not None and entry.target.born == holder.born:
-            self._beliefs.hear_notice(entry.target, notice)
+            self._cluster_state.hear_notice(entry.target, notice)
 
     async def _grant(
         self, holder: ranges.Holder, owner: _OwnerStatus, state: _PieceState
@@ -466,7 +466,7 @@
         latest_arrival = (
             sent_at + configured.order_timeout + self._transit_delay(holder)
         )
-        grant_seconds = self._authority.hold_seconds(
+        grant_seconds = self._lease.hold_seconds(
             sent_at,
             latest_arrival,
             self._regular_grant_seconds,
@@ -481,7 +481,7 @@
         if grant_seconds > self._regular_grant_seconds:
             # Recorded before the order can arrive: a leader that is replaced
             # meanwhile reports how long its grants last.
-            self._authority.note_longer(
+            self._lease.note_longer(
                 leadership.lapsed_at(latest_arrival, grant_seconds)
             )
         self._exposures.setdefault(holder, []).append(exposure)
@@ -498,7 +498,7 @@
             exposure.until = leadership.lapsed_at(now, grant_seconds)
             exposure.until += self._transit_delay(holder)
             if grant_seconds > self._regular_grant_seconds:
-                self._authority.note_longer(exposure.until)
+                self._lease.note_longer(exposure.until)
         current = self._states.get(item.piece) is state
         if isinstance(response, result.Ok):
             exposure.until = leadership.lapsed_at(now, grant_seconds)
@@ -514,7 +514,7 @@
             owner.refused = owner.refused or current
         if failure.kind is errors.ErrorKind.TARGET_REPLACED:
             exposure.until = now
-            self._beliefs.end_target(holder.id, holder.born)
+            self._cluster_state.end_target(holder.id, holder.born)
         owner.failures += 1
         owner.failing_since = (
             sent_at if owner.failing_since is None else owner.failing_since
@@ -542,7 +542,7 @@
         from the arrival of the order, so without this allowance the target
         could still hold keys that another target has been granted.
         """
-        entry = self._beliefs.directory.get(holder.id)
+        entry = self._cluster_state.directory.get(holder.id)
         vm = self._settings.vm
         zone = entry.target.zone if entry else ""
         same_region = vm.regions.get(zone) == vm.region
@@ -618,7 +618,7 @@
                 how = "run ended"
             elif now >= expires_at:
                 how = "lapsed"
-            elif self._authority.holds(now):
+            elif self._lease.holds(now):
                 attempts += 1
                 timeout = min(
                     _RELEASE_TIMEOUT_SECONDS * attempts, expires_at - now
@@ -631,7 +631,7 @@
                     how = "released"
                     break
                 if response.err_value.kind is errors.ErrorKind.TARGET_REPLACED:
-                    self._beliefs.end_target(holder.id, holder.born)
+                    self._cluster_state.end_target(holder.id, holder.born)
                 remaining = expires_at - self._clock.boot()
                 await asyncio.sleep(
                     min(max(remaining, 0.0), _ORDER_RETRY_SECONDS)
@@ -674,7 +674,7 @@
         former leader may have sent some. In that case the later incarnation
         has to confirm a release, or the grants have to expire.
         """
-        target_directory = self._beliefs.directory
+        target_directory = self._cluster_state.directory
         if target_directory.has_left_address(holder.id, holder.born):
             return True
         if holder in self._uncertain_incarnations:
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/leader_role.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/leader_role.py
@@ -57,7 +57,7 @@
 _LEAVING_LISTED_SECONDS = 5.0
 """Seconds for which replies list a target that has announced that it leaves.
 Each VM reports several times within this time."""
-ANSWER_SECONDS = 0.4
+MAX_REPLY_DELAY_SECONDS = 0.4
 """Maximum delay of a reply to a report."""
 _RESIGN_AFTER_SECONDS = 0.8
 """Seconds without the store after which the leader asks a VM that reaches it to
@@ -74,27 +74,28 @@
 
     Attributes:
         address: Host and port at which peers reach this VM.
-        longer_until: Time at which all extended grants of the current leader
-            and of the leaders before it have expired, as last reported by the
-            current leader.
-        calm_until: Time until which the current leader certainly gives no
-            extended grants, as last reported by it.
+        extended_grants_until: Time at which all extended grants of the current
+            leader and of the leaders before it have expired, as last reported
+            by the current leader.
+        regular_grants_until: Time until which the current leader certainly
+            gives no extended grants, as last reported by it.
     """
 
     __slots__ = (
-        "_authority",
-        "_beliefs",
         "_boot",
         "_calls",
-        "_casualties",
         "_clock",
+        "_cluster_state",
+        "_crash_detector",
         "_demand",
+        "_disseminator",
         "_entry",
         "_events",
         "_former_leaders",
         "_gates_selected_at",
         "_has_led",
         "_last_alive_at",
+        "_lease",
         "_orders",
         "_planner",
         "_publish_timer",
@@ -107,17 +108,16 @@
         "_settings",
         "_store",
         "_store_failing_since",
-        "_succession",
+        "_successor_selection",
         "_taking_over",
         "_tasks",
-        "_telling",
         "_term_started_at",
         "_watchers_selected_at",
         "_witness",
         "_witnesses",
         "address",
-        "calm_until",
-        "longer_until",
+        "extended_grants_until",
+        "regular_grants_until",
     )
 
     def __init__(
@@ -127,7 +127,7 @@
         store: ports.StorePort,
         orders: ports.OrderPort,
         calls: peer_calls.PeerCalls,
-        known: cluster_state.ClusterState,
+        cluster: cluster_state.ClusterState,
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
@@ -139,7 +139,7 @@
             store: The platform's store.
             orders: Sends orders to targets.
             calls: Client for calls to peers.
-            known: This VM's view of the cluster.
+            cluster: This VM's view of the cluster.
             timer: The clock.
             log: The event log.
         """
@@ -147,20 +147,20 @@
         self._boot = boot
         self._store = store
         self._orders = orders
-        self._beliefs = known
+        self._cluster_state = cluster
         self._clock = timer
         self._events = log
-        self._casualties = crash_detection.CrashDetector()
-        self._telling = dissemination.Disseminator(
-            configured.vm.id, configured.vm.zone, calls, known, timer, log
+        self._crash_detector = crash_detection.CrashDetector()
+        self._disseminator = dissemination.Disseminator(
+            configured.vm.id, configured.vm.zone, calls, cluster, timer, log
         )
         self._last_alive_at: dict[str, float] = {}
         self._calls = calls
         self._witness = witnessing.Witness(
-            configured, boot, store, known, timer, log
+            configured, boot, store, cluster, timer, log
         )
         self._witnesses: witnessing.Witnesses | None = None
-        self._authority = self._new_authority()
+        self._lease = self._new_lease()
         self._entry: leadership.LeaderEntry | None = None
         self._has_led = False
         self._revision = 0
@@ -176,28 +176,28 @@
         self._services: dict[str, planning.KeyedService] = {}
         self._former_leaders = former_leaders.FormerLeaders(0.0)
         self.address = configured.vm.peers
-        self.calm_until = float("-inf")
-        self.longer_until = float("-inf")
+        self.regular_grants_until = float("-inf")
+        self.extended_grants_until = float("-inf")
         self._term_started_at = 0.0
         self._store_failing_since: float | None = None
-        self._succession = successors.SuccessorSelection()
+        self._successor_selection = successors.SuccessorSelection()
         self._tasks: list[asyncio.Task[Any]] = []
         self._taking_over = False
 
-    def hear(self, reply: messages.ReportReply) -> None:
+    def handle_reply(self, reply: messages.ReportReply) -> None:
         """Records how long the leader's grants last, from its reply."""
         now = self._clock.boot()
-        self.calm_until = (
+        self.regular_grants_until = (
             now
             + self._settings.leader.trouble_after
             - reply.confirmed
-            - ANSWER_SECONDS
+            - MAX_REPLY_DELAY_SECONDS
         )
         # The time of arrival is later than the time of sending, so this errs
         # on the safe side.
-        self.longer_until = now + reply.longer
+        self.extended_grants_until = now + reply.longer
 
-    def _new_authority(self) -> leadership.LeaderLease:
+    def _new_lease(self) -> leadership.LeaderLease:
         """Returns a leader lease that permits no orders yet."""
         configured = self._settings.leader
         return leadership.LeaderLease(
@@ -212,14 +212,14 @@
     def _new_planner(self) -> planning.Planner:
         return planning.Planner(
             self._settings,
-            self._telling,
-            self._beliefs,
+            self._disseminator,
+            self._cluster_state,
             self._clock,
             self._events,
         )
 
     @property
-    def leading(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this VM leads and has not observed a successor."""
         return self._entry is not None
 
@@ -234,8 +234,8 @@
         Returns:
             Whether this VM leads now.
         """
-        if self._taking_over or self.leading:
-            return self.leading
+        if self._taking_over or self.is_leader:
+            return self.is_leader
         self._taking_over = True
         try:
             return await self._take_over(why)
@@ -247,14 +247,14 @@
         read = await self._store.read(messages.LEADER_KEY)
         if isinstance(read, result.Err):
             # If the leader is cut off from the store too, it asks another VM.
-            self._beliefs.note_store(ok=False, why=read.err_value.detail)
+            self._cluster_state.note_store(ok=False, why=read.err_value.detail)
             return False
         stored_item = read.ok_value
         stored = self._decode(stored_item, leadership.LeaderEntry)
-        cached = self._beliefs.leader
+        cached = self._cluster_state.leader
         if stored and cached and stored.epoch > cached.epoch:
             # Another VM took over first.
-            self._beliefs.take_leader(stored)
+            self._cluster_state.take_leader(stored)
             return False
         epoch = max(
             stored.epoch if stored else 0, cached.epoch if cached else 0
@@ -277,8 +277,8 @@
         items = await self._read_all()
         if items is None or items[messages.LEADER_KEY].revision != revision:
             return False
-        self._authority = self._new_authority()
-        self._authority.confirm(sent_at)
+        self._lease = self._new_lease()
+        self._lease.confirm(sent_at)
         self._start_term(entry, revision, items, stored)
         self._events.write(
             "leader",
@@ -361,7 +361,7 @@
         self._revision = revision
         self._planner = self._new_planner()
         self._demand = demand.Demand(dissemination.REPORT_FRESH)
-        self._succession.clear()
+        self._successor_selection.clear()
         self._store_failing_since = None
         self._term_started_at = now
         record_item = items.get(messages.WITNESSES_KEY)
@@ -370,10 +370,10 @@
         self._former_leaders = former_leaders.FormerLeaders(
             now + configured.authority if former else now,
             entry.unsure,
-            self.calm_until,
+            self.regular_grants_until,
             configured.hold,
             self._settings.bounds.hold_most,
-            self.longer_until,
+            self.extended_grants_until,
             record.witnesses if record and of_former else (),
             now + configured.unextended,
             grant_reconciliation.LINK_QUEUE_SECONDS
@@ -385,29 +385,29 @@
             # this daemon, whose extended grants may not have expired.
             self._former_leaders.stopped(now)
         self._former_leaders.testify(
-            self._witness.identity, self._witness.promised(), now
+            self._witness.identity, self._witness.promised_seconds(), now
         )
         self._witnesses = witnessing.Witnesses(
             self._settings,
             entry,
             record_item.revision if record_item else 0,
-            self._authority,
+            self._lease,
             self._store,
             self._calls,
-            self._telling,
+            self._disseminator,
             self._clock,
             self._events,
         )
         for key, item in items.items():
             if key.startswith(messages.TABLE_PREFIX):
                 self._load_table(item)
-        self._beliefs.take_leader(entry)
+        self._cluster_state.take_leader(entry)
         self._tasks = [
             asyncio.create_task(self._plan_loop(), name="plan"),
             asyncio.create_task(self._confirm_loop(), name="confirm"),
             asyncio.create_task(self._announce(), name="announce"),
         ]
-        self._telling.begin(entry)
+        self._disseminator.begin(entry)
         self._schedule_publish()
 
     async def _announce(self) -> None:
@@ -420,11 +420,11 @@
             await asyncio.sleep(pause)
             listed = await self._store.list(messages.VM_PREFIX, stale=True)
             if isinstance(listed, result.Ok):
-                self._beliefs.take_vms(listed.ok_value.items)
-                fresh = self._telling.fresh()
-                self._telling.announce(
+                self._cluster_state.take_vms(listed.ok_value.items)
+                fresh = self._disseminator.fresh()
+                self._disseminator.announce(
                     vm
-                    for vm in self._beliefs.vms.values()
+                    for vm in self._cluster_state.vms.values()
                     if vm.id not in fresh
                 )
 
@@ -440,9 +440,9 @@
         if former is None:
             return ()
         unconfirmed = set(former.unsure)
-        led_seconds = self._clock.boot() - self._beliefs.leader_since
+        led_seconds = self._clock.boot() - self._cluster_state.leader_since
         lease_seconds = self._settings.leader.authority
-        if self._beliefs.leader == former and led_seconds > lease_seconds:
+        if self._cluster_state.leader == former and led_seconds > lease_seconds:
             # The leaders before the former one have had to stop since.
             unconfirmed = set()
         unconfirmed.add(former.vm)
@@ -466,10 +466,10 @@
         keyed = self._new_service(table, item.revision)
         self._services[table.service] = keyed
         for owner in table.holders():
-            self._beliefs.directory.learn_run(
+            self._cluster_state.directory.learn_run(
                 owner.id, owner.born, owner.address, self._clock.now()
             )
-        keyed.granting.follow(table)
+        keyed.reconciler.apply(table)
 
     def _new_service(
         self, table: ranges.RangeTable, revision: int
@@ -480,10 +480,10 @@
         grants = grant_reconciliation.GrantReconciler(
             self._settings,
             self._orders,
-            self._beliefs,
+            self._cluster_state,
             self._clock,
             self._events,
-            self._authority,
+            self._lease,
             self._former_leaders,
             self._last_alive_at,
             self._schedule_publish,
@@ -496,7 +496,7 @@
             key_rates.KeyRates(configured.heat_slow, now),
         )
 
-    def outranked_by(self, entry: leadership.LeaderEntry) -> None:
+    def step_down_if_outranked(self, entry: leadership.LeaderEntry) -> None:
         """Steps down if the entry has a later epoch than this leader's."""
         own = self._entry
         if own is not None and entry.epoch > own.epoch:
@@ -509,23 +509,23 @@
             return
         for task in self._tasks:
             task.cancel()
-        self._telling.stop()
+        self._disseminator.stop()
         if self._witnesses is not None:
             self._witnesses.stop()
         for keyed in self._services.values():
-            keyed.granting.stop()
+            keyed.reconciler.stop()
         self._services = {}
         self._events.write("leader", "stepped_down", epoch=entry.epoch, why=why)
 
     # Reports of VMs.
 
-    def take_report(self, report: messages.Report) -> messages.ReportReply:
+    def handle_report(self, report: messages.Report) -> messages.ReportReply:
         """Processes a VM's report and returns the updates for that VM.
 
         If this VM does not lead, the reply only names the leader that it has
         recorded.
         """
-        cached_leader = self._beliefs.leader
+        cached_leader = self._cluster_state.leader
         if self._entry is None:
             return messages.ReportReply(cached_leader, leading=False)
         now = self._clock.now()
@@ -537,70 +537,70 @@
             witness = lease_extension.Witness(vm.id, vm.boot)
             self._former_leaders.testify(witness, report.promised, boot)
         if report.news is not None:
-            self._beliefs.take_news(report.news)
-        self._beliefs.confirm_configuration(
+            self._cluster_state.take_news(report.news)
+        self._cluster_state.confirm_configuration(
             report.configuration,
             report.configuration_seen,
             report.evacuations.zones,
         )
-        self._beliefs.note_views(
+        self._cluster_state.note_views(
             report.seen,
             report.seen_at,
             report.configuration,
             report.evacuations,
             report.configuration_at,
         )
-        self._beliefs.learn_limits(report.limits)
-        self._beliefs.learn_leaving(report.leaving)
-        self._planner.learn(report)
+        self._cluster_state.learn_limits(report.limits)
+        self._cluster_state.learn_leaving(report.leaving)
+        self._planner.record_report(report)
         for service, keys in report.keys.items():
             keyed = self._services.get(service)
             if keyed is not None:
-                keyed.fast.add(keys, now)
-                keyed.slow.add(keys, now)
+                keyed.fast_rates.add(keys, now)
+                keyed.slow_rates.add(keys, now)
         received_at = self._clock.boot()
         self._last_alive_at.update(dict.fromkeys(report.alive, received_at))
         for death in report.deaths:
-            self._casualties.learn(death, now)
+            self._crash_detector.learn(death, now)
         for ended in report.ended:
-            self._beliefs.end_target(ended.target, ended.born)
+            self._cluster_state.end_target(ended.target, ended.born)
         for miss in report.misses:
             keyed = self._services.get(miss.service)
             if keyed is not None:
-                keyed.granting.missed(miss.key, miss.target)
-        self._telling.take(report)
+                keyed.reconciler.regrant(miss.key, miss.target)
+        self._disseminator.take(report)
         self._demand.take(vm.id, report.under_way, report.waiting, now)
-        target_directory = self._beliefs.directory
-        fresh_reports = self._telling.fresh()
-        missing = self._telling.answer(report)
+        target_directory = self._cluster_state.directory
+        fresh_reports = self._disseminator.fresh()
+        missing = self._disseminator.answer(report)
         return messages.ReportReply(
             self._entry,
             leading=True,
-            confirmed=self._clock.boot() - self._authority.confirmed,
+            confirmed=self._clock.boot() - self._lease.confirmed,
             longer=self._extended_grants_seconds(),
             under_way=self._demand.busy(vm.id, vm.zone, target_directory),
             gates=self._current_gates(fresh_reports, now),
             assignments=missing.assignments,
             differences=missing.differences,
             news=missing.news,
-            seen=self._beliefs.seen,
-            configuration=self._beliefs.version,
-            configuration_seen=self._beliefs.configuration_seen,
+            seen=self._cluster_state.seen,
+            configuration=self._cluster_state.version,
+            configuration_seen=self._cluster_state.configuration_seen,
             store=self._receives_store_changes(fresh_reports),
-            deaths=self._casualties.deaths(now),
+            deaths=self._crash_detector.deaths(now),
             watchers=self._current_watchers(fresh_reports),
             vms=len(fresh_reports),
-            take_over=vm.id in self._succession.asked,
-            evacuations=self._beliefs.evacuations,
-            limits=self._beliefs.limits.news(now),
+            take_over=vm.id in self._successor_selection.asked,
+            evacuations=self._cluster_state.evacuations,
+            limits=self._cluster_state.limits.news(now),
             leaving=tuple(
                 target
-                for target in self._beliefs.leaving_news().values()
+                for target in self._cluster_state.leaving_news().values()
                 if target.age < _LEAVING_LISTED_SECONDS
             ),
             stamp=now,
-            seen_age=self._beliefs.registrations_age,
-            configuration_age=self._beliefs.configuration_age,
+            seen_age=self._cluster_state.registrations_age,
+            configuration_age=self._cluster_state.configuration_age,
         )
 
     def _current_gates(
@@ -614,7 +614,7 @@
         if now - self._gates_selected_at > _SELECTION_INTERVAL_SECONDS:
             self._gates_selected_at = now
             previous = self._selected_gates
-            limited = self._beliefs.limited_targets()
+            limited = self._cluster_state.limited_targets()
             chosen = self._demand.gates(
                 (
                     (report.vm.address, report.vm.zone)
@@ -623,8 +623,8 @@
                 ),
                 self._settings.vm.regions,
                 self._services,
-                self._beliefs.directory,
-                [*self._beliefs.cold_targets(), *limited],
+                self._cluster_state.directory,
+                [*self._cluster_state.cold_targets(), *limited],
             )
             if self._clock.boot() < self._former_leaders.stopped_by:
                 # A former leader may still name another VM as the sender, and
@@ -635,9 +635,9 @@
             new = self._selected_gates.keys() - previous.keys()
             if new:
                 # A VM sends to the saturated target until it is notified.
-                self._telling.spread(
+                self._disseminator.spread(
                     {name: self._selected_gates[name] for name in new},
-                    self._beliefs.limits.news(now),
+                    self._cluster_state.limits.news(now),
                 )
         return self._selected_gates
 
@@ -649,7 +649,7 @@
             max((t.hold for t in tables), default=0.0)
         )
 
-    def longer_grants(self) -> float | None:
+    def extended_grants_seconds(self) -> float | None:
         """Returns the seconds until extended grants have expired.
 
         None if this VM has not led since its daemon started.
@@ -658,7 +658,7 @@
 
     def _extended_grants_seconds(self) -> float:
         """Seconds until own and former leaders' extended grants expire."""
-        until = max(self._authority.longer_until, self._former_grants_expire_at)
+        until = max(self._lease.longer_until, self._former_grants_expire_at)
         return max(until - self._clock.boot(), 0.0)
 
     def _current_watchers(
@@ -736,11 +736,11 @@
         self._published_at = self._clock.now()
         self._serial += 1
         for keyed in self._services.values():
-            self._telling.publish(
+            self._disseminator.publish(
                 assignments.of_table(
                     keyed.table,
                     (entry.epoch, self._serial),
-                    keyed.granting.ready(),
+                    keyed.reconciler.granted_pieces(),
                 )
             )
 
@@ -756,15 +756,15 @@
             reached = self._store_failing_since is None
             if self._witnesses is not None and reached:
                 clear_at = max(
-                    self._former_grants_expire_at, self._authority.longer_until
+                    self._former_grants_expire_at, self._lease.longer_until
                 )
-                await self._witnesses.name(self._revision, clear_at)
+                await self._witnesses.update_record(self._revision, clear_at)
 
     async def _confirm(self) -> None:
         """Reads the leader's entry and extends the lease or steps down."""
         sent_at = self._clock.boot()
         extension_timer = asyncio.get_running_loop().call_later(
-            self._settings.leader.extension_after, self._ask_witnesses
+            self._settings.leader.extension_after, self._request_extension
         )
         try:
             read = await self._store.read(messages.LEADER_KEY)
@@ -773,26 +773,26 @@
         if isinstance(read, result.Err):
             self._store_failed(read.err_value, sent_at)
             return
-        self._beliefs.note_store(ok=True)
+        self._cluster_state.note_store(ok=True)
         self._store_failing_since = None
-        self._succession.clear()
-        self._authority.replaceable = False
+        self._successor_selection.clear()
+        self._lease.replaceable = False
         entry = self._decode(read.ok_value, leadership.LeaderEntry)
         if entry is None or entry != self._entry:
             if entry is not None:
-                self._beliefs.take_leader(entry)
+                self._cluster_state.take_leader(entry)
             self.step_down("the store names another leader")
             return
-        self._authority.confirm(sent_at)
+        self._lease.confirm(sent_at)
 
     def _store_failed(self, failure: errors.Failure, sent_at: float) -> None:
         """Handles the failure of a store call that was sent at `sent_at`."""
         now = self._clock.boot()
-        self._beliefs.note_store(ok=False, why=failure.detail)
+        self._cluster_state.note_store(ok=False, why=failure.detail)
         if self._store_failing_since is None:
             self._store_failing_since = sent_at
-        self._ask_witnesses()
-        self._authority.replaceable = bool(self._successor_candidates())
+        self._request_extension()
+        self._lease.replaceable = bool(self._successor_candidates())
         if now - self._store_failing_since < _RESIGN_AFTER_SECONDS:
             return
         successors = self._request_successors()
@@ -804,25 +804,27 @@
                 store_silent=round(now - self._store_failing_since, 2),
             )
 
-    def _ask_witnesses(self) -> None:
+    def _request_extension(self) -> None:
         """Requests an extension of the leader lease from the witnesses."""
-        if self._witnesses is not None and self.leading:
-            self._witnesses.ask()
+        if self._witnesses is not None and self.is_leader:
+            self._witnesses.request_extension()
 
     def _request_successors(self) -> tuple[str, ...]:
         """Asks VMs that reach the store to lead; returns those just asked."""
         candidates = self._successor_candidates()
-        asked = self._succession.next(
+        asked = self._successor_selection.next(
             [vm.id for vm in candidates], self._clock.boot()
         )
-        self._telling.ask_to_lead(vm for vm in candidates if vm.id in asked)
+        self._disseminator.ask_to_lead(
+            vm for vm in candidates if vm.id in asked
+        )
         return asked
 
     def _successor_candidates(self) -> list[messages.VmEntry]:
         """Returns other VMs that report a reachable store, best first."""
         candidates = [
             report.vm
-            for report in self._telling.fresh().values()
+            for report in self._disseminator.fresh().values()
             if report.store and report.vm.id != self._settings.vm.id
         ]
         return sorted(candidates, key=lambda vm: (vm.order, vm.id))
@@ -841,7 +843,7 @@
 
     async def _plan(self) -> None:
         """Plans the tables of all sharded services."""
-        configuration = self._beliefs.configuration
+        configuration = self._cluster_state.configuration
         if configuration is None:
             return
         for service in configuration.services.values():
@@ -851,7 +853,7 @@
     async def _plan_service(self, service: routes.Service) -> None:
         """Creates or changes the table of a service if required."""
         now = self._clock.now()
-        targets = self._beliefs.able_owners(service)
+        targets = self._cluster_state.able_owners(service)
         keyed = self._services.get(service.name)
         if keyed is None:
             await self._first_table(service.name, targets, now)
@@ -869,7 +871,7 @@
         configured = self._settings.leader
         last_added_at = max(
             entry.since
-            for entry in self._beliefs.directory
+            for entry in self._cluster_state.directory
             if entry.target.service == service
         )
         waited = self._clock.boot() - self._term_started_at
@@ -902,7 +904,7 @@
                 "leader", "table_refused", service=table.service, why=problem
             )
             return False
-        released = keyed.granting.settled()
+        released = keyed.reconciler.released_fences()
         if released:
             table = _without_released(table, released)
         pace = self._settings.leader.pace(len(table.ranges))
@@ -919,7 +921,7 @@
         if self._entry is not entry:
             return False
         if isinstance(written, result.Ok):
-            self._authority.confirm(sent_at)
+            self._lease.confirm(sent_at)
             self._apply_committed(keyed, table, written.ok_value)
             return True
         if isinstance(written.err_value, errors.Failure):
@@ -970,8 +972,8 @@
         keyed.table = table
         keyed.revision = revision
         self._services[table.service] = keyed
-        keyed.granting.follow(table)
-        keyed.granting.refenced(renewed)
+        keyed.reconciler.apply(table)
+        keyed.reconciler.resume(renewed)
         self._schedule_publish()
 
     async def hand_over(self, seconds: float) -> None:
@@ -987,20 +989,20 @@
             return
         self._events.write("leader", "hands_over", successors=successors)
         deadline = self._clock.now() + seconds
-        while self.leading and self._clock.now() < deadline:
+        while self.is_leader and self._clock.now() < deadline:
             await asyncio.sleep(0.05)
 
     def dump(self) -> dict[str, object]:
         """Returns the leader state for the state dump."""
         return {
-            "leading": self.leading,
+            "leading": self.is_leader,
             "epoch": self._entry.epoch if self._entry else None,
             "witnesses": self._witnesses.dump() if self._witnesses else [],
             "tables": {
                 name: {
                     "version": keyed.table.version,
                     "ranges": len(keyed.table.ranges),
-                    "grants": keyed.granting.dump(),
+                    "grants": keyed.reconciler.dump(),
                 }
                 for name, keyed in self._services.items()
             },
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
@@ -30,7 +30,7 @@
 
 _SESSION_SHARE = 0.3
 """Part of a lease after which it is renewed: two more tries fit in."""
-_CALL_SECONDS = leader_role.ANSWER_SECONDS
+_CALL_SECONDS = leader_role.MAX_REPLY_DELAY_SECONDS
 """Longest wait for a peer: the way to the far region and back, sixteen times,
 or one lost packet that is sent again."""
 _RELAY_SECONDS = 0.3
@@ -281,7 +281,7 @@
     def heard(self) -> messages.LeaderContact:
         """Returns what this VM knows of the leader."""
         seconds = self._clock.now() - self._heard_at
-        if self._leader.leading:
+        if self._leader.is_leader:
             seconds = 0.0
         return messages.LeaderContact(
             self._beliefs.leader,
@@ -430,7 +430,7 @@
     def _take_leader(self, entry: leadership.LeaderEntry) -> None:
         if self._beliefs.take_leader(entry):
             self._heard_at = self._clock.now()
-            self._leader.outranked_by(entry)
+            self._leader.step_down_if_outranked(entry)
             self._report_due.set()
 
     # Reports.
@@ -453,8 +453,8 @@
     async def _report_once(self) -> None:
         self._reported_at = self._clock.now()
         report = self._make_report()
-        if self._leader.leading:
-            reply = self._leader.take_report(report)
+        if self._leader.is_leader:
+            reply = self._leader.handle_report(report)
             self._take_reply(reply)
             return
         leader = self._beliefs.leader
@@ -520,9 +520,9 @@
             self._beliefs.configuration_seen,
             self._own_news(),
             self._admitting.stopping,
-            self._leader.longer_grants(),
+            self._leader.extended_grants_seconds(),
             leader.epoch if leader else -1,
-            self._leader.witness.promised(),
+            self._leader.witness.promised_seconds(),
             self._beliefs.evacuations,
             self._beliefs.limits.unknown_to_leader(self._clock.now()),
             self._untold_leaving(),
@@ -578,7 +578,7 @@
         does not know what it lacks, and would tell it everything.
         """
         answered = self._told_leader == self._beliefs.leader
-        if self._leader.leading or not answered or not self._follows_asked:
+        if self._leader.is_leader or not answered or not self._follows_asked:
             return None
         return self._beliefs.news_after(
             self._news_seen, self._news_version, self._news_evacuations
@@ -587,7 +587,7 @@
     def _rely(self, reply: messages.ReportReply) -> None:
         """Decides whether this VM follows the store itself."""
         here = self._settings.vm.id
-        chosen = here in reply.watchers or self._leader.leading
+        chosen = here in reply.watchers or self._leader.is_leader
         asked = self._reported_at
         self._beliefs.note_views(
             reply.seen,
@@ -624,7 +624,7 @@
         self._watching.rely_on_leader(
             not follows,
             patience=patience,
-            closely=closely or self._leader.leading,
+            closely=closely or self._leader.is_leader,
         )
 
     def _works(self) -> dict[str, float]:
@@ -664,7 +664,7 @@
         if not reply.leading:
             return
         self._heard_at = now
-        self._leader.hear(reply)
+        self._leader.handle_reply(reply)
         self._vms = reply.vms
         for death in reply.deaths:
             self._casualties.learn(death, now)
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/planning.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/planning.py
@@ -65,18 +65,18 @@
     Attributes:
         table: The table in force.
         revision: Store revision of the table, 0 before the first commit.
-        granting: Sends the orders of the table.
-        fast: Request rates of keys over the short time constant.
-        slow: Request rates of keys over the long time constant.
+        reconciler: Sends the orders of the table.
+        fast_rates: Request rates of keys over the short time constant.
+        slow_rates: Request rates of keys over the long time constant.
     """
 
     __slots__ = (
         "_key_moved_at",
         "_moved_key",
-        "fast",
-        "granting",
+        "fast_rates",
+        "reconciler",
         "revision",
-        "slow",
+        "slow_rates",
         "table",
     )
 
@@ -84,35 +84,35 @@
         self,
         table: ranges.RangeTable,
         revision: int,
-        grants: grant_reconciliation.GrantReconciler,
-        fast: key_rates.KeyRates,
-        slow: key_rates.KeyRates,
+        reconciler: grant_reconciliation.GrantReconciler,
+        fast_rates: key_rates.KeyRates,
+        slow_rates: key_rates.KeyRates,
     ) -> None:
         """Creates the state of a service for its first or stored table.
 
         Args:
             table: The table.
             revision: Store revision of the table, 0 if it is not stored yet.
-            grants: Sends the orders of the table.
-            fast: Request rates of keys over the short time constant.
-            slow: Request rates of keys over the long time constant.
+            reconciler: Sends the orders of the table.
+            fast_rates: Request rates of keys over the short time constant.
+            slow_rates: Request rates of keys over the long time constant.
         """
         self.table = table
         self.revision = revision
-        self.granting = grants
-        self.fast = fast
-        self.slow = slow
+        self.reconciler = reconciler
+        self.fast_rates = fast_rates
+        self.slow_rates = slow_rates
         self._moved_key: int | None = None
         self._key_moved_at = 0.0
 
-    def note_moves(self, moves: Iterable[ranges.Move], now: float) -> None:
+    def record_moves(self, moves: Iterable[ranges.Move], now: float) -> None:
         """Records the time of a move that concerns a single key."""
         for move in moves:
             if move.first == move.last:
                 self._moved_key = move.first
                 self._key_moved_at = now
 
-    def settled_key(self, now: float) -> int | None:
+    def recently_moved_key(self, now: float) -> int | None:
         """Returns the key that moved too recently to move again, if any."""
         recent = now - self._key_moved_at < _HOT_KEY_PAUSE_SECONDS
         return self._moved_key if recent else None
@@ -123,22 +123,22 @@
 
     __slots__ = (
         "_backoffs_by_vm",
-        "_beliefs",
         "_clock",
+        "_cluster_state",
+        "_disseminator",
         "_events",
         "_excluded_until",
         "_merged_at",
         "_released_at",
         "_settings",
         "_slowness_by_vm",
-        "_telling",
     )
 
     def __init__(
         self,
         configured: settings.GatewaySettings,
-        reports: dissemination.Disseminator,
-        known: cluster_state.ClusterState,
+        disseminator: dissemination.Disseminator,
+        cluster: cluster_state.ClusterState,
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
@@ -146,14 +146,14 @@
 
         Args:
             configured: Settings of this VM.
-            reports: The reports of VMs.
-            known: This VM's view of the cluster.
+            disseminator: The reports of VMs.
+            cluster: This VM's view of the cluster.
             timer: The clock.
             log: The event log.
         """
         self._settings = configured
-        self._telling = reports
-        self._beliefs = known
+        self._disseminator = disseminator
+        self._cluster_state = cluster
         self._clock = timer
         self._events = log
         self._slowness_by_vm: dict[str, dict[str, float]] = {}
@@ -191,7 +191,8 @@
             for owner in keyed.table.holders()
             if owner.id in current
             and (
-                current[owner.id] != owner or keyed.granting.needs_fence(owner)
+                current[owner.id] != owner
+                or keyed.reconciler.needs_fence(owner)
             )
         }
         if not renewed:
@@ -212,8 +213,8 @@
         lost = self._lost(keyed, capacity, now)
         for holder in lost:
             capacity.pop(holder, None)
-        fast = keyed.fast.counts(now)
-        slow = keyed.slow.counts(now)
+        fast = keyed.fast_rates.counts(now)
+        slow = keyed.slow_rates.counts(now)
         request_rate = sum(slow.values()) / self._settings.leader.heat_slow
         rates = self._rates(capacity, keyed.table.service)
         capacity = self._within_rate_limits(capacity, request_rate, now)
@@ -229,7 +230,7 @@
                     for key, count in fast.items()
                 },
                 self._settings.balance,
-                keyed.settled_key(now),
+                keyed.recently_moved_key(now),
             )
             if not moves:
                 why = "spread a hot run"
@@ -243,7 +244,7 @@
                 )
         if not moves:
             return None
-        keyed.note_moves(moves, now)
+        keyed.record_moves(moves, now)
         self._events.write(
             "leader",
             "moves",
@@ -257,8 +258,8 @@
 
     def _has_enough_reports(self) -> bool:
         """Whether enough VMs report for the load to be estimated."""
-        fresh = self._telling.fresh()
-        vm_count = len(self._beliefs.vms)
+        fresh = self._disseminator.fresh()
+        vm_count = len(self._cluster_state.vms)
         return len(fresh) * 2 >= vm_count
 
     def _capacity(
@@ -287,7 +288,7 @@
         self, capacity: Mapping[ranges.Holder, float], service: str
     ) -> dict[ranges.Holder, float]:
         """Returns capacities in requests per second."""
-        reports = self._telling.fresh().values()
+        reports = self._disseminator.fresh().values()
         durations = [r.work[service] for r in reports if service in r.work]
         duration = (
             sum(durations) / len(durations)
@@ -304,7 +305,7 @@
         self, holders: Iterable[ranges.Holder], now: float
     ) -> dict[ranges.Holder, float]:
         """Returns the recently reported rate limits of targets."""
-        reported = self._beliefs.limits
+        reported = self._cluster_state.limits
         earliest = now - _LIMIT_MAX_AGE_SECONDS
         rates = {
             holder: reported.rate_since(holder.id, holder.born, earliest)
@@ -344,7 +345,7 @@
                 )
         return limited
 
-    def learn(self, report: messages.Report) -> None:
+    def record_report(self, report: messages.Report) -> None:
         """Records the slowness factors and backoffs of a VM's report."""
         factors = self._slowness_by_vm.setdefault(report.vm.id, {})
         factors.update(report.factors)
@@ -357,7 +358,7 @@
         """Returns targets that have asked several VMs to back off."""
         vm_counts = collections.Counter(
             target
-            for vm in self._telling.fresh()
+            for vm in self._disseminator.fresh()
             for target, ends in self._backoffs_by_vm.get(vm, {}).items()
             if now < ends
         )
@@ -365,7 +366,7 @@
 
     def _mean_slowness(self) -> dict[str, float]:
         """Returns each target's slowness, averaged over reporting VMs."""
-        fresh = self._telling.fresh()
+        fresh = self._disseminator.fresh()
         sums: dict[str, list[float]] = {}
         for vm, factors in self._slowness_by_vm.items():
             if vm in fresh:
@@ -381,7 +382,9 @@
     ) -> list[ranges.Holder]:
         """Returns the owners that have to lose all their keys."""
         owners = keyed.table.holders()
-        unresponsive = {o for o in owners if keyed.granting.silent(o)}
+        unresponsive = {
+            o for o in owners if keyed.reconciler.is_unresponsive(o)
+        }
         if len(unresponsive) * 2 > len(owners) and len(owners) > 1:
             # This VM is probably cut off, rather than most of the targets.
             self._events.write(
@@ -401,7 +404,7 @@
     ) -> ranges.RangeTable | None:
         """Removes released former owners from the table."""
         now = self._clock.now()
-        released = keyed.granting.settled()
+        released = keyed.reconciler.released_fences()
         if (
             not released
             or now - self._released_at < _RELEASE_COMMIT_INTERVAL_SECONDS
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/witnessing.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/witnessing.py
@@ -32,9 +32,9 @@
     """
 
     __slots__ = (
-        "_beliefs",
         "_boot",
         "_clock",
+        "_cluster_state",
         "_events",
         "_promises",
         "_settings",
@@ -46,7 +46,7 @@
         configured: settings.GatewaySettings,
         boot: str,
         store: ports.StorePort,
-        known: cluster_state.ClusterState,
+        cluster: cluster_state.ClusterState,
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
@@ -56,14 +56,14 @@
             configured: Settings of this VM.
             boot: Identifier of this incarnation of the daemon.
             store: The platform's store.
-            known: This VM's view of the cluster.
+            cluster: This VM's view of the cluster.
             timer: The clock.
             log: The event log.
         """
         self._settings = configured
         self._boot = boot
         self._store = store
-        self._beliefs = known
+        self._cluster_state = cluster
         self._clock = timer
         self._events = log
         self._promises = lease_extension.Promises()
@@ -73,14 +73,14 @@
         """This VM and its daemon's incarnation, as leaders name them."""
         return lease_extension.Witness(self._settings.vm.id, self._boot)
 
-    def promised(self) -> float | None:
+    def promised_seconds(self) -> float | None:
         """Returns the seconds until the last promise ends, None without one.
 
         The value is negative once the promise has ended.
         """
         return self._promises.seconds(self._clock.boot())
 
-    async def answer(
+    async def handle_request(
         self, request: messages.ExtensionRequest
     ) -> messages.ExtensionReply:
         """Promises an extension if this VM does not reach the store either."""
@@ -107,7 +107,7 @@
 
     def _is_current_epoch(self, epoch: int) -> bool:
         """Whether the recorded leader has no later epoch."""
-        leader = self._beliefs.leader
+        leader = self._cluster_state.leader
         return leader is None or leader.epoch <= epoch
 
     async def _reaches_store(self) -> bool:
@@ -116,14 +116,14 @@
             async with asyncio.timeout(self._settings.leader.extension_after):
                 read = await self._store.read(messages.LEADER_KEY)
         except TimeoutError:
-            self._beliefs.note_store(
+            self._cluster_state.note_store(
                 ok=False, why="read of the leader's entry timed out"
             )
             return False
         if isinstance(read, result.Err):
-            self._beliefs.note_store(ok=False, why=read.err_value.detail)
+            self._cluster_state.note_store(ok=False, why=read.err_value.detail)
             return False
-        self._beliefs.note_store(ok=True)
+        self._cluster_state.note_store(ok=True)
         return True
 
 
@@ -131,19 +131,19 @@
     """Names a leader's witnesses and requests extensions, for one term."""
 
     __slots__ = (
-        "_authority",
         "_calls",
         "_clock",
+        "_disseminator",
         "_entry",
         "_events",
         "_extension_task",
+        "_lease",
         "_named",
         "_naming_tried_at",
         "_record",
         "_revision",
         "_settings",
         "_store",
-        "_telling",
     )
 
     def __init__(
@@ -151,10 +151,10 @@
         configured: settings.GatewaySettings,
         entry: leadership.LeaderEntry,
         revision: int,
-        authority: leadership.LeaderLease,
+        lease: leadership.LeaderLease,
         store: ports.StorePort,
         calls: peer_calls.PeerCalls,
-        reports: dissemination.Disseminator,
+        disseminator: dissemination.Disseminator,
         timer: clock.Clock,
         log: events.Events,
     ) -> None:
@@ -164,20 +164,20 @@
             configured: Settings of this VM.
             entry: The leader's entry.
             revision: Revision of the record in the store, 0 if there is none.
-            authority: The leader lease that promises extend.
+            lease: The leader lease that promises extend.
             store: The platform's store.
             calls: Client for calls to peers.
-            reports: The reports of VMs.
+            disseminator: The reports of VMs.
             timer: The clock.
             log: The event log.
         """
         self._settings = configured
         self._entry = entry
         self._revision = revision
-        self._authority = authority
+        self._lease = lease
         self._store = store
         self._calls = calls
-        self._telling = reports
+        self._disseminator = disseminator
         self._clock = timer
         self._events = log
         self._record: lease_extension.Record | None = None
@@ -196,7 +196,9 @@
 
     # Naming.
 
-    async def name(self, leader_revision: int, clear_at: float) -> None:
+    async def update_record(
+        self, leader_revision: int, clear_at: float
+    ) -> None:
         """Names witnesses in the store if the current ones are outdated.
 
         Args:
@@ -208,7 +210,7 @@
         now = self._clock.boot()
         if now - self._naming_tried_at < _NAMING_INTERVAL_SECONDS:
             return
-        if now < max(clear_at, self._authority.extended_until):
+        if now < max(clear_at, self._lease.extended_until):
             return
         candidates = self._candidates()
         present = {_identity(vm) for vm in candidates}
@@ -238,7 +240,7 @@
         """Writes a record, which counts once the store has acknowledged it."""
         # Until the outcome is clear, both the new record and the earlier one
         # may be in force.
-        self._authority.need_witnesses()
+        self._lease.need_witnesses()
         self._record = None
         self._named = ()
         key = messages.WITNESSES_KEY
@@ -284,27 +286,27 @@
         """Returns other VMs that report and are not stopping, best first."""
         candidates = [
             report.vm
-            for report in self._telling.fresh().values()
+            for report in self._disseminator.fresh().values()
             if report.vm.id != self._settings.vm.id and not report.stopping
         ]
         return sorted(candidates, key=lambda vm: (vm.order, vm.id))
 
     # Requesting extensions.
 
-    def ask(self) -> None:
+    def request_extension(self) -> None:
         """Requests a promise from all witnesses unless one is pending."""
         pending = (
             self._extension_task is not None and not self._extension_task.done()
         )
-        if self._record is None or pending or self._authority.extended:
+        if self._record is None or pending or self._lease.extended:
             return
         self._extension_task = asyncio.create_task(
-            self._request_extension(), name="ask-witnesses"
+            self._extend_lease(), name="ask-witnesses"
         )
 
-    async def _request_extension(self) -> None:
+    async def _extend_lease(self) -> None:
         """Extends the leader lease if every named witness promises it."""
-        confirmed = self._authority.confirmed
+        confirmed = self._lease.confirmed
         lease_seconds = self._settings.leader.authority
         seconds = confirmed + lease_seconds - self._clock.boot()
         if seconds <= 0:
@@ -314,7 +316,7 @@
             *(self._request_promise(vm, seconds) for vm in named)
         )
         if named == self._named and all(promised):
-            self._authority.extend(confirmed)
+            self._lease.extend(confirmed)
         self._events.write(
             "leader",
             "extension_asked",
--- a/tests/gateway/fleet.py
+++ b/tests/gateway/fleet.py
@@ -284,7 +284,7 @@
         channel = _Channel(fleet, name)
         boot = f"boot-{name}-{fleet.started}"
         fleet.started += 1
-        self.leading = leader_role.LeaderRole(
+        self.leader_role = leader_role.LeaderRole(
             configured,
             boot,
             store,
@@ -313,7 +313,7 @@
             channel,
             self.beliefs,
             self.rooms,
-            self.leading,
+            self.leader_role,
             queues,
             self.admitting,
             self.watching,
@@ -360,7 +360,7 @@
             return messages.encode(messages.UpdateAck())
         if path == messages.REPORT_PATH:
             report = messages.decode(body, messages.Report)
-            return messages.encode(self.leading.take_report(report))
+            return messages.encode(self.leader_role.handle_report(report))
         if path == messages.HEARD_PATH:
             return messages.encode(self.peers.heard())
         if path == messages.RELAY_PATH:
@@ -368,12 +368,14 @@
             return messages.encode(await self.peers.relay(relay))
         if path == messages.EXTEND_PATH:
             request = messages.decode(body, messages.ExtensionRequest)
-            return messages.encode(await self.leading.witness.answer(request))
+            return messages.encode(
+                await self.leader_role.witness.handle_request(request)
+            )
         return None
 
     def end(self):
         """Stops the daemon as a kill would."""
-        self.leading.step_down("end")
+        self.leader_role.step_down("end")
         self.watching.stop()
         self.peers.abort()
 
@@ -512,7 +514,7 @@
 
     def leader(self):
         """Returns the VM that leads."""
-        return next(vm for vm in self.vms.values() if vm.leading.leading)
+        return next(vm for vm in self.vms.values() if vm.leader_role.is_leader)
 
     def end(self):
         """Stops all VMs."""
--- a/tests/gateway/test_grant_reconciliation.py
+++ b/tests/gateway/test_grant_reconciliation.py
@@ -32,7 +32,7 @@
         self.alive_at = {}
         self.authority = leadership.LeaderLease(1e9)
         self.authority.confirm(0.0)
-        self.granting = grant_reconciliation.GrantReconciler(
+        self.reconciler = grant_reconciliation.GrantReconciler(
             fakes.configured(trouble_after=1e9),
             self.orders,
             self.beliefs,
@@ -44,19 +44,22 @@
             lambda: None,
         )
         self.table = ranges.initial("s", {A: 1.0, B: 1.0}, "c1")
-        self.granting.follow(self.table)
+        self.reconciler.apply(self.table)
 
     def move(self, first, last, to):
         """Moves keys and applies the new table, as a commit would."""
         moves = [ranges.Move(first, last, to)]
         self.table = ranges.move(self.table, moves, "c")
-        self.granting.follow(self.table)
+        self.reconciler.apply(self.table)
 
     async def wait_granted(self, key, seconds=20.0):
         """Waits until the owner of a key is granted it; returns seconds."""
         started_at = virtual.now()
         async with asyncio.timeout(seconds):
-            while self.table.find(key).piece not in self.granting.ready():
+            while (
+                self.table.find(key).piece
+                not in self.reconciler.granted_pieces()
+            ):
                 await asyncio.sleep(0.01)
         return virtual.now() - started_at
 
@@ -78,7 +81,7 @@
                 await asyncio.sleep(0.1)
                 assert rig.orders.holders(5) == {"a"}
                 assert rig.orders.holders(HALF) == {"b"}
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _run(main())
 
@@ -101,7 +104,7 @@
             assert rig.orders.holders(50) == {"b"}
             assert rig.orders.holders(100) == {"a"}
             assert rig.orders.clashes == []
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _run(main())
 
@@ -112,13 +115,13 @@
             rig = Rig()
             await rig.wait_granted(0)
             rig.move(1000, 1100, B)
-            assert rig.table.find(0).piece in rig.granting.ready()
+            assert rig.table.find(0).piece in rig.reconciler.granted_pieces()
             for _ in range(50):
                 await asyncio.sleep(0.1)
                 assert rig.orders.holders(5) == {"a"}
                 assert rig.orders.holders(2000) == {"a"}
             assert rig.orders.clashes == []
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _run(main())
 
@@ -135,10 +138,10 @@
             await asyncio.sleep(0.3)
             rig.orders._remove_keys("a", 0, 9)
             assert rig.orders.holders(5) == set()
-            rig.granting.missed(5, "a")
+            rig.reconciler.regrant(5, "a")
             await asyncio.sleep(0.02)
             assert rig.orders.holders(5) == {"a"}
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _run(main())
 
@@ -152,13 +155,13 @@
         async def main():
             rig = Rig()
             rig.table = msgspec.structs.replace(rig.table, hold=4.0)
-            rig.granting.follow(rig.table)
+            rig.reconciler.apply(rig.table)
             await asyncio.sleep(10.0)
             grants = [o for kind, n, o in rig.orders.log if kind == "grant"]
             assert {order.hold for order in grants[3:]} == {4.0}
             by_target = len(grants) / len(rig.table.holders())
             assert 9 <= by_target <= 13
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _run(main())
 
@@ -168,7 +171,7 @@
         async def main():
             rig = Rig()
             rig.table = msgspec.structs.replace(rig.table, hold=4.0)
-            rig.granting.follow(rig.table)
+            rig.reconciler.apply(rig.table)
             await asyncio.sleep(3.0)
             rig.orders.dead.add("a")
             rig.move(0, HALF - 1, B)
@@ -176,7 +179,7 @@
             await rig.wait_granted(0)
             assert virtual.now() - started_at > 2.9
             assert rig.orders.clashes == []
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _run(main())
 
@@ -198,13 +201,13 @@
             await rig.wait_granted(0)
             await asyncio.sleep(1.0)
             getattr(rig.orders, how).add("a")
-            while not rig.granting.silent(A):
+            while not rig.reconciler.is_unresponsive(A):
                 await asyncio.sleep(0.01)
             rig.move(0, HALF - 1, B)
             gap = await rig.wait_granted(0)
             assert gap < 2.4
             assert rig.orders.clashes == []
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _run(main())
 
@@ -221,7 +224,7 @@
             rig.orders.work = 60.0
             rig.move(0, 99, B)
             assert await rig.wait_granted(0) < 2.4
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _run(main())
 
@@ -243,12 +246,12 @@
             rig.orders.log.clear()
             await asyncio.sleep(1.0)
             assert not [x for x in rig.orders.log if x[1] == "a"]
-            assert rig.granting.needs_fence(A)
+            assert rig.reconciler.needs_fence(A)
             restarted = ranges.Holder("a", 2, "a:80")
             rig.table = ranges.refence(rig.table, {A: restarted}, "c2")
-            rig.granting.follow(rig.table)
+            rig.reconciler.apply(rig.table)
             assert await rig.wait_granted(0) < 0.1
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _run(main())
 
@@ -266,7 +269,7 @@
             rig.move(0, HALF - 1, B)
             rig.beliefs.take_target(fakes.target("a", born=2))
             assert await rig.wait_granted(0) < 0.6
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _run(main())
 
@@ -281,8 +284,8 @@
             await rig.wait_granted(0)
             rig.orders._fences["a"].append((0, 9, 99))
             await asyncio.sleep(1.0)
-            assert rig.granting.needs_fence(A)
-            rig.granting.stop()
+            assert rig.reconciler.needs_fence(A)
+            rig.reconciler.stop()
 
         _run(main())
 
@@ -309,7 +312,7 @@
             await rig.wait_granted(0)
             await asyncio.sleep(4.0)
             assert rig.orders.clashes == []
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _run(main())
 
@@ -329,7 +332,7 @@
             rig.orders.delay = 0.0
             assert await rig.wait_granted(0) < 3.0
             assert rig.orders.clashes == []
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _run(main())
 
@@ -355,7 +358,7 @@
             await rig.wait_granted(0)
             await asyncio.sleep(3.0)
             assert rig.orders.clashes == []
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _run(main())
 
@@ -378,11 +381,11 @@
             for _ in range(11):
                 await asyncio.sleep(0.1)
                 rig.alive_at["a"] = rig.clock.boot()
-                assert not rig.granting.silent(A)
+                assert not rig.reconciler.is_unresponsive(A)
             rig.orders.silent.clear()
             await asyncio.sleep(0.5)
-            assert not rig.granting.needs_fence(A)
-            rig.granting.stop()
+            assert not rig.reconciler.needs_fence(A)
+            rig.reconciler.stop()
 
         _run(main())
 
@@ -394,8 +397,8 @@
             await rig.wait_granted(0)
             rig.orders.silent.add("a")
             await asyncio.sleep(1.3)
-            assert rig.granting.silent(A)
-            rig.granting.stop()
+            assert rig.reconciler.is_unresponsive(A)
+            rig.reconciler.stop()
 
         _run(main())
 
@@ -413,7 +416,7 @@
             await asyncio.sleep(0.2)
             rig.orders.silent.clear()
             assert await rig.wait_granted(0) < 0.8
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _run(main())
 
@@ -437,7 +440,7 @@
             rig.orders.log.clear()
             await asyncio.sleep(3.0)
             assert rig.orders.log == []
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _run(main())
 
@@ -477,6 +480,6 @@
             rig.move(0, HALF - 1, B)
             await rig.wait_granted(0)
             assert virtual.now() >= 6.04
-            rig.granting.stop()
+            rig.reconciler.stop()
 
         _run(main())
--- a/tests/gateway/test_leader_role.py
+++ b/tests/gateway/test_leader_role.py
@@ -27,7 +27,7 @@
         self.beliefs = fakes.known(self.clock, self.log, *targets)
         configured = fakes.configured(settle=0.1, settle_most=0.2)
         vm = msgspec.structs.replace(configured.vm, id=name)
-        self.leading = leader_role.LeaderRole(
+        self.leader_role = leader_role.LeaderRole(
             msgspec.structs.replace(configured, vm=vm),
             f"boot-{name}",
             store,
@@ -75,10 +75,10 @@
 
         async def main():
             store, orders, (one,) = _cluster("vm-1")
-            assert await one.leading.take_over("test")
+            assert await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0) and _owned(orders, 65535))
             assert ranges.problem(_stored(store)) == ""
-            one.leading.step_down("end")
+            one.leader_role.step_down("end")
 
         virtual.run(main())
 
@@ -88,11 +88,11 @@
         async def main():
             _, _, vms = _cluster("vm-1", "vm-2")
             led = await asyncio.gather(
-                *(vm.leading.take_over("test") for vm in vms)
+                *(vm.leader_role.take_over("test") for vm in vms)
             )
             assert sorted(led) == [False, True]
             for vm in vms:
-                vm.leading.step_down("end")
+                vm.leader_role.step_down("end")
 
         virtual.run(main())
 
@@ -105,19 +105,19 @@
 
         async def main():
             store, orders, (one, two) = _cluster("vm-1", "vm-2")
-            await one.leading.take_over("test")
+            await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
-            assert await two.leading.take_over("test")
+            assert await two.leader_role.take_over("test")
             version = _stored(store).version
             # The former leader observes a target leave and tries to move its
             # keys.
             one.beliefs.lose_target("a")
-            await _until(lambda: not one.leading.leading)
+            await _until(lambda: not one.leader_role.is_leader)
             assert _stored(store).version == version
             await asyncio.sleep(3.0)
             assert orders.clashes == []
             assert _owned(orders, 0)
-            two.leading.step_down("end")
+            two.leader_role.step_down("end")
 
         virtual.run(main())
 
@@ -131,21 +131,21 @@
 
         async def main():
             store, orders, (one, two) = _cluster("vm-1", "vm-2")
-            await one.leading.take_over("test")
+            await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
             store.slow_claims = 1.0
-            takeover = asyncio.create_task(two.leading.take_over("test"))
+            takeover = asyncio.create_task(two.leader_role.take_over("test"))
             await asyncio.sleep(0.2)
             one.beliefs.lose_target("a")
             version = _stored(store).version
             await _until(lambda: _stored(store).version > version)
             assert await takeover
-            tables = two.leading.dump()["tables"]
+            tables = two.leader_role.dump()["tables"]
             assert tables["s"]["version"] == _stored(store).version
             await asyncio.sleep(4.0)
             assert orders.clashes == []
-            two.leading.step_down("end")
-            one.leading.step_down("end")
+            two.leader_role.step_down("end")
+            one.leader_role.step_down("end")
 
         virtual.run(main())
 
@@ -158,13 +158,13 @@
 
         async def main():
             store, orders, (one, two) = _cluster("vm-1", "vm-2")
-            await one.leading.take_over("test")
+            await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
             store.failing_lists = 3
-            assert await two.leading.take_over("test")
-            assert two.leading.dump()["tables"]
-            two.leading.step_down("end")
-            one.leading.step_down("end")
+            assert await two.leader_role.take_over("test")
+            assert two.leader_role.dump()["tables"]
+            two.leader_role.step_down("end")
+            one.leader_role.step_down("end")
 
         virtual.run(main())
 
@@ -173,17 +173,17 @@
 
         async def main():
             _, orders, (one, two) = _cluster("vm-1", "vm-2")
-            await one.leading.take_over("test")
+            await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
             await asyncio.sleep(1.0)
-            one.leading.step_down("killed")
+            one.leader_role.step_down("killed")
             await asyncio.sleep(1.0)
-            await two.leading.take_over("test")
+            await two.leader_role.take_over("test")
             for _ in range(60):
                 await asyncio.sleep(0.05)
                 assert all(_owned(orders, k) for k in (0, 30000, 65535))
             assert orders.clashes == []
-            two.leading.step_down("end")
+            two.leader_role.step_down("end")
 
         virtual.run(main())
 
@@ -196,19 +196,19 @@
 
         async def main():
             _, orders, (one, two) = _cluster("vm-1", "vm-2")
-            await one.leading.take_over("test")
+            await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
             await asyncio.sleep(1.0)
             # The successor cannot reach the target whose grant the former
             # leader has renewed.
             orders.dead.add("a")
-            await two.leading.take_over("test")
+            await two.leader_role.take_over("test")
             began = virtual.now()
             await _until(lambda: orders.holders(0) - {"a"} != set(), seconds=60)
             assert virtual.now() - began > 2.0
             assert orders.clashes == []
-            two.leading.step_down("end")
-            one.leading.step_down("end")
+            two.leader_role.step_down("end")
+            one.leader_role.step_down("end")
 
         virtual.run(main())
 
@@ -238,8 +238,8 @@
         async def main():
             store, _, (one, two) = _cluster("vm-1", "vm-2")
             calls = RecordedCalls()
-            one.leading._telling._calls = calls
-            await one.leading.take_over("test")
+            one.leader_role._disseminator._calls = calls
+            await one.leader_role.take_over("test")
             await asyncio.sleep(0.2)
             assert calls.notified == []
             entry = messages.VmEntry("vm-2", "boot-vm-2", "two:1", "z")
@@ -249,11 +249,11 @@
             assert [address for _, address in calls.notified] == ["two:1"]
             # A VM that reports gets no further announcement.
             for _ in range(12):
-                one.leading.take_report(two.report())
+                one.leader_role.handle_report(two.report())
                 await asyncio.sleep(1.0)
             announced = [at for at, name in calls.notified if name == "two:1"]
             assert len(announced) == 1
-            one.leading.step_down("end")
+            one.leader_role.step_down("end")
 
         virtual.run(main())
 
@@ -264,14 +264,14 @@
             store, orders = fakes.Store(), fakes.Orders()
             targets = [fakes.target(f"t{n}") for n in range(400)]
             one = Vm("vm-1", store, orders, targets)
-            await one.leading.take_over("test")
+            await one.leader_role.take_over("test")
             await _until(lambda: len(orders.log) >= 400)
             await asyncio.sleep(0.5)
             assert all(_owned(orders, key) for key in (0, 30000, 65535))
             known = one.beliefs.assignments["s"]
             assert all(known.owners)
             assert known.version[1] < 40
-            one.leading.step_down("end")
+            one.leader_role.step_down("end")
 
         virtual.run(main())
 
@@ -291,14 +291,14 @@
             targets = [fakes.target(n) for n in ("a", "b", "c")]
             one = Vm("vm-1", store, orders, targets)
             calls = RecordedCalls()
-            one.leading._telling._calls = calls
-            await one.leading.take_over("test")
+            one.leader_role._disseminator._calls = calls
+            await one.leader_role.take_over("test")
             await asyncio.sleep(0.5)
             names = [f"vm-{n}" for n in range(2, 12)]
 
             def report(name, **fields):
                 entry = messages.VmEntry(name, "b", f"{name}:1", "z")
-                one.leading.take_report(
+                one.leader_role.handle_report(
                     messages.Report(entry, store=True, **fields)
                 )
 
@@ -313,7 +313,7 @@
             await asyncio.sleep(0.01)
             notified = {address for _, address in calls.notified}
             assert notified == {f"{name}:1" for name in names}
-            one.leading.step_down("end")
+            one.leader_role.step_down("end")
 
         virtual.run(main())
 
@@ -332,22 +332,22 @@
 
         async def main():
             store, orders, (one, two) = _cluster("vm-1", "vm-2")
-            await one.leading.take_over("test")
+            await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
             store.failing = fakes.UNAVAILABLE
             await asyncio.sleep(4.0)
             orders.dead.add("a")
             store.failing = None
             await asyncio.sleep(2.0)
-            reply = one.leading.take_report(two.report())
-            two.leading.hear(reply)
-            assert await two.leading.take_over("test")
+            reply = one.leader_role.handle_report(two.report())
+            two.leader_role.handle_reply(reply)
+            assert await two.leader_role.take_over("test")
             # The former leader reports to the new one and sends no orders.
-            one.leading.step_down("replaced")
-            two.leading.take_report(one.report())
+            one.leader_role.step_down("replaced")
+            two.leader_role.handle_report(one.report())
             await _until(lambda: orders.holders(0) - {"a"} != set(), seconds=60)
             assert orders.clashes == []
-            two.leading.step_down("end")
+            two.leader_role.step_down("end")
 
         virtual.run(main())
 
@@ -357,7 +357,7 @@
         async def main():
             store, orders, vms = _cluster("vm-1", "vm-2", "vm-3")
             one, two, three = vms
-            await one.leading.take_over("test")
+            await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
             store.failing = fakes.UNAVAILABLE
             await asyncio.sleep(4.0)
@@ -365,15 +365,15 @@
             store.failing = None
             await asyncio.sleep(2.0)
             for former, next_one in ((one, two), (two, three)):
-                reply = former.leading.take_report(next_one.report())
-                next_one.leading.hear(reply)
-                assert await next_one.leading.take_over("test")
-                former.leading.step_down("replaced")
+                reply = former.leader_role.handle_report(next_one.report())
+                next_one.leader_role.handle_reply(reply)
+                assert await next_one.leader_role.take_over("test")
+                former.leader_role.step_down("replaced")
                 for vm in vms:
-                    next_one.leading.take_report(vm.report())
+                    next_one.leader_role.handle_report(vm.report())
             await _until(lambda: orders.holders(0) - {"a"} != set(), seconds=60)
             assert orders.clashes == []
-            three.leading.step_down("end")
+            three.leader_role.step_down("end")
 
         virtual.run(main())
 
@@ -407,23 +407,27 @@
                 Vm(f"vm-{i + 1}", stores[i], orders, targets, clock)
                 for i in range(2)
             )
-            await one.leading.take_over("test")
+            await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
             stores[0].failing = fakes.UNAVAILABLE
             for _ in range(20):
                 await asyncio.sleep(0.2)
                 report = two.report(reaches_store=others_reach)
-                two.leading.hear(one.leading.take_report(report))
+                two.leader_role.handle_reply(
+                    one.leader_role.handle_report(report)
+                )
             orders.dead.add("a")
-            assert await two.leading.take_over("test")
-            one.leading.step_down("replaced")
-            seconds = None if restarted else one.leading.longer_grants()
-            two.leading.take_report(one.report(longer=seconds))
+            assert await two.leader_role.take_over("test")
+            one.leader_role.step_down("replaced")
+            seconds = (
+                None if restarted else one.leader_role.extended_grants_seconds()
+            )
+            two.leader_role.handle_report(one.report(longer=seconds))
             began = virtual.now()
             await _until(lambda: orders.holders(0) - {"a"} != set(), seconds=60)
             assert least < virtual.now() - began < most
             assert orders.clashes == []
-            two.leading.step_down("end")
+            two.leader_role.step_down("end")
 
         virtual.run(main())
 
@@ -432,10 +436,10 @@
 
         async def main():
             _, _, (one,) = _cluster("vm-1")
-            assert one.leading.longer_grants() is None
-            await one.leading.take_over("test")
-            one.leading.step_down("end")
-            assert one.leading.longer_grants() is not None
+            assert one.leader_role.extended_grants_seconds() is None
+            await one.leader_role.take_over("test")
+            one.leader_role.step_down("end")
+            assert one.leader_role.extended_grants_seconds() is not None
 
         virtual.run(main())
 
@@ -464,20 +468,20 @@
                 Vm(f"vm-{i + 1}", store, reach[i], targets, clock)
                 for i in range(2)
             )
-            await one.leading.take_over("test")
+            await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
             await asyncio.sleep(1.0 + wait)
             orders.queued["a"] = 0.9
             reach[1].refused = {"a"}
             await asyncio.sleep(0.6)
-            await two.leading.take_over("test")
-            one.leading.step_down("replaced")
+            await two.leader_role.take_over("test")
+            one.leader_role.step_down("replaced")
             if reports:
-                seconds = one.leading.longer_grants()
-                two.leading.take_report(one.report(longer=seconds))
+                seconds = one.leader_role.extended_grants_seconds()
+                two.leader_role.handle_report(one.report(longer=seconds))
             await _until(lambda: orders.holders(0) - {"a"} != set(), seconds=60)
             assert orders.clashes == []
-            two.leading.step_down("end")
+            two.leader_role.step_down("end")
 
         virtual.run(main())
 
@@ -503,21 +507,21 @@
                 Vm(f"vm-{i + 1}", stores[i], reach[i], targets, clock)
                 for i in range(3)
             )
-            await one.leading.take_over("test")
+            await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
             await asyncio.sleep(1.0)
             stores[0].failing = fakes.UNAVAILABLE
             reach[1].dead = reach[2].dead = {"a"}
-            await two.leading.take_over("test")
-            two.leading.step_down("killed")
-            await three.leading.take_over("test")
+            await two.leader_role.take_over("test")
+            two.leader_role.step_down("killed")
+            await three.leader_role.take_over("test")
             # The next incarnation of the second leader's daemon reports.
-            three.leading.take_report(two.report())
+            three.leader_role.handle_report(two.report())
             await asyncio.sleep(16.0)
             assert orders.clashes == []
             assert _owned(orders, 0)
-            one.leading.step_down("end")
-            three.leading.step_down("end")
+            one.leader_role.step_down("end")
+            three.leader_role.step_down("end")
 
         virtual.run(main())
 
@@ -544,23 +548,23 @@
                 for i in range(6)
             ]
             first, *others = vms
-            await first.leading.take_over("test")
+            await first.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
             for cut_off in stores[:cut]:
                 cut_off.failing = fakes.UNAVAILABLE
             began = virtual.now()
-            while not any(vm.leading.leading for vm in others):
+            while not any(vm.leader_role.is_leader for vm in others):
                 await asyncio.sleep(0.2)
                 for vm in others:
-                    if first.leading.take_report(vm.report()).take_over:
-                        await vm.leading.take_over("asked to")
+                    if first.leader_role.handle_report(vm.report()).take_over:
+                        await vm.leader_role.take_over("asked to")
             assert virtual.now() - began < most
             await asyncio.sleep(1.0)
-            assert sum(vm.leading.leading for vm in others) == 1
+            assert sum(vm.leader_role.is_leader for vm in others) == 1
             assert orders.clashes == []
             assert _owned(orders, 0)
             for vm in vms:
-                vm.leading.step_down("end")
+                vm.leader_role.step_down("end")
 
         virtual.run(main())
 
@@ -576,7 +580,7 @@
 
         async def main():
             store, orders, (one,) = _cluster("vm-1")
-            await one.leading.take_over("test")
+            await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
             store.failing = fakes.UNAVAILABLE
             for _ in range(90):
@@ -584,9 +588,9 @@
                 assert _owned(orders, 0)
             store.failing = None
             await asyncio.sleep(3.0)
-            assert one.leading.leading
+            assert one.leader_role.is_leader
             assert _owned(orders, 0)
-            one.leading.step_down("end")
+            one.leader_role.step_down("end")
 
         virtual.run(main())
 
@@ -598,7 +602,7 @@
 
         async def main():
             store, orders, (one,) = _cluster("vm-1")
-            await one.leading.take_over("test")
+            await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
             store.failing = fakes.UNAVAILABLE
             began = virtual.now()
@@ -607,7 +611,7 @@
             await asyncio.sleep(5.0)
             assert orders.log == []
             assert began + 19 > 12 + 2
-            one.leading.step_down("end")
+            one.leader_role.step_down("end")
 
         virtual.run(main())
 
@@ -620,7 +624,7 @@
 
         async def main():
             store, orders, (one,) = _cluster("vm-1")
-            await one.leading.take_over("test")
+            await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
             store.loses = True
             one.beliefs.take_target(fakes.target("a", leaving=True))
@@ -634,7 +638,7 @@
                 )
             )
             assert orders.clashes == []
-            one.leading.step_down("end")
+            one.leader_role.step_down("end")
 
         virtual.run(main())
 
@@ -649,23 +653,25 @@
 
         async def main():
             store, orders, (one, two) = _cluster("vm-1", "vm-2")
-            await one.leading.take_over("test")
+            await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
             store.failing = fakes.UNAVAILABLE
             asked = False
             while not asked:
                 await asyncio.sleep(0.2)
-                reply = one.leading.take_report(two.report())
+                reply = one.leader_role.handle_report(two.report())
                 asked = reply.take_over
             assert one.log.named("asks_successor")[0]["successors"] == ("vm-2",)
             assert reply.store
             for _ in range(20):
                 await asyncio.sleep(0.2)
-                reply = one.leading.take_report(two.report())
+                reply = one.leader_role.handle_report(two.report())
             assert reply.store
-            reply = one.leading.take_report(two.report(reaches_store=False))
+            reply = one.leader_role.handle_report(
+                two.report(reaches_store=False)
+            )
             assert not reply.store
-            one.leading.step_down("end")
+            one.leader_role.step_down("end")
 
         virtual.run(main())
 
@@ -680,11 +686,11 @@
         async def main():
             store, _, (one,) = _cluster("vm-1")
             store.items[messages.table_key("s")] = (raw, 1)
-            assert await one.leading.take_over("test")
+            assert await one.leader_role.take_over("test")
             await asyncio.sleep(1.0)
             assert one.log.named("table_unreadable")
             assert store.items[messages.table_key("s")][0] == raw
-            one.leading.step_down("end")
+            one.leader_role.step_down("end")
 
         virtual.run(main())
 
@@ -699,7 +705,7 @@
         async def main():
             _, _, (one,) = _cluster("vm-1")
             one.beliefs.take_leader(entry)
-            reply = one.leading.take_report(one.report())
+            reply = one.leader_role.handle_report(one.report())
             assert (reply.leading, reply.leader) == (False, entry)
 
         virtual.run(main())
@@ -709,17 +715,17 @@
 
         async def main():
             _, orders, (one, two, three) = _cluster("vm-1", "vm-2", "vm-3")
-            await one.leading.take_over("test")
+            await one.leader_role.take_over("test")
             gates = []
             for vm in (two, three, two, three):
-                reply = one.leading.take_report(
+                reply = one.leader_role.handle_report(
                     vm.report(under_way={"a": 8}, waiting={"a": 10})
                 )
                 gates.append(reply.gates)
                 await asyncio.sleep(0.2)
             assert gates[2] == gates[3]
             assert gates[2].keys() == {"a"}
-            one.leading.step_down("end")
+            one.leader_role.step_down("end")
 
         virtual.run(main())
 
@@ -728,14 +734,14 @@
 
         async def main():
             _, orders, (one, two) = _cluster("vm-1", "vm-2")
-            await one.leading.take_over("test")
+            await one.leader_role.take_over("test")
             for _ in range(2):
-                reply = one.leading.take_report(
+                reply = one.leader_role.handle_report(
                     two.report(under_way={"a": 8}, stopping=True)
                 )
                 await asyncio.sleep(0.2)
             assert reply.gates == {}
-            one.leading.step_down("end")
+            one.leader_role.step_down("end")
 
         virtual.run(main())
 
@@ -749,20 +755,20 @@
 
         async def main():
             _, _, (one, two) = _cluster("vm-1", "vm-2")
-            await one.leading.take_over("test")
+            await one.leader_role.take_over("test")
             leaving = fakes.target("a", leaving=True, revision=9)
             news = messages.StateUpdate(
                 0, 9, (messages.TargetUpdate(leaving, 9, False, 0.0),)
             )
-            one.leading.take_report(two.report(news=news))
-            one.leading.take_report(two.report(seen=5))
+            one.leader_role.handle_report(two.report(news=news))
+            one.leader_role.handle_report(two.report(seen=5))
             await asyncio.sleep(0.1)
-            reply = one.leading.take_report(two.report(seen=5))
+            reply = one.leader_role.handle_report(two.report(seen=5))
             leaving_by_target = {
                 n.target.id: n.target.leaving for n in reply.news.targets
             }
             assert leaving_by_target == {"a": True}
-            one.leading.step_down("end")
+            one.leader_role.step_down("end")
 
         virtual.run(main())
 
@@ -797,7 +803,7 @@
 
         async def main():
             orders, (one, _) = self._cluster(per_zone)
-            await one.leading.take_over("test")
+            await one.leader_role.take_over("test")
             await _until(lambda: len(self._holders(orders)) >= per_zone)
             await asyncio.sleep(2.0)
             one.beliefs.take_evacuations(eligibility.Evacuations(("z",), 9))
@@ -805,7 +811,7 @@
             assert all(n.startswith("far") for n in self._holders(orders))
             assert all(_owned(orders, k) for k in (0, 30000, 65535))
             assert orders.clashes == []
-            one.leading.step_down("end")
+            one.leader_role.step_down("end")
 
         virtual.run(main())
 
@@ -814,15 +820,15 @@
 
         async def main():
             orders, (one, two) = self._cluster(8)
-            await one.leading.take_over("test")
+            await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
             await asyncio.sleep(1.0)
             evacuated = eligibility.Evacuations(("z",), 9)
             one.beliefs.take_evacuations(evacuated)
             await asyncio.sleep(0.3)
-            one.leading.step_down("killed")
+            one.leader_role.step_down("killed")
             two.beliefs.take_evacuations(evacuated)
-            await two.leading.take_over("test")
+            await two.leader_role.take_over("test")
             await asyncio.sleep(8.0)
             assert all(n.startswith("far") for n in self._holders(orders))
             assert orders.clashes == []
@@ -832,7 +838,7 @@
             await asyncio.sleep(4.0)
             assert all(n.startswith("z-") for n in self._holders(orders))
             assert orders.clashes == []
-            two.leading.step_down("end")
+            two.leader_role.step_down("end")
 
         virtual.run(main())
 
@@ -841,13 +847,13 @@
 
         async def main():
             orders, (one, _) = self._cluster(2)
-            await one.leading.take_over("test")
+            await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
             one.beliefs.take_evacuations(
                 eligibility.Evacuations(("far", "z"), 9)
             )
             await asyncio.sleep(4.0)
             assert all(_owned(orders, k) for k in (0, 30000, 65535))
-            one.leading.step_down("end")
+            one.leader_role.step_down("end")
 
         virtual.run(main())
--- a/tests/gateway/test_membership.py
+++ b/tests/gateway/test_membership.py
@@ -373,7 +373,7 @@
             return messages.encode(messages.UpdateAck())
         if path == messages.REPORT_PATH:
             report = messages.decode(body, messages.Report)
-            return messages.encode(other._leader.take_report(report))
+            return messages.encode(other._leader.handle_report(report))
         if path == messages.HEARD_PATH:
             return messages.encode(other.heard())
         return b"{}"
--- a/tests/gateway/test_news_histories.py
+++ b/tests/gateway/test_news_histories.py
@@ -75,7 +75,9 @@
             await asyncio.sleep(self._chance.uniform(0.3, 4.0))
             drawn = self._chance.random()
             vms = self.fleet.vms
-            leaders = [name for name, vm in vms.items() if vm.leading.leading]
+            leaders = [
+                name for name, vm in vms.items() if vm.leader_role.is_leader
+            ]
             if drawn < 0.35:
                 count = self._chance.choice((1, 1, 2, 3))
                 self._isolate(self._chance.sample(sorted(vms), count))
--- a/tests/gateway/test_proofs.py
+++ b/tests/gateway/test_proofs.py
@@ -47,7 +47,7 @@
         )
         authority = leadership.LeaderLease(1e9)
         authority.confirm(0.0)
-        self.granting = grant_reconciliation.GrantReconciler(
+        self.reconciler = grant_reconciliation.GrantReconciler(
             fakes.configured(trouble_after=1e9),
             self.orders,
             self.beliefs,
@@ -59,7 +59,7 @@
             lambda: None,
         )
         self.table = ranges.initial("s", {_holder(BORN): 1.0, B: 1.0}, "c")
-        self.granting.follow(self.table)
+        self.reconciler.apply(self.table)
 
     def register(self, name="a", **changes):
         """Applies a registration with the next store revision."""
@@ -100,8 +100,8 @@
         self.register_current_incarnation()
         renewed = {_holder(former): _holder(self.born)}
         self.table = ranges.refence(self.table, renewed, "c")
-        self.granting.follow(self.table)
-        self.granting.refenced(renewed.values())
+        self.reconciler.apply(self.table)
+        self.reconciler.resume(renewed.values())
 
     def restart_without_registration(self):
         """It crashes, and its next incarnation has not registered yet."""
@@ -113,8 +113,8 @@
         known = self.beliefs.directory.get("a").target.born
         renewed = {_holder(known): _holder(known)}
         self.table = ranges.refence(self.table, renewed, "c")
-        self.granting.follow(self.table)
-        self.granting.refenced(renewed)
+        self.reconciler.apply(self.table)
+        self.reconciler.resume(renewed)
 
     def orders_lost(self):
         """Orders no longer reach it."""
@@ -149,7 +149,7 @@
     def _move(self, first, last, to):
         moves = [ranges.Move(first, last, to)]
         self.table = ranges.move(self.table, moves, "c")
-        self.granting.follow(self.table)
+        self.reconciler.apply(self.table)
 
 
 _EVENTS = (
@@ -185,7 +185,7 @@
             event(cluster)
             await asyncio.sleep(pause)
         await asyncio.sleep(_GRANT_SECONDS + 0.5)
-        cluster.granting.stop()
+        cluster.reconciler.stop()
         return list(cluster.orders.clashes)
 
     return virtual.run(main())
@@ -223,7 +223,8 @@
                 grant_reconciliation.GrantReconciler,
                 "_incarnation_ended",
                 lambda made, holder: (
-                    (entry := made._beliefs.directory.get(holder.id)) is None
+                    (entry := made._cluster_state.directory.get(holder.id))
+                    is None
                     or entry.target.born != holder.born
                     or entry.standing is not directory.TargetStatus.READY
                 ),
@@ -308,7 +309,7 @@
             assert known.get("a").target.born == BORN + 5
             known.learn_run("a", BORN, "a:80", 0.0)
             assert known.get("a").target.born == BORN + 5
-            cluster.granting.stop()
+            cluster.reconciler.stop()
 
         virtual.run(main())
 
@@ -322,6 +323,6 @@
             assert cluster.log.named("older_run_registered") == [
                 {"target": "a", "born": BORN - 1, "known": BORN}
             ]
-            cluster.granting.stop()
+            cluster.reconciler.stop()
 
         virtual.run(main())
--- a/tests/gateway/test_witnessing.py
+++ b/tests/gateway/test_witnessing.py
@@ -42,7 +42,7 @@
         if path != messages.EXTEND_PATH:
             return b"{}"
         request = messages.decode(body, messages.ExtensionRequest)
-        response = await other.leading.witness.answer(request)
+        response = await other.leader_role.witness.handle_request(request)
         return messages.encode(response)
 
 
@@ -59,7 +59,7 @@
         )
         configured = fakes.configured(settle=0.1, settle_most=0.2)
         vm = msgspec.structs.replace(configured.vm, id=name)
-        self.leading = leader_role.LeaderRole(
+        self.leader_role = leader_role.LeaderRole(
             msgspec.structs.replace(configured, vm=vm),
             boot,
             self.store,
@@ -69,7 +69,7 @@
             fleet.clock,
             self.log,
         )
-        self.leading.address = name
+        self.leader_role.address = name
 
     def report(self):
         """Returns this VM's report."""
@@ -77,9 +77,9 @@
         return messages.Report(
             messages.VmEntry(self.name, self.boot, self.name, self.name),
             store=self.store.failing is None,
-            longer=self.leading.longer_grants(),
+            longer=self.leader_role.extended_grants_seconds(),
             epoch=leader.epoch if leader else -1,
-            promised=self.leading.witness.promised(),
+            promised=self.leader_role.witness.promised_seconds(),
         )
 
 
@@ -105,7 +105,7 @@
     def start(self, name):
         """Starts a VM's daemon in place of its earlier incarnation."""
         if name in self.vms:
-            self.vms[name].leading.step_down("killed")
+            self.vms[name].leader_role.step_down("killed")
         self.boots += 1
         self.vms[name] = Vm(self, name, f"boot-{self.boots}")
 
@@ -113,12 +113,12 @@
         """Stops all VMs."""
         self._reporting.cancel()
         for vm in self.vms.values():
-            vm.leading.step_down("end")
+            vm.leader_role.step_down("end")
 
     @property
     def leader(self):
         """The leading VM of the latest epoch, None if no VM leads."""
-        leading_now = [v for v in self.vms.values() if v.leading.leading]
+        leading_now = [v for v in self.vms.values() if v.leader_role.is_leader]
         return max(
             leading_now, key=lambda v: v.beliefs.leader.epoch, default=None
         )
@@ -138,21 +138,21 @@
             or (vm.name in self.isolated and other is not vm)
         ):
             return
-        reply = other.leading.take_report(vm.report())
+        reply = other.leader_role.handle_report(vm.report())
         if reply.leader is not None and vm.beliefs.take_leader(reply.leader):
-            vm.leading.outranked_by(reply.leader)
+            vm.leader_role.step_down_if_outranked(reply.leader)
         if reply.leading:
-            vm.leading.hear(reply)
+            vm.leader_role.handle_reply(reply)
 
     async def take_over(self, name):
         """Has a VM try to take over; notifies all VMs that it reaches."""
         vm = self.vms[name]
-        if not await vm.leading.take_over("test"):
+        if not await vm.leader_role.take_over("test"):
             return
         for other in self.vms.values():
             apart = {name, other.name} & self.isolated
             if not apart and other.beliefs.take_leader(vm.beliefs.leader):
-                other.leading.outranked_by(vm.beliefs.leader)
+                other.leader_role.step_down_if_outranked(vm.beliefs.leader)
 
 
 async def _wait_granted(fleet, key, excluded, seconds=30.0):
@@ -293,7 +293,9 @@
             asked = fleet.vms["vm-1"].log.named("extension_asked")
             assert asked and all(a["promised"] == 0 for a in asked)
             hold = leadership.lapsed_at(0.0, 2.0)
-            assert fleet.vms["vm-1"].leading.longer_grants() <= hold
+            assert (
+                fleet.vms["vm-1"].leader_role.extended_grants_seconds() <= hold
+            )
             fleet.stop()
 
         virtual.run(main())
@@ -322,9 +324,11 @@
             if not store:
                 vm.store.failing = fakes.UNAVAILABLE
             request = messages.ExtensionRequest(epoch, boot, 7.0)
-            response = await vm.leading.witness.answer(request)
+            response = await vm.leader_role.witness.handle_request(request)
             assert response.promised is promised
-            assert (vm.leading.witness.promised() is not None) is promised
+            assert (
+                vm.leader_role.witness.promised_seconds() is not None
+            ) is promised
             fleet.stop()
 
         virtual.run(main())
@@ -348,7 +352,7 @@
             fleet.store.read = read
             started_at = virtual.now()
             request = messages.ExtensionRequest(1, vm.boot, 7.0)
-            response = await vm.leading.witness.answer(request)
+            response = await vm.leader_role.witness.handle_request(request)
             assert response.promised
             assert virtual.now() - started_at < 0.7
             fleet.stop()
@@ -363,7 +367,9 @@
             vm = fleet.vms["vm-2"]
             vm.store.failing = fakes.UNAVAILABLE
             request = messages.ExtensionRequest(1, vm.boot, 7.0)
-            pending = asyncio.create_task(vm.leading.witness.answer(request))
+            pending = asyncio.create_task(
+                vm.leader_role.witness.handle_request(request)
+            )
             await asyncio.sleep(0.001)
             vm.beliefs.take_leader(leadership.LeaderEntry("vm-3", "x", 2, ""))
             assert not (await pending).promised
@@ -470,8 +476,8 @@
         """Only the current leader reaches a target."""
         for vm in self.fleet.vms.values():
             if vm is not self.fleet.leader:
-                vm.leading._orders = fakes.Cut(self.fleet.orders)
-                vm.leading._orders.dead.add("a")
+                vm.leader_role._orders = fakes.Cut(self.fleet.orders)
+                vm.leader_role._orders.dead.add("a")
 
     def second_leads(self):
         """Another VM takes over."""
