--- a/tests/gateway/fakes.py
+++ b/tests/gateway/fakes.py
@@ -37,7 +37,7 @@
         return asyncio.get_running_loop().time() + self.suspended
 
 
-class Lines(events.Events):
+class MemoryEvents(events.Events):
     """An event log that stores its lines in memory."""
 
     def __init__(self):
@@ -85,7 +85,7 @@
 
 
 def route(**changes):
-    """Returns a route to the service of `known`."""
+    """Returns a route to the service of `new_cluster_state`."""
     fields = {
         "name": "r",
         "host": "h",
@@ -98,7 +98,7 @@
     return routes.Route(**(fields | changes))
 
 
-def known(timer, log, *targets, keyed=True):
+def new_cluster_state(timer, log, *targets, keyed=True):
     """Returns a cluster state with one service and the given targets."""
     made = cluster_state.ClusterState(configured(), timer, log)
     service = routes.Service("s", keyed=keyed)
@@ -107,9 +107,9 @@
     return made
 
 
-def ages(of):
+def view_ages(cluster):
     """Returns the ages of the views of registrations and configuration."""
-    return of.registrations_age, of.configuration_age
+    return cluster.registrations_age, cluster.configuration_age
 
 
 class Orders:
@@ -118,7 +118,7 @@
     Attributes:
         silent: Targets that receive orders but do not respond.
         dead: Targets that orders do not reach.
-        deaf: Targets that releases do not reach.
+        lost_releases: Targets that releases do not reach.
         queued: By target, the seconds after which grants arrive although their
             connections have been reset before.
         work: Seconds until a release is confirmed.
@@ -126,19 +126,19 @@
         log: All orders that arrived.
         clashes: Earlier holder, later holder, first key and time of each
             overlap between the keys of two targets.
-        notices: Target feedback in the responses, by target.
+        feedback: Target feedback in the responses, by target.
     """
 
     def __init__(self):
         self.silent = set()
         self.dead = set()
-        self.deaf = set()
+        self.lost_releases = set()
         self.queued = {}
         self.work = 0.05
         self.delay = 0.0
         self.log = []
         self.clashes = []
-        self.notices = {}
+        self.feedback = {}
         self._tasks = []
         self._grants = collections.defaultdict(list)
         self._fences = collections.defaultdict(list)
@@ -188,12 +188,12 @@
             await asyncio.sleep(timeout)
             return result.Err(errors.Failure(errors.ErrorKind.ANSWER_LOST))
         return result.Ok(
-            self.notices.get(name, target_feedback.TargetFeedback())
+            self.feedback.get(name, target_feedback.TargetFeedback())
         )
 
     async def release(self, name, address, order, timeout):
         """Sends a release to a target."""
-        if name in self.dead or name in self.deaf:
+        if name in self.dead or name in self.lost_releases:
             await asyncio.sleep(timeout)
             return result.Err(errors.Failure(errors.ErrorKind.UNREACHABLE))
         await asyncio.sleep(0.001)
@@ -237,8 +237,9 @@
 
     Attributes:
         failing: Failure returned by every call, None if calls succeed.
-        loses: Whether commits are carried out but their responses are lost.
-        slow_claims: Seconds by which commits without a table are delayed.
+        loses_responses: Whether the responses of commits that have been carried
+            out are lost.
+        claim_delay: Seconds by which commits without a table are delayed.
         failing_lists: Number of the next list calls that fail.
         items: Values and revisions by key.
         commits: Number of commits carried out.
@@ -246,8 +247,8 @@
 
     def __init__(self):
         self.failing = None
-        self.loses = False
-        self.slow_claims = 0.0
+        self.loses_responses = False
+        self.claim_delay = 0.0
         self.failing_lists = 0
         self.items = {}
         self.commits = 0
@@ -289,7 +290,7 @@
         """Writes if the keys have the expected revisions."""
         await asyncio.sleep(0.005)
         if not any("table" in write.key for write in writes):
-            await asyncio.sleep(self.slow_claims)
+            await asyncio.sleep(self.claim_delay)
         if self.failing:
             return result.Err(self.failing)
         for key, revision in expected.items():
@@ -300,7 +301,7 @@
         self.commits += 1
         for write in writes:
             self.items[write.key] = (write.value, self._revision)
-        if self.loses:
+        if self.loses_responses:
             return result.Err(UNKNOWN)
         return result.Ok(self._revision)
 
@@ -331,7 +332,7 @@
     def __init__(self):
         super().__init__()
         self.stale_seconds = 0.0
-        self._silenced = 0
+        self._stalls = 0
         self._times = {}
         self._history = []
         self._written = asyncio.Event()
@@ -342,9 +343,9 @@
         self.items[key] = (value, self._revision)
         return self._note(key)
 
-    def silence(self):
+    def stall_watches(self):
         """Lets all pending watches hang forever."""
-        self._silenced += 1
+        self._stalls += 1
 
     def remove(self, key):
         """Removes a key; returns when."""
@@ -381,7 +382,7 @@
 
     async def watch(self, prefix, after, wait):
         """Waits for changes after a revision."""
-        silenced = self._silenced
+        stalls = self._stalls
         await asyncio.sleep(0.005)
         try:
             async with asyncio.timeout(wait):
@@ -389,7 +390,7 @@
                     await self._written.wait()
         except TimeoutError:
             keys = {}
-        if silenced < self._silenced:
+        if stalls < self._stalls:
             await asyncio.Event().wait()
         if self.failing:
             return result.Err(self.failing)
@@ -409,7 +410,7 @@
         }
 
 
-class Cut:
+class FaultyProxy:
     """One VM's connections to a store or to targets, with injected failures.
 
     Attributes:
--- a/tests/gateway/fleet.py
+++ b/tests/gateway/fleet.py
@@ -64,13 +64,13 @@
         address: Its registered address, empty if it is not in the store.
         service: Name of its service.
         born: Start time that identifies its incarnation.
-        says: Headers that it adds to all its responses.
+        extra_headers: Headers that it adds to all its responses.
         rejects: Whether it rejects requests without running them.
         runs: Whether rejections lack the header that states this.
         work: Duration of a request in seconds.
         slots: Number of requests that it runs at a time.
         arrivals: Requests that have arrived.
-        passed: Time, VM and headers of each response received by a VM.
+        responses: Time, VM and headers of each response received by a VM.
     """
 
     def __init__(self, name, service, orders, *, work=0.05, slots=4):
@@ -78,13 +78,13 @@
         self.address = ""
         self.service = service
         self.born = 1
-        self.says = {}
+        self.extra_headers = {}
         self.rejects = False
         self.runs = True
         self.work = work
         self.slots = slots
         self.arrivals = []
-        self.passed = []
+        self.responses = []
         self._orders = orders
         self._running = asyncio.Semaphore(slots)
 
@@ -111,7 +111,7 @@
     async def handle(self, vm, path, key, sent):
         """Handles a request; returns status and headers."""
         response_headers = [
-            (n.encode(), v.encode()) for n, v in self.says.items()
+            (n.encode(), v.encode()) for n, v in self.extra_headers.items()
         ]
         if path == "/health":
             return 200, response_headers
@@ -126,7 +126,7 @@
         async with self._running:
             await asyncio.sleep(self.work)
         response_headers = [
-            (n.encode(), v.encode()) for n, v in self.says.items()
+            (n.encode(), v.encode()) for n, v in self.extra_headers.items()
         ]
         return 200, [*response_headers, (b"x-server-seal", b"s")]
 
@@ -166,7 +166,7 @@
         await asyncio.sleep(_DELAY_SECONDS)
         reply.status, reply.headers = status, response_headers
         reply.complete = True
-        self._target.passed.append(
+        self._target.responses.append(
             (virtual.now(), self._vm, dict(response_headers))
         )
 
@@ -214,7 +214,7 @@
         if vm is not None:
             loop = asyncio.get_running_loop()
             loop.call_later(
-                _DELAY_SECONDS, vm.admitting.receive, self._here, message
+                _DELAY_SECONDS, vm.admission.receive, self._here, message
             )
 
     async def call(self, address, path, body, timeout, *, fresh=False):
@@ -265,19 +265,21 @@
                 region=place.region,
             ),
         )
-        timer, self.log = fleet.clock, fakes.Lines()
+        timer, self.log = fleet.clock, fakes.MemoryEvents()
         self.name = name
         self.zone = zone
-        self.beliefs = cluster_state.ClusterState(configured, timer, self.log)
+        self.cluster_state = cluster_state.ClusterState(
+            configured, timer, self.log
+        )
         if not fleet.watched:
-            self.beliefs.take_configuration(fleet.configuration)
-            self.beliefs.take_targets(
+            self.cluster_state.take_configuration(fleet.configuration)
+            self.cluster_state.take_targets(
                 [target.registration for target in fleet.targets.values()]
             )
-        self.rooms = load_balancing.LoadBalancer(
+        self.load_balancer = load_balancing.LoadBalancer(
             place, base.vm.regions, configured.rooms
         )
-        store = fakes.Cut(fleet.store)
+        store = fakes.FaultyProxy(fleet.store)
         if fleet.link is not None and zone != "z":
             store = links.FarStore(fleet.store, fleet.link)
         self.store = store
@@ -290,82 +292,91 @@
             store,
             fleet.orders,
             channel,
-            self.beliefs,
+            self.cluster_state,
             timer,
             self.log,
         )
-        self.watching = store_watching.StoreWatcher(
+        self.store_watcher = store_watching.StoreWatcher(
             configured.store,
             store,
             records.Records(),
-            self.beliefs,
+            self.cluster_state,
             timer,
             self.log,
         )
-        queues, dead = wait_queues.WaitQueues(), crash_detection.CrashDetector()
-        self.admitting = admission_service.AdmissionService(
-            configured, channel, self.beliefs, timer
+        queues, detector = (
+            wait_queues.WaitQueues(),
+            crash_detection.CrashDetector(),
+        )
+        self.admission = admission_service.AdmissionService(
+            configured, channel, self.cluster_state, timer
         )
-        self.peers = membership.Membership(
+        self.membership = membership.Membership(
             configured,
             boot,
             store,
             channel,
-            self.beliefs,
-            self.rooms,
+            self.cluster_state,
+            self.load_balancer,
             self.leader_role,
             queues,
-            self.admitting,
-            self.watching,
-            dead,
+            self.admission,
+            self.store_watcher,
+            detector,
             timer,
             self.log,
         )
         pool = _Pool(fleet, name)
-        self.placing = dispatching.Dispatcher(
+        self.dispatcher = dispatching.Dispatcher(
             configured,
-            self.beliefs,
-            self.rooms,
-            self.peers,
+            self.cluster_state,
+            self.load_balancer,
+            self.membership,
             queues,
-            self.admitting,
+            self.admission,
             timer,
             load_probing.LoadProber(
-                health.Health(pool), self.beliefs, self.rooms, timer, self.log
+                health.Health(pool),
+                self.cluster_state,
+                self.load_balancer,
+                timer,
+                self.log,
             ),
         )
-        self.forwarding = forwarding.Forwarder(
+        self.forwarder = forwarding.Forwarder(
             configured,
             headers.NAMES,
             headers.read_notice,
             pool,
-            self.beliefs,
-            self.rooms,
-            self.peers,
-            self.placing,
-            dead,
+            self.cluster_state,
+            self.load_balancer,
+            self.membership,
+            self.dispatcher,
+            detector,
             metrics.Metrics({}),
             timer,
             self.log,
         )
-        self.peers.listens_on(name)
+        self.membership.listens_on(name)
         if fleet.watched:
-            self.watching.start()
-        self.peers.start()
+            self.store_watcher.start()
+        self.membership.start()
 
     async def answer(self, path, body):
         """Handles a peer's call; returns the response."""
         if path == messages.ASSIGN_PATH:
-            self.peers.take_push(messages.decode(body, messages.ReportReply))
+            self.membership.take_push(
+                messages.decode(body, messages.ReportReply)
+            )
             return messages.encode(messages.UpdateAck())
         if path == messages.REPORT_PATH:
             report = messages.decode(body, messages.Report)
             return messages.encode(self.leader_role.handle_report(report))
         if path == messages.HEARD_PATH:
-            return messages.encode(self.peers.heard())
+            return messages.encode(self.membership.heard())
         if path == messages.RELAY_PATH:
             relay = messages.decode(body, messages.Relay)
-            return messages.encode(await self.peers.relay(relay))
+            return messages.encode(await self.membership.relay(relay))
         if path == messages.EXTEND_PATH:
             request = messages.decode(body, messages.ExtensionRequest)
             return messages.encode(
@@ -376,8 +387,8 @@
     def end(self):
         """Stops the daemon as a kill would."""
         self.leader_role.step_down("end")
-        self.watching.stop()
-        self.peers.abort()
+        self.store_watcher.stop()
+        self.membership.abort()
 
 
 class Fleet:
@@ -419,7 +430,7 @@
         self.cut = set()
         self.statuses = collections.Counter()
         self.refusals = []
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.targets = {}
         for service, count in ((KEYED, keyed), (PLAIN, plain)):
             for number in range(count):
@@ -510,7 +521,7 @@
     def take_target(self, registration):
         """Applies a registration on all VMs."""
         for vm in self.vms.values():
-            vm.beliefs.take_target(registration)
+            vm.cluster_state.take_target(registration)
 
     def leader(self):
         """Returns the VM that leads."""
@@ -529,14 +540,14 @@
 
     def _serving(self):
         return all(
-            vm.beliefs.owner(KEYED, key)
+            vm.cluster_state.owner(KEYED, key)
             for vm in self.vms.values()
             for key in range(0, 65536, 4096)
         )
 
     def owner(self, key=0):
         """Returns the target that owns a key."""
-        return self.targets[self.leader().beliefs.owner(KEYED, key)]
+        return self.targets[self.leader().cluster_state.owner(KEYED, key)]
 
     async def call(self, seconds, rate, path, key=None, vms=()):
         """Has callers send requests at random times.
@@ -553,13 +564,11 @@
         """
         deadline = virtual.now() + seconds
         tasks = []
-        while (
-            wait := self.chance.expovariate(rate)
-        ) + virtual.now() < deadline:
+        while (wait := self.rng.expovariate(rate)) + virtual.now() < deadline:
             await asyncio.sleep(wait)
-            name = self.chance.choice(sorted(vms or self.vms))
+            name = self.rng.choice(sorted(vms or self.vms))
             if name in self.vms:
-                drawn = key(self.chance) if key is not None else None
+                drawn = key(self.rng) if key is not None else None
                 tasks.append(asyncio.create_task(self.ask(name, path, drawn)))
         await asyncio.sleep(max(deadline - virtual.now(), 0.0))
         return tasks
@@ -570,13 +579,13 @@
         incoming = http_server.Incoming("GET", f"{path}/".encode(), now)
         incoming.headers = [
             (b"host", b"h"),
-            (b"x-attempt-id", b"a%d" % self.chance.randrange(1 << 40)),
+            (b"x-attempt-id", b"a%d" % self.rng.randrange(1 << 40)),
             (b"x-deadline-ms", b"%d" % deadline_ms),
             (b"x-sent", b"%f" % now),
         ]
         if key is not None:
             incoming.headers.append((b"x-shard-key", b"%d" % key))
-        answer = await self.vms[name].forwarding.handle(incoming)
+        answer = await self.vms[name].forwarder.handle(incoming)
         self.statuses[answer.status] += 1
         named = dict(answer.headers)
         if answer.status == 503 and b"x-server-seal" not in named:
--- a/tests/gateway/test_admission_service.py
+++ b/tests/gateway/test_admission_service.py
@@ -32,10 +32,12 @@
 
     def join(self, address, slots=1, admitted=0):
         """Adds a VM that knows one target."""
-        timer, log = fakes.VirtualClock(), fakes.Lines()
+        timer, log = fakes.VirtualClock(), fakes.MemoryEvents()
         configured = fakes.configured()
         configured.rooms = load_balancing.Policy(admitted=admitted)
-        known = fakes.known(timer, log, fakes.target("a", slots=slots))
+        known = fakes.new_cluster_state(
+            timer, log, fakes.target("a", slots=slots)
+        )
         made = admission_service.AdmissionService(
             configured, Port(self, address), known, timer
         )
--- a/tests/gateway/test_bounded_targets.py
+++ b/tests/gateway/test_bounded_targets.py
@@ -24,7 +24,7 @@
         since: When it first named a limit.
     """
     told = {}
-    for at, vm, said in target.passed:
+    for at, vm, said in target.responses:
         if b"server-limit" in said:
             told.setdefault(vm, at)
     counted = [
@@ -32,7 +32,7 @@
         for arrival in target.arrivals
         if arrival.vm in told and arrival.at >= told[arrival.vm] + TOLD_SECONDS
     ]
-    rate = float(target.says["server-limit"])
+    rate = float(target.extra_headers["server-limit"])
     allowed = 1.5 * rate * WINDOW_SECONDS + 5
     return max(
         (
@@ -56,7 +56,7 @@
 
 def _limit(target, rate):
     """Has a target name a limit; returns when."""
-    target.says["server-limit"] = str(rate)
+    target.extra_headers["server-limit"] = str(rate)
     return virtual.now()
 
 
@@ -157,7 +157,7 @@
             )
             for _ in range(3):
                 await asyncio.sleep(4.0)
-                gates = made.leader().rooms._gates
+                gates = made.leader().load_balancer._gates
                 gate = made.vms.get(gates.get(target.id))
                 for lost in {made.leader(), gate or made.leader()}:
                     made.vms.pop(lost.name).end()
@@ -202,11 +202,11 @@
                 asyncio.create_task(made.call(14.0, 15.0, "/s")),
             ]
             limited = [
-                (target, _limit(target, made.chance.choice((0.4, 2.6, 6.1))))
-                for target in made.chance.sample(list(made.targets.values()), 3)
+                (target, _limit(target, made.rng.choice((0.4, 2.6, 6.1))))
+                for target in made.rng.sample(list(made.targets.values()), 3)
             ]
             for number in range(9):
-                await asyncio.sleep(made.chance.uniform(0.3, 1.5))
+                await asyncio.sleep(made.rng.uniform(0.3, 1.5))
                 self._disturb(made, number)
             self._heal(made)
             await asyncio.gather(*calling)
@@ -216,11 +216,11 @@
 
     def _disturb(self, made, number):
         alive = sorted(made.vms)
-        what = made.chance.choice(("kill", "cut", "heal", "start", "store"))
+        what = made.rng.choice(("kill", "cut", "heal", "start", "store"))
         if what == "kill" and len(alive) > 6:
-            made.vms.pop(made.chance.choice(alive)).end()
+            made.vms.pop(made.rng.choice(alive)).end()
         elif what == "cut":
-            made.isolate(*made.chance.sample(alive, len(alive) // 3))
+            made.isolate(*made.rng.sample(alive, len(alive) // 3))
         elif what == "heal":
             self._heal(made)
         elif what == "start":
@@ -243,11 +243,11 @@
 
         async def scenario(made):
             target = made.owner()
-            made.orders.notices[target.id] = target_feedback.TargetFeedback(
+            made.orders.feedback[target.id] = target_feedback.TargetFeedback(
                 limit=3.1, names_limit=True
             )
             await asyncio.sleep(2.0)
-            known = [vm.beliefs.limits.dump() for vm in made.vms.values()]
+            known = [vm.cluster_state.limits.dump() for vm in made.vms.values()]
             assert all(limits == {target.id: 3.1} for limits in known)
 
         _play(scenario, 10)
@@ -282,11 +282,11 @@
             target = made.owner() if key else made.targets["p0"]
             _limit(target, 6.1)
             await made.call(6.0, 120.0, path, key)
-            del target.says["server-limit"]
+            del target.extra_headers["server-limit"]
             lifted = virtual.now()
             await made.call(20.0, 120.0, path, key)
             assert _share(target, lifted + 12.0, lifted + 20.0) > 10.0
-            known = [vm.beliefs.limits.dump() for vm in made.vms.values()]
+            known = [vm.cluster_state.limits.dump() for vm in made.vms.values()]
             assert not any(known)
 
         _play(scenario, 10)
@@ -299,7 +299,7 @@
             target = made.targets["p0"]
             _limit(target, 0.4)
             await made.call(5.0, 120.0, "/p")
-            del target.says["server-limit"]
+            del target.extra_headers["server-limit"]
             target.born = 2
             made.take_target(target.registration)
             began = virtual.now()
--- a/tests/gateway/test_candidates.py
+++ b/tests/gateway/test_candidates.py
@@ -26,7 +26,7 @@
 
     def __init__(self, *, keyed=False, rate=3.3):
         self.clock = fakes.VirtualClock()
-        self.beliefs = fakes.known(self.clock, fakes.Lines())
+        self.beliefs = fakes.new_cluster_state(self.clock, fakes.MemoryEvents())
         self.service = routes.Service(
             "s", keyed=keyed, cold_seconds=3.0, cold_rate=rate
         )
--- a/tests/gateway/test_cluster_state.py
+++ b/tests/gateway/test_cluster_state.py
@@ -24,7 +24,9 @@
 
 
 def _known():
-    return fakes.known(fakes.VirtualClock(), fakes.Lines(), fakes.target("a"))
+    return fakes.new_cluster_state(
+        fakes.VirtualClock(), fakes.MemoryEvents(), fakes.target("a")
+    )
 
 
 def _play(check):
@@ -224,11 +226,13 @@
         """
 
         async def main():
-            known = fakes.known(fakes.VirtualClock(), fakes.Lines())
+            known = fakes.new_cluster_state(
+                fakes.VirtualClock(), fakes.MemoryEvents()
+            )
             known.seen = 5
             await asyncio.sleep(10.0)
             evacuations = eligibility.Evacuations(zones, 9 if zones else 0)
             known.note_views(seen, 8.0, version, evacuations, 7.0)
-            assert fakes.ages(known) == ages
+            assert fakes.view_ages(known) == ages
 
         virtual.run(main())
--- a/tests/gateway/test_datagrams.py
+++ b/tests/gateway/test_datagrams.py
@@ -22,7 +22,7 @@
     """A channel whose datagrams are handed over by the test."""
 
     def __init__(self):
-        self.log = fakes.Lines()
+        self.log = fakes.MemoryEvents()
         self.received = []
         self._channel = datagrams.Channel(self.log)
         self._channel._receive = lambda *taken: self.received.append(taken)
@@ -44,8 +44,8 @@
 
 
 def _gate(port):
-    timer, log = fakes.VirtualClock(), fakes.Lines()
-    known = fakes.known(timer, log, fakes.target("a"))
+    timer, log = fakes.VirtualClock(), fakes.MemoryEvents()
+    known = fakes.new_cluster_state(timer, log, fakes.target("a"))
     made = admission_service.AdmissionService(
         fakes.configured(), port, known, timer
     )
--- a/tests/gateway/test_dispatching.py
+++ b/tests/gateway/test_dispatching.py
@@ -70,8 +70,8 @@
     """One VM's placing, with a key's owner that has a gate."""
 
     def __init__(self):
-        self.clock, self.log = fakes.VirtualClock(), fakes.Lines()
-        self.beliefs = fakes.known(
+        self.clock, self.log = fakes.VirtualClock(), fakes.MemoryEvents()
+        self.beliefs = fakes.new_cluster_state(
             self.clock, self.log, fakes.target("a"), fakes.target("b")
         )
         self.rooms = load_balancing.LoadBalancer(
--- a/tests/gateway/test_dissemination.py
+++ b/tests/gateway/test_dissemination.py
@@ -56,10 +56,12 @@
 def _play(scenario):
     async def main():
         timer = fakes.VirtualClock()
-        known = fakes.known(timer, fakes.Lines(), fakes.target("a"))
+        known = fakes.new_cluster_state(
+            timer, fakes.MemoryEvents(), fakes.target("a")
+        )
         calls = Calls()
         made = dissemination.Disseminator(
-            "vm-1", "z", calls, known, timer, fakes.Lines()
+            "vm-1", "z", calls, known, timer, fakes.MemoryEvents()
         )
         made.begin(ENTRY)
         made.announce([_vm("vm-1"), _vm("vm-2"), _vm("vm-3")])
--- a/tests/gateway/test_grant_reconciliation.py
+++ b/tests/gateway/test_grant_reconciliation.py
@@ -21,9 +21,9 @@
 
     def __init__(self, former=None, zone="z"):
         self.clock = fakes.VirtualClock()
-        self.log = fakes.Lines()
+        self.log = fakes.MemoryEvents()
         self.orders = fakes.Orders()
-        self.beliefs = fakes.known(
+        self.cluster_state = fakes.new_cluster_state(
             self.clock,
             self.log,
             fakes.target("a", zone=zone),
@@ -35,7 +35,7 @@
         self.reconciler = grant_reconciliation.GrantReconciler(
             fakes.configured(trouble_after=1e9),
             self.orders,
-            self.beliefs,
+            self.cluster_state,
             self.clock,
             self.log,
             self.authority,
@@ -267,7 +267,7 @@
             await rig.wait_granted(0)
             rig.orders.dead.add("a")
             rig.move(0, HALF - 1, B)
-            rig.beliefs.take_target(fakes.target("a", born=2))
+            rig.cluster_state.take_target(fakes.target("a", born=2))
             assert await rig.wait_granted(0) < 0.6
             rig.reconciler.stop()
 
@@ -307,7 +307,7 @@
             rig.orders.delay = 3.5
             await asyncio.sleep(0.7)
             rig.orders.delay = 0.0
-            rig.orders.deaf.add("a")
+            rig.orders.lost_releases.add("a")
             rig.move(0, 99, B)
             await rig.wait_granted(0)
             await asyncio.sleep(4.0)
@@ -327,7 +327,7 @@
             await rig.wait_granted(0)
             rig.orders.delay = 1.5
             await asyncio.sleep(0.7)
-            rig.orders.deaf.add("a")
+            rig.orders.lost_releases.add("a")
             rig.move(0, HALF - 1, B)
             rig.orders.delay = 0.0
             assert await rig.wait_granted(0) < 3.0
@@ -352,7 +352,7 @@
             rig = Rig(zone="far")
             await rig.wait_granted(0)
             rig.orders.queued["a"] = 1.1
-            rig.orders.deaf.add("a")
+            rig.orders.lost_releases.add("a")
             await asyncio.sleep(1.0)
             rig.move(0, HALF - 1, B)
             await rig.wait_granted(0)
--- a/tests/gateway/test_leader_role.py
+++ b/tests/gateway/test_leader_role.py
@@ -23,8 +23,10 @@
     def __init__(self, name, store, orders, targets, clock=None):
         self.name = name
         self.clock = clock or fakes.VirtualClock()
-        self.log = fakes.Lines()
-        self.beliefs = fakes.known(self.clock, self.log, *targets)
+        self.log = fakes.MemoryEvents()
+        self.cluster_state = fakes.new_cluster_state(
+            self.clock, self.log, *targets
+        )
         configured = fakes.configured(settle=0.1, settle_most=0.2)
         vm = msgspec.structs.replace(configured.vm, id=name)
         self.leader_role = leader_role.LeaderRole(
@@ -33,7 +35,7 @@
             store,
             orders,
             peer_calls.PeerCalls(http_client.Pool(1.0), self.log),
-            self.beliefs,
+            self.cluster_state,
             self.clock,
             self.log,
         )
@@ -111,7 +113,7 @@
             version = _stored(store).version
             # The former leader observes a target leave and tries to move its
             # keys.
-            one.beliefs.lose_target("a")
+            one.cluster_state.lose_target("a")
             await _until(lambda: not one.leader_role.is_leader)
             assert _stored(store).version == version
             await asyncio.sleep(3.0)
@@ -133,10 +135,10 @@
             store, orders, (one, two) = _cluster("vm-1", "vm-2")
             await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
-            store.slow_claims = 1.0
+            store.claim_delay = 1.0
             takeover = asyncio.create_task(two.leader_role.take_over("test"))
             await asyncio.sleep(0.2)
-            one.beliefs.lose_target("a")
+            one.cluster_state.lose_target("a")
             version = _stored(store).version
             await _until(lambda: _stored(store).version > version)
             assert await takeover
@@ -268,7 +270,7 @@
             await _until(lambda: len(orders.log) >= 400)
             await asyncio.sleep(0.5)
             assert all(_owned(orders, key) for key in (0, 30000, 65535))
-            known = one.beliefs.assignments["s"]
+            known = one.cluster_state.assignments["s"]
             assert all(known.owners)
             assert known.version[1] < 40
             one.leader_role.step_down("end")
@@ -402,7 +404,7 @@
             store, orders = fakes.Store(), fakes.Orders()
             targets = [fakes.target(n) for n in ("a", "b", "c")]
             clock = fakes.VirtualClock()
-            stores = [fakes.Cut(store) for _ in range(2)]
+            stores = [fakes.FaultyProxy(store) for _ in range(2)]
             one, two = (
                 Vm(f"vm-{i + 1}", stores[i], orders, targets, clock)
                 for i in range(2)
@@ -463,7 +465,7 @@
                 for n, zone in (("a", "far"), ("b", "z"), ("c", "z"))
             ]
             clock = fakes.VirtualClock()
-            reach = [fakes.Cut(orders) for _ in range(2)]
+            reach = [fakes.FaultyProxy(orders) for _ in range(2)]
             one, two = (
                 Vm(f"vm-{i + 1}", store, reach[i], targets, clock)
                 for i in range(2)
@@ -501,8 +503,8 @@
             store, orders = fakes.Store(), fakes.Orders()
             targets = [fakes.target(n) for n in ("a", "b", "c")]
             clock = fakes.VirtualClock()
-            stores = [fakes.Cut(store) for _ in range(3)]
-            reach = [fakes.Cut(orders) for _ in range(3)]
+            stores = [fakes.FaultyProxy(store) for _ in range(3)]
+            reach = [fakes.FaultyProxy(orders) for _ in range(3)]
             one, two, three = (
                 Vm(f"vm-{i + 1}", stores[i], reach[i], targets, clock)
                 for i in range(3)
@@ -542,7 +544,7 @@
             store, orders = fakes.Store(), fakes.Orders()
             targets = [fakes.target(n) for n in ("a", "b", "c")]
             clock = fakes.VirtualClock()
-            stores = [fakes.Cut(store) for _ in range(6)]
+            stores = [fakes.FaultyProxy(store) for _ in range(6)]
             vms = [
                 Vm(f"vm-{i}", stores[i], orders, targets, clock)
                 for i in range(6)
@@ -626,8 +628,8 @@
             store, orders, (one,) = _cluster("vm-1")
             await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
-            store.loses = True
-            one.beliefs.take_target(fakes.target("a", leaving=True))
+            store.loses_responses = True
+            one.cluster_state.take_target(fakes.target("a", leaving=True))
             await _until(
                 lambda: "a" not in {h.id for h in _stored(store).holders()}
             )
@@ -704,7 +706,7 @@
 
         async def main():
             _, _, (one,) = _cluster("vm-1")
-            one.beliefs.take_leader(entry)
+            one.cluster_state.take_leader(entry)
             reply = one.leader_role.handle_report(one.report())
             assert (reply.leading, reply.leader) == (False, entry)
 
@@ -806,7 +808,9 @@
             await one.leader_role.take_over("test")
             await _until(lambda: len(self._holders(orders)) >= per_zone)
             await asyncio.sleep(2.0)
-            one.beliefs.take_evacuations(eligibility.Evacuations(("z",), 9))
+            one.cluster_state.take_evacuations(
+                eligibility.Evacuations(("z",), 9)
+            )
             await asyncio.sleep(1.0)
             assert all(n.startswith("far") for n in self._holders(orders))
             assert all(_owned(orders, k) for k in (0, 30000, 65535))
@@ -824,17 +828,19 @@
             await _until(lambda: _owned(orders, 0))
             await asyncio.sleep(1.0)
             evacuated = eligibility.Evacuations(("z",), 9)
-            one.beliefs.take_evacuations(evacuated)
+            one.cluster_state.take_evacuations(evacuated)
             await asyncio.sleep(0.3)
             one.leader_role.step_down("killed")
-            two.beliefs.take_evacuations(evacuated)
+            two.cluster_state.take_evacuations(evacuated)
             await two.leader_role.take_over("test")
             await asyncio.sleep(8.0)
             assert all(n.startswith("far") for n in self._holders(orders))
             assert orders.clashes == []
-            two.beliefs.take_evacuations(eligibility.Evacuations((), 11))
+            two.cluster_state.take_evacuations(eligibility.Evacuations((), 11))
             await asyncio.sleep(1.0)
-            two.beliefs.take_evacuations(eligibility.Evacuations(("far",), 12))
+            two.cluster_state.take_evacuations(
+                eligibility.Evacuations(("far",), 12)
+            )
             await asyncio.sleep(4.0)
             assert all(n.startswith("z-") for n in self._holders(orders))
             assert orders.clashes == []
@@ -849,7 +855,7 @@
             orders, (one, _) = self._cluster(2)
             await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
-            one.beliefs.take_evacuations(
+            one.cluster_state.take_evacuations(
                 eligibility.Evacuations(("far", "z"), 9)
             )
             await asyncio.sleep(4.0)
--- a/tests/gateway/test_leaving_targets.py
+++ b/tests/gateway/test_leaving_targets.py
@@ -16,14 +16,14 @@
 
 def _leave(target):
     """Has a target say that it leaves; returns when."""
-    target.says["server-leaving"] = "1"
+    target.extra_headers["server-leaving"] = "1"
     return virtual.now()
 
 
 def too_late(target):
     """Returns requests that a VM sent on for too long after it was told."""
     told = {}
-    for at, vm, said in target.passed:
+    for at, vm, said in target.responses:
         if b"server-leaving" in said:
             told.setdefault(vm, at)
     return [
@@ -110,7 +110,7 @@
 
         async def scenario(made):
             target = made.owner()
-            made.orders.notices[target.id] = target_feedback.TargetFeedback(
+            made.orders.feedback[target.id] = target_feedback.TargetFeedback(
                 leaving=True
             )
             await asyncio.sleep(3.0)
@@ -195,7 +195,7 @@
                     continue
                 made.revision += 1
                 for vm in made.vms.values():
-                    vm.beliefs.lose_target(target.id, made.revision)
+                    vm.cluster_state.lose_target(target.id, made.revision)
             if first:
                 _leave(target)
             await calling
@@ -211,7 +211,7 @@
             target = made.targets["p0"]
             _leave(target)
             await made.call(3.0, 60.0, "/p")
-            del target.says["server-leaving"]
+            del target.extra_headers["server-leaving"]
             target.born += 1
             _register(made, target)
             since = virtual.now()
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -49,7 +49,7 @@
         """A limit is logged when it is named, changed and lifted."""
 
         async def main():
-            log, timer = fakes.Lines(), fakes.VirtualClock()
+            log, timer = fakes.MemoryEvents(), fakes.VirtualClock()
             known = cluster_state.ClusterState(fakes.configured(), timer, log)
             target = fakes.target("a")
             for rate in (6.1, 6.1, 3.0, None, None):
--- a/tests/gateway/test_membership.py
+++ b/tests/gateway/test_membership.py
@@ -100,8 +100,8 @@
 
 def _play(scenario):
     async def main():
-        timer, log = fakes.VirtualClock(), fakes.Lines()
-        known = fakes.known(timer, log, fakes.target("a"))
+        timer, log = fakes.VirtualClock(), fakes.MemoryEvents()
+        known = fakes.new_cluster_state(timer, log, fakes.target("a"))
         store, calls = Store(), Calls()
         made = _peers(fakes.configured(), known, store, calls, timer, log)
         await scenario(made, known, store, calls)
@@ -176,7 +176,7 @@
             made._reported_at = virtual.now()
             await asyncio.sleep(way)
             made._take_reply(reply)
-            assert fakes.ages(known) == (
+            assert fakes.view_ages(known) == (
                 pytest.approx(0.5 + way),
                 pytest.approx(0.7 + way),
             )
@@ -351,8 +351,8 @@
             base = fakes.configured()
             name = f"vm-{number:03}"
             vm = msgspec.structs.replace(base.vm, id=name, peers=name)
-            log = fakes.Lines()
-            known = fakes.known(timer, log, fakes.target("a"))
+            log = fakes.MemoryEvents()
+            known = fakes.new_cluster_state(timer, log, fakes.target("a"))
             self.vms[name] = _peers(
                 msgspec.structs.replace(base, vm=vm),
                 known,
--- a/tests/gateway/test_news_histories.py
+++ b/tests/gateway/test_news_histories.py
@@ -85,7 +85,7 @@
                 self._isolate(leaders[:1])
             elif drawn < 0.8:
                 now = virtual.now()
-                self.fleet.store.silence()
+                self.fleet.store.stall_watches()
                 for times in self._disturbed.values():
                     times.append([now, now])
             elif leaders and len(vms) > _VMS - _KILLED_MOST:
@@ -113,8 +113,8 @@
         while virtual.now() < self._ends + 4.0:
             for name, vm in self.fleet.vms.items():
                 known = self._known[name]
-                if not known or known[-1][1] != vm.beliefs.version:
-                    known.append((virtual.now(), vm.beliefs.version))
+                if not known or known[-1][1] != vm.cluster_state.version:
+                    known.append((virtual.now(), vm.cluster_state.version))
             await asyncio.sleep(_LOOK_SECONDS)
 
     # The verdict.
--- a/tests/gateway/test_news_in_time.py
+++ b/tests/gateway/test_news_in_time.py
@@ -43,7 +43,7 @@
     while len(took) < len(made.vms) - len(excluded):
         assert virtual.now() < since + 30.0
         for name, vm in made.vms.items():
-            if name not in excluded and vm.beliefs.version >= version:
+            if name not in excluded and vm.cluster_state.version >= version:
                 took.setdefault(name, virtual.now() - since)
         await asyncio.sleep(0.01)
     return took
@@ -122,7 +122,7 @@
         """
 
         async def scenario(made):
-            made.store.silence()
+            made.store.stall_watches()
             silent = virtual.now()
             await asyncio.sleep(after)
             target = made.targets["p0"]
@@ -131,7 +131,9 @@
             bound = max(since + DRAIN_SECONDS, silent + CONTACT_SECONDS)
             await made.call(bound - since, 200.0, "/p")
             behind = [
-                name for name, vm in made.vms.items() if vm.beliefs.version < 3
+                name
+                for name, vm in made.vms.items()
+                if vm.cluster_state.version < 3
             ]
             assert behind == []
             await made.call(6.0, 200.0, "/p")
--- a/tests/gateway/test_proofs.py
+++ b/tests/gateway/test_proofs.py
@@ -35,11 +35,11 @@
 
     def __init__(self):
         self.clock = fakes.VirtualClock()
-        self.log = fakes.Lines()
+        self.log = fakes.MemoryEvents()
         self.orders = fakes.Orders()
         self.born = BORN
         self._revision = 10
-        self.beliefs = fakes.known(
+        self.cluster_state = fakes.new_cluster_state(
             self.clock,
             self.log,
             fakes.target("a", born=BORN),
@@ -50,7 +50,7 @@
         self.reconciler = grant_reconciliation.GrantReconciler(
             fakes.configured(trouble_after=1e9),
             self.orders,
-            self.beliefs,
+            self.cluster_state,
             self.clock,
             self.log,
             authority,
@@ -64,7 +64,7 @@
     def register(self, name="a", **changes):
         """Applies a registration with the next store revision."""
         self._revision += 1
-        self.beliefs.take_target(
+        self.cluster_state.take_target(
             fakes.target(name, revision=self._revision, **changes)
         )
 
@@ -91,7 +91,7 @@
     def registration_expires(self):
         """Its registration expires: it is partitioned but runs, or leaves."""
         self._revision += 1
-        self.beliefs.lose_target("a", self._revision)
+        self.cluster_state.lose_target("a", self._revision)
 
     def restart(self):
         """It crashes, and its next incarnation registers."""
@@ -110,7 +110,7 @@
 
     def assign_new_fences(self):
         """It did not respond, and only its former incarnation is recorded."""
-        known = self.beliefs.directory.get("a").target.born
+        known = self.cluster_state.directory.get("a").target.born
         renewed = {_holder(known): _holder(known)}
         self.table = ranges.refence(self.table, renewed, "c")
         self.reconciler.apply(self.table)
@@ -126,13 +126,13 @@
 
     def releases_lost(self):
         """Only releases do not reach it."""
-        self.orders.deaf.add("a")
+        self.orders.lost_releases.add("a")
 
     def connection_restored(self):
         """Orders and responses get through again."""
         self.orders.dead.clear()
         self.orders.silent.clear()
-        self.orders.deaf.clear()
+        self.orders.lost_releases.clear()
 
     def move_all_keys_away(self):
         """Its keys move to the other target."""
@@ -298,7 +298,7 @@
 
         async def main():
             cluster = Cluster()
-            known = cluster.beliefs.directory
+            known = cluster.cluster_state.directory
             known.end("a", BORN, 0.0)
             known.learn_run("a", BORN + 5, "a:81", 0.0)
             current = known.get("a").target
@@ -319,7 +319,7 @@
         async def main():
             cluster = Cluster()
             cluster.late_write_of_former_incarnation()
-            assert cluster.beliefs.directory.get("a").target.born == BORN
+            assert cluster.cluster_state.directory.get("a").target.born == BORN
             assert cluster.log.named("older_run_registered") == [
                 {"target": "a", "born": BORN - 1, "known": BORN}
             ]
--- a/tests/gateway/test_reload.py
+++ b/tests/gateway/test_reload.py
@@ -31,7 +31,7 @@
         """
 
         async def main():
-            log = fakes.Lines()
+            log = fakes.MemoryEvents()
             made = _daemon(log)
             known = made._beliefs
             new = fakes.configured()
@@ -51,7 +51,7 @@
         """A new address of the store is said to wait for the next start."""
 
         async def main():
-            log = fakes.Lines()
+            log = fakes.MemoryEvents()
             made = _daemon(log)
             new = fakes.configured()
             new.store = msgspec.structs.replace(new.store, address="x:1")
--- a/tests/gateway/test_resting_targets.py
+++ b/tests/gateway/test_resting_targets.py
@@ -13,7 +13,7 @@
 
 def _rest(target, seconds, *, runs=True):
     """Has a target turn all requests away; returns when."""
-    target.says["retry-after"] = seconds
+    target.extra_headers["retry-after"] = seconds
     target.rejects = True
     target.runs = runs
     return virtual.now()
@@ -22,7 +22,7 @@
 def most_beyond(target, seconds):
     """Returns the most requests of a VM that reach a target in its rest."""
     asked = [
-        (at, vm) for at, vm, said in target.passed if b"retry-after" in said
+        (at, vm) for at, vm, said in target.responses if b"retry-after" in said
     ]
     return max(
         (
@@ -76,7 +76,7 @@
             _rest(target, "1.5")
             await made.call(3.0, 120.0, path, key)
             target.rejects = False
-            del target.says["retry-after"]
+            del target.extra_headers["retry-after"]
             await asyncio.sleep(1.5)
             since = virtual.now()
             await made.call(8.0, 120.0, path, key)
@@ -139,7 +139,7 @@
             _rest(target, "7200", runs=False)
             await made.call(2.0, 120.0, "/p")
             target.rejects = False
-            target.says.clear()
+            target.extra_headers.clear()
             target.born = 2
             made.take_target(target.registration)
             since = virtual.now()
--- a/tests/gateway/test_start.py
+++ b/tests/gateway/test_start.py
@@ -70,7 +70,9 @@
 def _behind(made, version):
     """Returns the VMs that do not know a version."""
     return [
-        name for name, vm in made.vms.items() if vm.beliefs.version < version
+        name
+        for name, vm in made.vms.items()
+        if vm.cluster_state.version < version
     ]
 
 
--- a/tests/gateway/test_store_watching.py
+++ b/tests/gateway/test_store_watching.py
@@ -48,8 +48,8 @@
 
 def _watching(store, *targets):
     """Makes a VM's view of the store; returns it with its beliefs and log."""
-    timer, log = fakes.VirtualClock(), fakes.Lines()
-    known = fakes.known(timer, log, *targets)
+    timer, log = fakes.VirtualClock(), fakes.MemoryEvents()
+    known = fakes.new_cluster_state(timer, log, *targets)
     made = store_watching.StoreWatcher(
         settings.StoreSettings(address="127.0.0.1:1"),
         store,
@@ -329,13 +329,13 @@
         """Guards against a grace that begins anew at each VM that is told."""
 
         async def main():
-            timer, log = fakes.VirtualClock(), fakes.Lines()
-            leader = fakes.known(timer, log, fakes.target("a"))
+            timer, log = fakes.VirtualClock(), fakes.MemoryEvents()
+            leader = fakes.new_cluster_state(timer, log, fakes.target("a"))
             leader.take_target(fakes.target("a", leaving=True, revision=5))
             leader.seen = 5
             await asyncio.sleep(1.5)
             news = leader.news_after(1, leader.version)
-            behind = fakes.known(timer, log, fakes.target("a"))
+            behind = fakes.new_cluster_state(timer, log, fakes.target("a"))
             behind.take_news(news)
             ends = [k.directory.get("a").until for k in (leader, behind)]
             assert ends[0] == ends[1]
@@ -365,7 +365,7 @@
             made.start()
             wait = settings.StoreSettings(address="").watch_wait
             await asyncio.sleep(wait + held_up + 0.01)
-            for age in fakes.ages(known):
+            for age in fakes.view_ages(known):
                 assert age == pytest.approx(held_up + 0.01, abs=0.001)
             made.stop()
 
@@ -387,10 +387,10 @@
             await asyncio.sleep(leads_at)
             made.rely_on_leader(False, closely=True)
             await asyncio.sleep(0.5)
-            store.silence()
+            store.stall_watches()
             await asyncio.sleep(contact)
             for _ in range(100):
-                assert max(fakes.ages(known)) < contact
+                assert max(fakes.view_ages(known)) < contact
                 await asyncio.sleep(0.1)
             made.stop()
 
--- a/tests/gateway/test_witnessing.py
+++ b/tests/gateway/test_witnessing.py
@@ -52,9 +52,9 @@
     def __init__(self, fleet, name, boot):
         self.name = name
         self.boot = boot
-        self.store = fakes.Cut(fleet.store)
-        self.log = fakes.Lines()
-        self.beliefs = fakes.known(
+        self.store = fakes.FaultyProxy(fleet.store)
+        self.log = fakes.MemoryEvents()
+        self.cluster_state = fakes.new_cluster_state(
             fleet.clock, self.log, *(fakes.target(n) for n in "abc")
         )
         configured = fakes.configured(settle=0.1, settle_most=0.2)
@@ -65,7 +65,7 @@
             self.store,
             fleet.orders,
             Calls(fleet, name),
-            self.beliefs,
+            self.cluster_state,
             fleet.clock,
             self.log,
         )
@@ -73,7 +73,7 @@
 
     def report(self):
         """Returns this VM's report."""
-        leader = self.beliefs.leader
+        leader = self.cluster_state.leader
         return messages.Report(
             messages.VmEntry(self.name, self.boot, self.name, self.name),
             store=self.store.failing is None,
@@ -120,7 +120,9 @@
         """The leading VM of the latest epoch, None if no VM leads."""
         leading_now = [v for v in self.vms.values() if v.leader_role.is_leader]
         return max(
-            leading_now, key=lambda v: v.beliefs.leader.epoch, default=None
+            leading_now,
+            key=lambda v: v.cluster_state.leader.epoch,
+            default=None,
         )
 
     async def _report_loop(self):
@@ -130,7 +132,7 @@
                 self._report(vm)
 
     def _report(self, vm):
-        leader = vm.beliefs.leader
+        leader = vm.cluster_state.leader
         other = self.vms.get(leader.vm) if leader else None
         if (
             other is None
@@ -139,7 +141,9 @@
         ):
             return
         reply = other.leader_role.handle_report(vm.report())
-        if reply.leader is not None and vm.beliefs.take_leader(reply.leader):
+        if reply.leader is not None and vm.cluster_state.take_leader(
+            reply.leader
+        ):
             vm.leader_role.step_down_if_outranked(reply.leader)
         if reply.leading:
             vm.leader_role.handle_reply(reply)
@@ -151,8 +155,12 @@
             return
         for other in self.vms.values():
             apart = {name, other.name} & self.isolated
-            if not apart and other.beliefs.take_leader(vm.beliefs.leader):
-                other.leader_role.step_down_if_outranked(vm.beliefs.leader)
+            if not apart and other.cluster_state.take_leader(
+                vm.cluster_state.leader
+            ):
+                other.leader_role.step_down_if_outranked(
+                    vm.cluster_state.leader
+                )
 
 
 async def _wait_granted(fleet, key, excluded, seconds=30.0):
@@ -371,7 +379,9 @@
                 vm.leader_role.witness.handle_request(request)
             )
             await asyncio.sleep(0.001)
-            vm.beliefs.take_leader(leadership.LeaderEntry("vm-3", "x", 2, ""))
+            vm.cluster_state.take_leader(
+                leadership.LeaderEntry("vm-3", "x", 2, "")
+            )
             assert not (await pending).promised
             fleet.stop()
 
@@ -387,8 +397,8 @@
         async def main():
             fleet = await _started_fleet()
             fleet.start("vm-2")
-            leader = fleet.vms["vm-1"].beliefs.leader
-            fleet.vms["vm-2"].beliefs.take_leader(leader)
+            leader = fleet.vms["vm-1"].cluster_state.leader
+            fleet.vms["vm-2"].cluster_state.take_leader(leader)
             await asyncio.sleep(3.0)
             stored, _ = fleet.store.items[messages.WITNESSES_KEY]
             record = msgspec.json.decode(stored, type=lease_extension.Record)
@@ -403,7 +413,7 @@
 
         async def main():
             fleet = Fleet()
-            fleet.store.loses = True
+            fleet.store.loses_responses = True
             await fleet.take_over("vm-1")
             vm = fleet.vms["vm-1"]
             async with asyncio.timeout(10.0):
@@ -461,12 +471,12 @@
 
     def releases_lost(self):
         """Releases do not reach a target any more."""
-        self.fleet.orders.deaf.add("a")
+        self.fleet.orders.lost_releases.add("a")
 
     def registration_expires(self):
         """A partitioned target's registration expires."""
         for vm in self.fleet.vms.values():
-            vm.beliefs.lose_target("a", 100)
+            vm.cluster_state.lose_target("a", 100)
 
     def target_dead(self):
         """Orders do not reach a target any more."""
@@ -476,7 +486,7 @@
         """Only the current leader reaches a target."""
         for vm in self.fleet.vms.values():
             if vm is not self.fleet.leader:
-                vm.leader_role._orders = fakes.Cut(self.fleet.orders)
+                vm.leader_role._orders = fakes.FaultyProxy(self.fleet.orders)
                 vm.leader_role._orders.dead.add("a")
 
     def second_leads(self):
