--- a/packages/mimosastile-gateway/src/mimosastile_gateway/grant_reconciliation.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/grant_reconciliation.py
@@ -131,7 +131,7 @@
 
     __slots__ = (
         "_clock",
-        "_cluster_state",
+        "_cluster",
         "_events",
         "_exposures",
         "_former_leaders",
@@ -177,7 +177,7 @@
         """
         self._settings = configured
         self._orders = orders
-        self._cluster_state = cluster
+        self._cluster = cluster
         self._clock = timer
         self._events = log
         self._lease = lease
@@ -266,7 +266,7 @@
         at = self._last_alive_at.get(holder.id, float("-inf"))
         return self._clock.boot() - at < _ALIVE_SECONDS
 
-    def regrant(self, key: int, target: str) -> None:
+    def record_miss(self, key: int, target: str) -> None:
         """Grants a range again after its owner rejected one of its keys."""
         if self._table is None:
             return
@@ -453,9 +453,9 @@
 
         A target that gets no requests from callers gives feedback only here.
         """
-        entry = self._cluster_state.directory.get(holder.id)
+        entry = self._cluster.directory.get(holder.id)
         if entry is not None and entry.target.born == holder.born:
-            self._cluster_state.hear_notice(entry.target, notice)
+            self._cluster.apply_feedback(entry.target, notice)
 
     async def _grant(
         self, holder: ranges.Holder, owner: _OwnerStatus, state: _PieceState
@@ -481,7 +481,7 @@
         if grant_seconds > self._regular_grant_seconds:
             # Recorded before the order can arrive: a leader that is replaced
             # meanwhile reports how long its grants last.
-            self._lease.note_longer(
+            self._lease.record_extended_grant(
                 leadership.lapsed_at(latest_arrival, grant_seconds)
             )
         self._exposures.setdefault(holder, []).append(exposure)
@@ -498,7 +498,7 @@
             exposure.until = leadership.lapsed_at(now, grant_seconds)
             exposure.until += self._transit_delay(holder)
             if grant_seconds > self._regular_grant_seconds:
-                self._lease.note_longer(exposure.until)
+                self._lease.record_extended_grant(exposure.until)
         current = self._states.get(item.piece) is state
         if isinstance(response, result.Ok):
             exposure.until = leadership.lapsed_at(now, grant_seconds)
@@ -514,7 +514,7 @@
             owner.refused = owner.refused or current
         if failure.kind is errors.ErrorKind.TARGET_REPLACED:
             exposure.until = now
-            self._cluster_state.end_target(holder.id, holder.born)
+            self._cluster.end_target(holder.id, holder.born)
         owner.failures += 1
         owner.failing_since = (
             sent_at if owner.failing_since is None else owner.failing_since
@@ -542,7 +542,7 @@
         from the arrival of the order, so without this allowance the target
         could still hold keys that another target has been granted.
         """
-        entry = self._cluster_state.directory.get(holder.id)
+        entry = self._cluster.directory.get(holder.id)
         vm = self._settings.vm
         zone = entry.target.zone if entry else ""
         same_region = vm.regions.get(zone) == vm.region
@@ -631,7 +631,7 @@
                     how = "released"
                     break
                 if response.err_value.kind is errors.ErrorKind.TARGET_REPLACED:
-                    self._cluster_state.end_target(holder.id, holder.born)
+                    self._cluster.end_target(holder.id, holder.born)
                 remaining = expires_at - self._clock.boot()
                 await asyncio.sleep(
                     min(max(remaining, 0.0), _ORDER_RETRY_SECONDS)
@@ -674,14 +674,14 @@
         former leader may have sent some. In that case the later incarnation
         has to confirm a release, or the grants have to expire.
         """
-        target_directory = self._cluster_state.directory
+        target_directory = self._cluster.directory
         if target_directory.has_left_address(holder.id, holder.born):
             return True
         if holder in self._uncertain_incarnations:
             return False
         if self._clock.boot() < self._former_grants_expire_at:
             return False
-        return target_directory.has_started_again(holder.id, holder.born)
+        return target_directory.has_restarted(holder.id, holder.born)
 
     def _prune_expired(self) -> None:
         """Drops expired exposures and targets no longer in the table."""
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/leader_role.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/leader_role.py
@@ -85,8 +85,8 @@
         "_boot",
         "_calls",
         "_clock",
-        "_cluster_state",
-        "_crash_detector",
+        "_cluster",
+        "_crashes",
         "_demand",
         "_disseminator",
         "_entry",
@@ -108,7 +108,7 @@
         "_settings",
         "_store",
         "_store_failing_since",
-        "_successor_selection",
+        "_successors",
         "_taking_over",
         "_tasks",
         "_term_started_at",
@@ -147,10 +147,10 @@
         self._boot = boot
         self._store = store
         self._orders = orders
-        self._cluster_state = cluster
+        self._cluster = cluster
         self._clock = timer
         self._events = log
-        self._crash_detector = crash_detection.CrashDetector()
+        self._crashes = crash_detection.CrashDetector()
         self._disseminator = dissemination.Disseminator(
             configured.vm.id, configured.vm.zone, calls, cluster, timer, log
         )
@@ -180,7 +180,7 @@
         self.extended_grants_until = float("-inf")
         self._term_started_at = 0.0
         self._store_failing_since: float | None = None
-        self._successor_selection = successors.SuccessorSelection()
+        self._successors = successors.SuccessorSelection()
         self._tasks: list[asyncio.Task[Any]] = []
         self._taking_over = False
 
@@ -213,7 +213,7 @@
         return planning.Planner(
             self._settings,
             self._disseminator,
-            self._cluster_state,
+            self._cluster,
             self._clock,
             self._events,
         )
@@ -247,14 +247,16 @@
         read = await self._store.read(messages.LEADER_KEY)
         if isinstance(read, result.Err):
             # If the leader is cut off from the store too, it asks another VM.
-            self._cluster_state.note_store(ok=False, why=read.err_value.detail)
+            self._cluster.record_store_status(
+                ok=False, why=read.err_value.detail
+            )
             return False
         stored_item = read.ok_value
         stored = self._decode(stored_item, leadership.LeaderEntry)
-        cached = self._cluster_state.leader
+        cached = self._cluster.leader
         if stored and cached and stored.epoch > cached.epoch:
             # Another VM took over first.
-            self._cluster_state.take_leader(stored)
+            self._cluster.record_leader(stored)
             return False
         epoch = max(
             stored.epoch if stored else 0, cached.epoch if cached else 0
@@ -361,7 +363,7 @@
         self._revision = revision
         self._planner = self._new_planner()
         self._demand = demand.Demand(dissemination.REPORT_FRESH)
-        self._successor_selection.clear()
+        self._successors.clear()
         self._store_failing_since = None
         self._term_started_at = now
         record_item = items.get(messages.WITNESSES_KEY)
@@ -384,7 +386,7 @@
             # There was no former leader, or it was an earlier incarnation of
             # this daemon, whose extended grants may not have expired.
             self._former_leaders.stopped(now)
-        self._former_leaders.testify(
+        self._former_leaders.record_promise(
             self._witness.identity, self._witness.promised_seconds(), now
         )
         self._witnesses = witnessing.Witnesses(
@@ -401,7 +403,7 @@
         for key, item in items.items():
             if key.startswith(messages.TABLE_PREFIX):
                 self._load_table(item)
-        self._cluster_state.take_leader(entry)
+        self._cluster.record_leader(entry)
         self._tasks = [
             asyncio.create_task(self._plan_loop(), name="plan"),
             asyncio.create_task(self._confirm_loop(), name="confirm"),
@@ -420,11 +422,11 @@
             await asyncio.sleep(pause)
             listed = await self._store.list(messages.VM_PREFIX, stale=True)
             if isinstance(listed, result.Ok):
-                self._cluster_state.take_vms(listed.ok_value.items)
+                self._cluster.replace_vms(listed.ok_value.items)
                 fresh = self._disseminator.fresh()
                 self._disseminator.announce(
                     vm
-                    for vm in self._cluster_state.vms.values()
+                    for vm in self._cluster.vms.values()
                     if vm.id not in fresh
                 )
 
@@ -440,9 +442,9 @@
         if former is None:
             return ()
         unconfirmed = set(former.unsure)
-        led_seconds = self._clock.boot() - self._cluster_state.leader_since
+        led_seconds = self._clock.boot() - self._cluster.leader_since
         lease_seconds = self._settings.leader.authority
-        if self._cluster_state.leader == former and led_seconds > lease_seconds:
+        if self._cluster.leader == former and led_seconds > lease_seconds:
             # The leaders before the former one have had to stop since.
             unconfirmed = set()
         unconfirmed.add(former.vm)
@@ -466,7 +468,7 @@
         keyed = self._new_service(table, item.revision)
         self._services[table.service] = keyed
         for owner in table.holders():
-            self._cluster_state.directory.learn_run(
+            self._cluster.directory.record_incarnation(
                 owner.id, owner.born, owner.address, self._clock.now()
             )
         keyed.reconciler.apply(table)
@@ -477,10 +479,10 @@
         """Returns the state of a sharded service with a given table."""
         configured = self._settings.leader
         now = self._clock.now()
-        grants = grant_reconciliation.GrantReconciler(
+        reconciler = grant_reconciliation.GrantReconciler(
             self._settings,
             self._orders,
-            self._cluster_state,
+            self._cluster,
             self._clock,
             self._events,
             self._lease,
@@ -491,7 +493,7 @@
         return planning.KeyedService(
             table,
             revision,
-            grants,
+            reconciler,
             key_rates.KeyRates(configured.heat_fast, now),
             key_rates.KeyRates(configured.heat_slow, now),
         )
@@ -525,7 +527,7 @@
         If this VM does not lead, the reply only names the leader that it has
         recorded.
         """
-        cached_leader = self._cluster_state.leader
+        cached_leader = self._cluster.leader
         if self._entry is None:
             return messages.ReportReply(cached_leader, leading=False)
         now = self._clock.now()
@@ -535,23 +537,23 @@
         self._former_leaders.follows(vm.id, boot, report.longer)
         if report.epoch >= self._entry.epoch:
             witness = lease_extension.Witness(vm.id, vm.boot)
-            self._former_leaders.testify(witness, report.promised, boot)
+            self._former_leaders.record_promise(witness, report.promised, boot)
         if report.news is not None:
-            self._cluster_state.take_news(report.news)
-        self._cluster_state.confirm_configuration(
+            self._cluster.apply_update(report.news)
+        self._cluster.confirm_configuration(
             report.configuration,
             report.configuration_seen,
             report.evacuations.zones,
         )
-        self._cluster_state.note_views(
+        self._cluster.record_view_ages(
             report.seen,
             report.seen_at,
             report.configuration,
             report.evacuations,
             report.configuration_at,
         )
-        self._cluster_state.learn_limits(report.limits)
-        self._cluster_state.learn_leaving(report.leaving)
+        self._cluster.apply_limits(report.limits)
+        self._cluster.apply_leaving(report.leaving)
         self._planner.record_report(report)
         for service, keys in report.keys.items():
             keyed = self._services.get(service)
@@ -561,16 +563,16 @@
         received_at = self._clock.boot()
         self._last_alive_at.update(dict.fromkeys(report.alive, received_at))
         for death in report.deaths:
-            self._crash_detector.learn(death, now)
+            self._crashes.learn(death, now)
         for ended in report.ended:
-            self._cluster_state.end_target(ended.target, ended.born)
+            self._cluster.end_target(ended.target, ended.born)
         for miss in report.misses:
             keyed = self._services.get(miss.service)
             if keyed is not None:
-                keyed.reconciler.regrant(miss.key, miss.target)
+                keyed.reconciler.record_miss(miss.key, miss.target)
         self._disseminator.take(report)
         self._demand.take(vm.id, report.under_way, report.waiting, now)
-        target_directory = self._cluster_state.directory
+        target_directory = self._cluster.directory
         fresh_reports = self._disseminator.fresh()
         missing = self._disseminator.answer(report)
         return messages.ReportReply(
@@ -583,24 +585,24 @@
             assignments=missing.assignments,
             differences=missing.differences,
             news=missing.news,
-            seen=self._cluster_state.seen,
-            configuration=self._cluster_state.version,
-            configuration_seen=self._cluster_state.configuration_seen,
+            seen=self._cluster.seen,
+            configuration=self._cluster.version,
+            configuration_seen=self._cluster.configuration_seen,
             store=self._receives_store_changes(fresh_reports),
-            deaths=self._crash_detector.deaths(now),
+            deaths=self._crashes.deaths(now),
             watchers=self._current_watchers(fresh_reports),
             vms=len(fresh_reports),
-            take_over=vm.id in self._successor_selection.asked,
-            evacuations=self._cluster_state.evacuations,
-            limits=self._cluster_state.limits.news(now),
+            take_over=vm.id in self._successors.asked,
+            evacuations=self._cluster.evacuations,
+            limits=self._cluster.limits.news(now),
             leaving=tuple(
                 target
-                for target in self._cluster_state.leaving_news().values()
+                for target in self._cluster.leaving_updates().values()
                 if target.age < _LEAVING_LISTED_SECONDS
             ),
             stamp=now,
-            seen_age=self._cluster_state.registrations_age,
-            configuration_age=self._cluster_state.configuration_age,
+            seen_age=self._cluster.registrations_age,
+            configuration_age=self._cluster.configuration_age,
         )
 
     def _current_gates(
@@ -614,7 +616,7 @@
         if now - self._gates_selected_at > _SELECTION_INTERVAL_SECONDS:
             self._gates_selected_at = now
             previous = self._selected_gates
-            limited = self._cluster_state.limited_targets()
+            limited = self._cluster.limited_targets()
             chosen = self._demand.gates(
                 (
                     (report.vm.address, report.vm.zone)
@@ -623,8 +625,8 @@
                 ),
                 self._settings.vm.regions,
                 self._services,
-                self._cluster_state.directory,
-                [*self._cluster_state.cold_targets(), *limited],
+                self._cluster.directory,
+                [*self._cluster.cold_targets(), *limited],
             )
             if self._clock.boot() < self._former_leaders.stopped_by:
                 # A former leader may still name another VM as the sender, and
@@ -637,7 +639,7 @@
                 # A VM sends to the saturated target until it is notified.
                 self._disseminator.spread(
                     {name: self._selected_gates[name] for name in new},
-                    self._cluster_state.limits.news(now),
+                    self._cluster.limits.news(now),
                 )
         return self._selected_gates
 
@@ -773,14 +775,14 @@
         if isinstance(read, result.Err):
             self._store_failed(read.err_value, sent_at)
             return
-        self._cluster_state.note_store(ok=True)
+        self._cluster.record_store_status(ok=True)
         self._store_failing_since = None
-        self._successor_selection.clear()
+        self._successors.clear()
         self._lease.replaceable = False
         entry = self._decode(read.ok_value, leadership.LeaderEntry)
         if entry is None or entry != self._entry:
             if entry is not None:
-                self._cluster_state.take_leader(entry)
+                self._cluster.record_leader(entry)
             self.step_down("the store names another leader")
             return
         self._lease.confirm(sent_at)
@@ -788,7 +790,7 @@
     def _store_failed(self, failure: errors.Failure, sent_at: float) -> None:
         """Handles the failure of a store call that was sent at `sent_at`."""
         now = self._clock.boot()
-        self._cluster_state.note_store(ok=False, why=failure.detail)
+        self._cluster.record_store_status(ok=False, why=failure.detail)
         if self._store_failing_since is None:
             self._store_failing_since = sent_at
         self._request_extension()
@@ -812,10 +814,10 @@
     def _request_successors(self) -> tuple[str, ...]:
         """Asks VMs that reach the store to lead; returns those just asked."""
         candidates = self._successor_candidates()
-        asked = self._successor_selection.next(
+        asked = self._successors.next(
             [vm.id for vm in candidates], self._clock.boot()
         )
-        self._disseminator.ask_to_lead(
+        self._disseminator.request_takeover(
             vm for vm in candidates if vm.id in asked
         )
         return asked
@@ -843,7 +845,7 @@
 
     async def _plan(self) -> None:
         """Plans the tables of all sharded services."""
-        configuration = self._cluster_state.configuration
+        configuration = self._cluster.configuration
         if configuration is None:
             return
         for service in configuration.services.values():
@@ -853,7 +855,7 @@
     async def _plan_service(self, service: routes.Service) -> None:
         """Creates or changes the table of a service if required."""
         now = self._clock.now()
-        targets = self._cluster_state.able_owners(service)
+        targets = self._cluster.eligible_owners(service)
         keyed = self._services.get(service.name)
         if keyed is None:
             await self._first_table(service.name, targets, now)
@@ -871,7 +873,7 @@
         configured = self._settings.leader
         last_added_at = max(
             entry.since
-            for entry in self._cluster_state.directory
+            for entry in self._cluster.directory
             if entry.target.service == service
         )
         waited = self._clock.boot() - self._term_started_at
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/planning.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/planning.py
@@ -124,7 +124,7 @@
     __slots__ = (
         "_backoffs_by_vm",
         "_clock",
-        "_cluster_state",
+        "_cluster",
         "_disseminator",
         "_events",
         "_excluded_until",
@@ -153,7 +153,7 @@
         """
         self._settings = configured
         self._disseminator = disseminator
-        self._cluster_state = cluster
+        self._cluster = cluster
         self._clock = timer
         self._events = log
         self._slowness_by_vm: dict[str, dict[str, float]] = {}
@@ -259,7 +259,7 @@
     def _has_enough_reports(self) -> bool:
         """Whether enough VMs report for the load to be estimated."""
         fresh = self._disseminator.fresh()
-        vm_count = len(self._cluster_state.vms)
+        vm_count = len(self._cluster.vms)
         return len(fresh) * 2 >= vm_count
 
     def _capacity(
@@ -305,7 +305,7 @@
         self, holders: Iterable[ranges.Holder], now: float
     ) -> dict[ranges.Holder, float]:
         """Returns the recently reported rate limits of targets."""
-        reported = self._cluster_state.limits
+        reported = self._cluster.limits
         earliest = now - _LIMIT_MAX_AGE_SECONDS
         rates = {
             holder: reported.rate_since(holder.id, holder.born, earliest)
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/witnessing.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/witnessing.py
@@ -34,7 +34,7 @@
     __slots__ = (
         "_boot",
         "_clock",
-        "_cluster_state",
+        "_cluster",
         "_events",
         "_promises",
         "_settings",
@@ -63,7 +63,7 @@
         self._settings = configured
         self._boot = boot
         self._store = store
-        self._cluster_state = cluster
+        self._cluster = cluster
         self._clock = timer
         self._events = log
         self._promises = lease_extension.Promises()
@@ -107,7 +107,7 @@
 
     def _is_current_epoch(self, epoch: int) -> bool:
         """Whether the recorded leader has no later epoch."""
-        leader = self._cluster_state.leader
+        leader = self._cluster.leader
         return leader is None or leader.epoch <= epoch
 
     async def _reaches_store(self) -> bool:
@@ -116,14 +116,16 @@
             async with asyncio.timeout(self._settings.leader.extension_after):
                 read = await self._store.read(messages.LEADER_KEY)
         except TimeoutError:
-            self._cluster_state.note_store(
+            self._cluster.record_store_status(
                 ok=False, why="read of the leader's entry timed out"
             )
             return False
         if isinstance(read, result.Err):
-            self._cluster_state.note_store(ok=False, why=read.err_value.detail)
+            self._cluster.record_store_status(
+                ok=False, why=read.err_value.detail
+            )
             return False
-        self._cluster_state.note_store(ok=True)
+        self._cluster.record_store_status(ok=True)
         return True
 
 
--- a/tests/gateway/fakes.py
+++ b/tests/gateway/fakes.py
@@ -102,8 +102,8 @@
     """Returns a cluster state with one service and the given targets."""
     made = cluster_state.ClusterState(configured(), timer, log)
     service = routes.Service("s", keyed=keyed)
-    made.take_configuration(routes.Configuration(1, services={"s": service}))
-    made.take_targets(list(targets))
+    made.apply_configuration(routes.Configuration(1, services={"s": service}))
+    made.replace_targets(list(targets))
     return made
 
 
--- a/tests/gateway/fleet.py
+++ b/tests/gateway/fleet.py
@@ -268,15 +268,13 @@
         timer, self.log = fleet.clock, fakes.MemoryEvents()
         self.name = name
         self.zone = zone
-        self.cluster_state = cluster_state.ClusterState(
-            configured, timer, self.log
-        )
+        self.cluster = cluster_state.ClusterState(configured, timer, self.log)
         if not fleet.watched:
-            self.cluster_state.take_configuration(fleet.configuration)
-            self.cluster_state.take_targets(
+            self.cluster.apply_configuration(fleet.configuration)
+            self.cluster.replace_targets(
                 [target.registration for target in fleet.targets.values()]
             )
-        self.load_balancer = load_balancing.LoadBalancer(
+        self.balancer = load_balancing.LoadBalancer(
             place, base.vm.regions, configured.rooms
         )
         store = fakes.FaultyProxy(fleet.store)
@@ -292,15 +290,15 @@
             store,
             fleet.orders,
             channel,
-            self.cluster_state,
+            self.cluster,
             timer,
             self.log,
         )
-        self.store_watcher = store_watching.StoreWatcher(
+        self.watcher = store_watching.StoreWatcher(
             configured.store,
             store,
             records.Records(),
-            self.cluster_state,
+            self.cluster,
             timer,
             self.log,
         )
@@ -309,19 +307,19 @@
             crash_detection.CrashDetector(),
         )
         self.admission = admission_service.AdmissionService(
-            configured, channel, self.cluster_state, timer
+            configured, channel, self.cluster, timer
         )
         self.membership = membership.Membership(
             configured,
             boot,
             store,
             channel,
-            self.cluster_state,
-            self.load_balancer,
+            self.cluster,
+            self.balancer,
             self.leader_role,
             queues,
             self.admission,
-            self.store_watcher,
+            self.watcher,
             detector,
             timer,
             self.log,
@@ -329,16 +327,16 @@
         pool = _Pool(fleet, name)
         self.dispatcher = dispatching.Dispatcher(
             configured,
-            self.cluster_state,
-            self.load_balancer,
+            self.cluster,
+            self.balancer,
             self.membership,
             queues,
             self.admission,
             timer,
             load_probing.LoadProber(
                 health.Health(pool),
-                self.cluster_state,
-                self.load_balancer,
+                self.cluster,
+                self.balancer,
                 timer,
                 self.log,
             ),
@@ -348,8 +346,8 @@
             headers.NAMES,
             headers.read_notice,
             pool,
-            self.cluster_state,
-            self.load_balancer,
+            self.cluster,
+            self.balancer,
             self.membership,
             self.dispatcher,
             detector,
@@ -359,13 +357,13 @@
         )
         self.membership.listens_on(name)
         if fleet.watched:
-            self.store_watcher.start()
+            self.watcher.start()
         self.membership.start()
 
     async def answer(self, path, body):
         """Handles a peer's call; returns the response."""
         if path == messages.ASSIGN_PATH:
-            self.membership.take_push(
+            self.membership.apply_push(
                 messages.decode(body, messages.ReportReply)
             )
             return messages.encode(messages.UpdateAck())
@@ -373,7 +371,7 @@
             report = messages.decode(body, messages.Report)
             return messages.encode(self.leader_role.handle_report(report))
         if path == messages.HEARD_PATH:
-            return messages.encode(self.membership.heard())
+            return messages.encode(self.membership.leader_contact())
         if path == messages.RELAY_PATH:
             relay = messages.decode(body, messages.Relay)
             return messages.encode(await self.membership.relay(relay))
@@ -387,7 +385,7 @@
     def end(self):
         """Stops the daemon as a kill would."""
         self.leader_role.step_down("end")
-        self.store_watcher.stop()
+        self.watcher.stop()
         self.membership.abort()
 
 
@@ -518,10 +516,10 @@
             self.vms[name].store.failing = None
             self.cut -= {(name, other) for other in self.vms}
 
-    def take_target(self, registration):
+    def apply_target(self, registration):
         """Applies a registration on all VMs."""
         for vm in self.vms.values():
-            vm.cluster_state.take_target(registration)
+            vm.cluster.apply_target(registration)
 
     def leader(self):
         """Returns the VM that leads."""
@@ -540,14 +538,14 @@
 
     def _serving(self):
         return all(
-            vm.cluster_state.owner(KEYED, key)
+            vm.cluster.owner(KEYED, key)
             for vm in self.vms.values()
             for key in range(0, 65536, 4096)
         )
 
     def owner(self, key=0):
         """Returns the target that owns a key."""
-        return self.targets[self.leader().cluster_state.owner(KEYED, key)]
+        return self.targets[self.leader().cluster.owner(KEYED, key)]
 
     async def call(self, seconds, rate, path, key=None, vms=()):
         """Has callers send requests at random times.
--- a/tests/gateway/test_grant_reconciliation.py
+++ b/tests/gateway/test_grant_reconciliation.py
@@ -23,7 +23,7 @@
         self.clock = fakes.VirtualClock()
         self.log = fakes.MemoryEvents()
         self.orders = fakes.Orders()
-        self.cluster_state = fakes.new_cluster_state(
+        self.cluster = fakes.new_cluster_state(
             self.clock,
             self.log,
             fakes.target("a", zone=zone),
@@ -35,7 +35,7 @@
         self.reconciler = grant_reconciliation.GrantReconciler(
             fakes.configured(trouble_after=1e9),
             self.orders,
-            self.cluster_state,
+            self.cluster,
             self.clock,
             self.log,
             self.authority,
@@ -138,7 +138,7 @@
             await asyncio.sleep(0.3)
             rig.orders._remove_keys("a", 0, 9)
             assert rig.orders.holders(5) == set()
-            rig.reconciler.regrant(5, "a")
+            rig.reconciler.record_miss(5, "a")
             await asyncio.sleep(0.02)
             assert rig.orders.holders(5) == {"a"}
             rig.reconciler.stop()
@@ -267,7 +267,7 @@
             await rig.wait_granted(0)
             rig.orders.dead.add("a")
             rig.move(0, HALF - 1, B)
-            rig.cluster_state.take_target(fakes.target("a", born=2))
+            rig.cluster.apply_target(fakes.target("a", born=2))
             assert await rig.wait_granted(0) < 0.6
             rig.reconciler.stop()
 
--- a/tests/gateway/test_leader_role.py
+++ b/tests/gateway/test_leader_role.py
@@ -24,9 +24,7 @@
         self.name = name
         self.clock = clock or fakes.VirtualClock()
         self.log = fakes.MemoryEvents()
-        self.cluster_state = fakes.new_cluster_state(
-            self.clock, self.log, *targets
-        )
+        self.cluster = fakes.new_cluster_state(self.clock, self.log, *targets)
         configured = fakes.configured(settle=0.1, settle_most=0.2)
         vm = msgspec.structs.replace(configured.vm, id=name)
         self.leader_role = leader_role.LeaderRole(
@@ -35,7 +33,7 @@
             store,
             orders,
             peer_calls.PeerCalls(http_client.Pool(1.0), self.log),
-            self.cluster_state,
+            self.cluster,
             self.clock,
             self.log,
         )
@@ -46,7 +44,7 @@
         return messages.Report(entry, store=reaches_store, **fields)
 
 
-def _cluster(*names):
+def _setup(*names):
     store, orders = fakes.Store(), fakes.Orders()
     targets = [fakes.target(n) for n in ("a", "b", "c")]
     clock = fakes.VirtualClock()
@@ -76,7 +74,7 @@
         """The first leader assigns all keys and grants them."""
 
         async def main():
-            store, orders, (one,) = _cluster("vm-1")
+            store, orders, (one,) = _setup("vm-1")
             assert await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0) and _owned(orders, 65535))
             assert ranges.problem(_stored(store)) == ""
@@ -88,7 +86,7 @@
         """If two VMs try to take over at once, exactly one becomes leader."""
 
         async def main():
-            _, _, vms = _cluster("vm-1", "vm-2")
+            _, _, vms = _setup("vm-1", "vm-2")
             led = await asyncio.gather(
                 *(vm.leader_role.take_over("test") for vm in vms)
             )
@@ -106,14 +104,14 @@
         """
 
         async def main():
-            store, orders, (one, two) = _cluster("vm-1", "vm-2")
+            store, orders, (one, two) = _setup("vm-1", "vm-2")
             await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
             assert await two.leader_role.take_over("test")
             version = _stored(store).version
             # The former leader observes a target leave and tries to move its
             # keys.
-            one.cluster_state.lose_target("a")
+            one.cluster.remove_target("a")
             await _until(lambda: not one.leader_role.is_leader)
             assert _stored(store).version == version
             await asyncio.sleep(3.0)
@@ -132,13 +130,13 @@
         """
 
         async def main():
-            store, orders, (one, two) = _cluster("vm-1", "vm-2")
+            store, orders, (one, two) = _setup("vm-1", "vm-2")
             await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
             store.claim_delay = 1.0
             takeover = asyncio.create_task(two.leader_role.take_over("test"))
             await asyncio.sleep(0.2)
-            one.cluster_state.lose_target("a")
+            one.cluster.remove_target("a")
             version = _stored(store).version
             await _until(lambda: _stored(store).version > version)
             assert await takeover
@@ -159,7 +157,7 @@
         """
 
         async def main():
-            store, orders, (one, two) = _cluster("vm-1", "vm-2")
+            store, orders, (one, two) = _setup("vm-1", "vm-2")
             await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
             store.failing_lists = 3
@@ -174,7 +172,7 @@
         """The leader crashes, and every key keeps its owner meanwhile."""
 
         async def main():
-            _, orders, (one, two) = _cluster("vm-1", "vm-2")
+            _, orders, (one, two) = _setup("vm-1", "vm-2")
             await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
             await asyncio.sleep(1.0)
@@ -197,7 +195,7 @@
         """
 
         async def main():
-            _, orders, (one, two) = _cluster("vm-1", "vm-2")
+            _, orders, (one, two) = _setup("vm-1", "vm-2")
             await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
             await asyncio.sleep(1.0)
@@ -238,7 +236,7 @@
         """
 
         async def main():
-            store, _, (one, two) = _cluster("vm-1", "vm-2")
+            store, _, (one, two) = _setup("vm-1", "vm-2")
             calls = RecordedCalls()
             one.leader_role._disseminator._calls = calls
             await one.leader_role.take_over("test")
@@ -270,7 +268,7 @@
             await _until(lambda: len(orders.log) >= 400)
             await asyncio.sleep(0.5)
             assert all(_owned(orders, key) for key in (0, 30000, 65535))
-            known = one.cluster_state.assignments["s"]
+            known = one.cluster.assignments["s"]
             assert all(known.owners)
             assert known.version[1] < 40
             one.leader_role.step_down("end")
@@ -333,7 +331,7 @@
         """
 
         async def main():
-            store, orders, (one, two) = _cluster("vm-1", "vm-2")
+            store, orders, (one, two) = _setup("vm-1", "vm-2")
             await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
             store.failing = fakes.UNAVAILABLE
@@ -357,7 +355,7 @@
         """The same with a third leader that got a reply of the second only."""
 
         async def main():
-            store, orders, vms = _cluster("vm-1", "vm-2", "vm-3")
+            store, orders, vms = _setup("vm-1", "vm-2", "vm-3")
             one, two, three = vms
             await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
@@ -437,7 +435,7 @@
         """A VM that has not led since its start reports no extended grants."""
 
         async def main():
-            _, _, (one,) = _cluster("vm-1")
+            _, _, (one,) = _setup("vm-1")
             assert one.leader_role.extended_grants_seconds() is None
             await one.leader_role.take_over("test")
             one.leader_role.step_down("end")
@@ -581,7 +579,7 @@
         """
 
         async def main():
-            store, orders, (one,) = _cluster("vm-1")
+            store, orders, (one,) = _setup("vm-1")
             await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
             store.failing = fakes.UNAVAILABLE
@@ -603,7 +601,7 @@
         """
 
         async def main():
-            store, orders, (one,) = _cluster("vm-1")
+            store, orders, (one,) = _setup("vm-1")
             await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
             store.failing = fakes.UNAVAILABLE
@@ -625,11 +623,11 @@
         """
 
         async def main():
-            store, orders, (one,) = _cluster("vm-1")
+            store, orders, (one,) = _setup("vm-1")
             await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
             store.loses_responses = True
-            one.cluster_state.take_target(fakes.target("a", leaving=True))
+            one.cluster.apply_target(fakes.target("a", leaving=True))
             await _until(
                 lambda: "a" not in {h.id for h in _stored(store).holders()}
             )
@@ -654,7 +652,7 @@
         """
 
         async def main():
-            store, orders, (one, two) = _cluster("vm-1", "vm-2")
+            store, orders, (one, two) = _setup("vm-1", "vm-2")
             await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
             store.failing = fakes.UNAVAILABLE
@@ -686,7 +684,7 @@
         """
 
         async def main():
-            store, _, (one,) = _cluster("vm-1")
+            store, _, (one,) = _setup("vm-1")
             store.items[messages.table_key("s")] = (raw, 1)
             assert await one.leader_role.take_over("test")
             await asyncio.sleep(1.0)
@@ -705,8 +703,8 @@
         entry = leadership.LeaderEntry("vm-9", "b", 3, "x:1")
 
         async def main():
-            _, _, (one,) = _cluster("vm-1")
-            one.cluster_state.take_leader(entry)
+            _, _, (one,) = _setup("vm-1")
+            one.cluster.record_leader(entry)
             reply = one.leader_role.handle_report(one.report())
             assert (reply.leading, reply.leader) == (False, entry)
 
@@ -716,7 +714,7 @@
         """All VMs get the same admission gate for a contended target."""
 
         async def main():
-            _, orders, (one, two, three) = _cluster("vm-1", "vm-2", "vm-3")
+            _, orders, (one, two, three) = _setup("vm-1", "vm-2", "vm-3")
             await one.leader_role.take_over("test")
             gates = []
             for vm in (two, three, two, three):
@@ -735,7 +733,7 @@
         """A VM that is about to stop is not named as any target's gate."""
 
         async def main():
-            _, orders, (one, two) = _cluster("vm-1", "vm-2")
+            _, orders, (one, two) = _setup("vm-1", "vm-2")
             await one.leader_role.take_over("test")
             for _ in range(2):
                 reply = one.leader_role.handle_report(
@@ -756,7 +754,7 @@
         """
 
         async def main():
-            _, _, (one, two) = _cluster("vm-1", "vm-2")
+            _, _, (one, two) = _setup("vm-1", "vm-2")
             await one.leader_role.take_over("test")
             leaving = fakes.target("a", leaving=True, revision=9)
             news = messages.StateUpdate(
@@ -783,7 +781,7 @@
     """Keys move away from targets of an evacuated zone."""
 
     @staticmethod
-    def _cluster(per_zone, vms=("vm-1", "vm-2")):
+    def _setup(per_zone, vms=("vm-1", "vm-2")):
         store, orders = fakes.Store(), fakes.Orders()
         targets = [
             fakes.target(f"{zone}-{n}", zone=zone)
@@ -804,13 +802,11 @@
         """Guards against keys whose owner no longer gets any request."""
 
         async def main():
-            orders, (one, _) = self._cluster(per_zone)
+            orders, (one, _) = self._setup(per_zone)
             await one.leader_role.take_over("test")
             await _until(lambda: len(self._holders(orders)) >= per_zone)
             await asyncio.sleep(2.0)
-            one.cluster_state.take_evacuations(
-                eligibility.Evacuations(("z",), 9)
-            )
+            one.cluster.apply_evacuations(eligibility.Evacuations(("z",), 9))
             await asyncio.sleep(1.0)
             assert all(n.startswith("far") for n in self._holders(orders))
             assert all(_owned(orders, k) for k in (0, 30000, 65535))
@@ -823,24 +819,22 @@
         """Guards against two owners when the leader changes meanwhile."""
 
         async def main():
-            orders, (one, two) = self._cluster(8)
+            orders, (one, two) = self._setup(8)
             await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
             await asyncio.sleep(1.0)
             evacuated = eligibility.Evacuations(("z",), 9)
-            one.cluster_state.take_evacuations(evacuated)
+            one.cluster.apply_evacuations(evacuated)
             await asyncio.sleep(0.3)
             one.leader_role.step_down("killed")
-            two.cluster_state.take_evacuations(evacuated)
+            two.cluster.apply_evacuations(evacuated)
             await two.leader_role.take_over("test")
             await asyncio.sleep(8.0)
             assert all(n.startswith("far") for n in self._holders(orders))
             assert orders.clashes == []
-            two.cluster_state.take_evacuations(eligibility.Evacuations((), 11))
+            two.cluster.apply_evacuations(eligibility.Evacuations((), 11))
             await asyncio.sleep(1.0)
-            two.cluster_state.take_evacuations(
-                eligibility.Evacuations(("far",), 12)
-            )
+            two.cluster.apply_evacuations(eligibility.Evacuations(("far",), 12))
             await asyncio.sleep(4.0)
             assert all(n.startswith("z-") for n in self._holders(orders))
             assert orders.clashes == []
@@ -852,10 +846,10 @@
         """Guards against keys without an owner if all zones are evacuated."""
 
         async def main():
-            orders, (one, _) = self._cluster(2)
+            orders, (one, _) = self._setup(2)
             await one.leader_role.take_over("test")
             await _until(lambda: _owned(orders, 0))
-            one.cluster_state.take_evacuations(
+            one.cluster.apply_evacuations(
                 eligibility.Evacuations(("far", "z"), 9)
             )
             await asyncio.sleep(4.0)
--- a/tests/gateway/test_news_histories.py
+++ b/tests/gateway/test_news_histories.py
@@ -113,8 +113,8 @@
         while virtual.now() < self._ends + 4.0:
             for name, vm in self.fleet.vms.items():
                 known = self._known[name]
-                if not known or known[-1][1] != vm.cluster_state.version:
-                    known.append((virtual.now(), vm.cluster_state.version))
+                if not known or known[-1][1] != vm.cluster.version:
+                    known.append((virtual.now(), vm.cluster.version))
             await asyncio.sleep(_LOOK_SECONDS)
 
     # The verdict.
--- a/tests/gateway/test_proofs.py
+++ b/tests/gateway/test_proofs.py
@@ -30,7 +30,7 @@
     return ranges.Holder("a", born, "a:80")
 
 
-class Cluster:
+class Scenario:
     """Two targets and a leader's orders, with explicit registrations."""
 
     def __init__(self):
@@ -39,7 +39,7 @@
         self.orders = fakes.Orders()
         self.born = BORN
         self._revision = 10
-        self.cluster_state = fakes.new_cluster_state(
+        self.cluster = fakes.new_cluster_state(
             self.clock,
             self.log,
             fakes.target("a", born=BORN),
@@ -50,7 +50,7 @@
         self.reconciler = grant_reconciliation.GrantReconciler(
             fakes.configured(trouble_after=1e9),
             self.orders,
-            self.cluster_state,
+            self.cluster,
             self.clock,
             self.log,
             authority,
@@ -64,7 +64,7 @@
     def register(self, name="a", **changes):
         """Applies a registration with the next store revision."""
         self._revision += 1
-        self.cluster_state.take_target(
+        self.cluster.apply_target(
             fakes.target(name, revision=self._revision, **changes)
         )
 
@@ -91,7 +91,7 @@
     def registration_expires(self):
         """Its registration expires: it is partitioned but runs, or leaves."""
         self._revision += 1
-        self.cluster_state.lose_target("a", self._revision)
+        self.cluster.remove_target("a", self._revision)
 
     def restart(self):
         """It crashes, and its next incarnation registers."""
@@ -110,7 +110,7 @@
 
     def assign_new_fences(self):
         """It did not respond, and only its former incarnation is recorded."""
-        known = self.cluster_state.directory.get("a").target.born
+        known = self.cluster.directory.get("a").target.born
         renewed = {_holder(known): _holder(known)}
         self.table = ranges.refence(self.table, renewed, "c")
         self.reconciler.apply(self.table)
@@ -153,20 +153,20 @@
 
 
 _EVENTS = (
-    Cluster.register_current_incarnation,
-    Cluster.late_write_of_former_incarnation,
-    Cluster.former_incarnation_under_another_name,
-    Cluster.registration_without_start_time,
-    Cluster.another_service_at_its_address,
-    Cluster.registration_expires,
-    Cluster.restart,
-    Cluster.orders_lost,
-    Cluster.responses_lost,
-    Cluster.releases_lost,
-    Cluster.connection_restored,
-    Cluster.move_all_keys_away,
-    Cluster.move_some_keys_away,
-    Cluster.move_keys_here,
+    Scenario.register_current_incarnation,
+    Scenario.late_write_of_former_incarnation,
+    Scenario.former_incarnation_under_another_name,
+    Scenario.registration_without_start_time,
+    Scenario.another_service_at_its_address,
+    Scenario.registration_expires,
+    Scenario.restart,
+    Scenario.orders_lost,
+    Scenario.responses_lost,
+    Scenario.releases_lost,
+    Scenario.connection_restored,
+    Scenario.move_all_keys_away,
+    Scenario.move_some_keys_away,
+    Scenario.move_keys_here,
 )
 _HISTORIES = st.lists(
     st.tuples(st.sampled_from(_EVENTS), st.sampled_from((0.0, 0.3, 1.1))),
@@ -179,14 +179,14 @@
     """Runs a history; returns the keys that two targets held at once."""
 
     async def main():
-        cluster = Cluster()
+        scenario = Scenario()
         await asyncio.sleep(0.3)
         for event, pause in history:
-            event(cluster)
+            event(scenario)
             await asyncio.sleep(pause)
         await asyncio.sleep(_GRANT_SECONDS + 0.5)
-        cluster.reconciler.stop()
-        return list(cluster.orders.clashes)
+        scenario.reconciler.stop()
+        return list(scenario.orders.clashes)
 
     return virtual.run(main())
 
@@ -223,8 +223,7 @@
                 grant_reconciliation.GrantReconciler,
                 "_incarnation_ended",
                 lambda made, holder: (
-                    (entry := made._cluster_state.directory.get(holder.id))
-                    is None
+                    (entry := made._cluster.directory.get(holder.id)) is None
                     or entry.target.born != holder.born
                     or entry.standing is not directory.TargetStatus.READY
                 ),
@@ -247,10 +246,10 @@
     @pytest.mark.parametrize(
         "shown",
         [
-            Cluster.former_incarnation_under_another_name,
-            Cluster.late_write_of_former_incarnation,
-            Cluster.registration_without_start_time,
-            Cluster.another_service_at_its_address,
+            Scenario.former_incarnation_under_another_name,
+            Scenario.late_write_of_former_incarnation,
+            Scenario.registration_without_start_time,
+            Scenario.another_service_at_its_address,
         ],
     )
     def test_its_keys_wait_for_its_grant(self, shown):
@@ -263,9 +262,9 @@
         """
         history = [
             (shown, 0.0),
-            (Cluster.releases_lost, 0.0),
-            (Cluster.registration_expires, 0.25),
-            (Cluster.move_all_keys_away, 0.0),
+            (Scenario.releases_lost, 0.0),
+            (Scenario.registration_expires, 0.25),
+            (Scenario.move_all_keys_away, 0.0),
         ]
         assert _clashes(history) == []
 
@@ -277,14 +276,14 @@
         partitioned, and its keys move. It still holds them by the new grants.
         """
         history = [
-            (Cluster.orders_lost, 1.5),
-            (Cluster.restart_without_registration, 0.0),
-            (Cluster.assign_new_fences, 0.0),
-            (Cluster.connection_restored, 0.6),
-            (Cluster.register_current_incarnation, 0.0),
-            (Cluster.releases_lost, 0.0),
-            (Cluster.registration_expires, 0.0),
-            (Cluster.move_all_keys_away, 0.0),
+            (Scenario.orders_lost, 1.5),
+            (Scenario.restart_without_registration, 0.0),
+            (Scenario.assign_new_fences, 0.0),
+            (Scenario.connection_restored, 0.6),
+            (Scenario.register_current_incarnation, 0.0),
+            (Scenario.releases_lost, 0.0),
+            (Scenario.registration_expires, 0.0),
+            (Scenario.move_all_keys_away, 0.0),
         ]
         assert _clashes(history) == []
 
@@ -297,19 +296,19 @@
         """
 
         async def main():
-            cluster = Cluster()
-            known = cluster.cluster_state.directory
+            scenario = Scenario()
+            known = scenario.cluster.directory
             known.end("a", BORN, 0.0)
-            known.learn_run("a", BORN + 5, "a:81", 0.0)
+            known.record_incarnation("a", BORN + 5, "a:81", 0.0)
             current = known.get("a").target
             assert (current.born, current.address) == (BORN + 5, "a:81")
             # The earlier incarnation has left its address; this one has not.
             assert not known.has_left_address("a", BORN + 5)
-            cluster.register_current_incarnation()
+            scenario.register_current_incarnation()
             assert known.get("a").target.born == BORN + 5
-            known.learn_run("a", BORN, "a:80", 0.0)
+            known.record_incarnation("a", BORN, "a:80", 0.0)
             assert known.get("a").target.born == BORN + 5
-            cluster.reconciler.stop()
+            scenario.reconciler.stop()
 
         virtual.run(main())
 
@@ -317,12 +316,12 @@
         """The newer incarnation keeps getting requests and grants."""
 
         async def main():
-            cluster = Cluster()
-            cluster.late_write_of_former_incarnation()
-            assert cluster.cluster_state.directory.get("a").target.born == BORN
-            assert cluster.log.named("older_run_registered") == [
+            scenario = Scenario()
+            scenario.late_write_of_former_incarnation()
+            assert scenario.cluster.directory.get("a").target.born == BORN
+            assert scenario.log.named("older_run_registered") == [
                 {"target": "a", "born": BORN - 1, "known": BORN}
             ]
-            cluster.reconciler.stop()
+            scenario.reconciler.stop()
 
         virtual.run(main())
--- a/tests/gateway/test_witnessing.py
+++ b/tests/gateway/test_witnessing.py
@@ -54,7 +54,7 @@
         self.boot = boot
         self.store = fakes.FaultyProxy(fleet.store)
         self.log = fakes.MemoryEvents()
-        self.cluster_state = fakes.new_cluster_state(
+        self.cluster = fakes.new_cluster_state(
             fleet.clock, self.log, *(fakes.target(n) for n in "abc")
         )
         configured = fakes.configured(settle=0.1, settle_most=0.2)
@@ -65,7 +65,7 @@
             self.store,
             fleet.orders,
             Calls(fleet, name),
-            self.cluster_state,
+            self.cluster,
             fleet.clock,
             self.log,
         )
@@ -73,7 +73,7 @@
 
     def report(self):
         """Returns this VM's report."""
-        leader = self.cluster_state.leader
+        leader = self.cluster.leader
         return messages.Report(
             messages.VmEntry(self.name, self.boot, self.name, self.name),
             store=self.store.failing is None,
@@ -121,7 +121,7 @@
         leading_now = [v for v in self.vms.values() if v.leader_role.is_leader]
         return max(
             leading_now,
-            key=lambda v: v.cluster_state.leader.epoch,
+            key=lambda v: v.cluster.leader.epoch,
             default=None,
         )
 
@@ -132,7 +132,7 @@
                 self._report(vm)
 
     def _report(self, vm):
-        leader = vm.cluster_state.leader
+        leader = vm.cluster.leader
         other = self.vms.get(leader.vm) if leader else None
         if (
             other is None
@@ -141,9 +141,7 @@
         ):
             return
         reply = other.leader_role.handle_report(vm.report())
-        if reply.leader is not None and vm.cluster_state.take_leader(
-            reply.leader
-        ):
+        if reply.leader is not None and vm.cluster.record_leader(reply.leader):
             vm.leader_role.step_down_if_outranked(reply.leader)
         if reply.leading:
             vm.leader_role.handle_reply(reply)
@@ -155,12 +153,8 @@
             return
         for other in self.vms.values():
             apart = {name, other.name} & self.isolated
-            if not apart and other.cluster_state.take_leader(
-                vm.cluster_state.leader
-            ):
-                other.leader_role.step_down_if_outranked(
-                    vm.cluster_state.leader
-                )
+            if not apart and other.cluster.record_leader(vm.cluster.leader):
+                other.leader_role.step_down_if_outranked(vm.cluster.leader)
 
 
 async def _wait_granted(fleet, key, excluded, seconds=30.0):
@@ -379,9 +373,7 @@
                 vm.leader_role.witness.handle_request(request)
             )
             await asyncio.sleep(0.001)
-            vm.cluster_state.take_leader(
-                leadership.LeaderEntry("vm-3", "x", 2, "")
-            )
+            vm.cluster.record_leader(leadership.LeaderEntry("vm-3", "x", 2, ""))
             assert not (await pending).promised
             fleet.stop()
 
@@ -397,8 +389,8 @@
         async def main():
             fleet = await _started_fleet()
             fleet.start("vm-2")
-            leader = fleet.vms["vm-1"].cluster_state.leader
-            fleet.vms["vm-2"].cluster_state.take_leader(leader)
+            leader = fleet.vms["vm-1"].cluster.leader
+            fleet.vms["vm-2"].cluster.record_leader(leader)
             await asyncio.sleep(3.0)
             stored, _ = fleet.store.items[messages.WITNESSES_KEY]
             record = msgspec.json.decode(stored, type=lease_extension.Record)
@@ -476,7 +468,7 @@
     def registration_expires(self):
         """A partitioned target's registration expires."""
         for vm in self.fleet.vms.values():
-            vm.cluster_state.lose_target("a", 100)
+            vm.cluster.remove_target("a", 100)
 
     def target_dead(self):
         """Orders do not reach a target any more."""
@@ -573,23 +565,23 @@
         ]
         restarted = [(History.outage, 2.5), *outage[1:2]]
         restarted += [(History.all_restart, 0.0), *outage[3:]]
-        testify = former_leaders.FormerLeaders.testify
+        record_promise = former_leaders.FormerLeaders.record_promise
 
         def any_incarnation(former, witness, promised, now):
             for named in former._witnesses:
                 if named.vm == witness.vm:
-                    testify(former, named, promised, now)
+                    record_promise(former, named, promised, now)
 
         target, name, replacement, history = {
             "promises": (
                 former_leaders.FormerLeaders,
-                "testify",
-                lambda f, w, _, now: testify(f, w, None, now),
+                "record_promise",
+                lambda f, w, _, now: record_promise(f, w, None, now),
                 outage,
             ),
             "incarnations": (
                 former_leaders.FormerLeaders,
-                "testify",
+                "record_promise",
                 any_incarnation,
                 restarted,
             ),
