--- a/packages/mimosastile-gateway/src/mimosastile_gateway/grant_reconciliation.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/grant_reconciliation.py
@@ -123,7 +123,7 @@
 
 
 class GrantReconciler:
-    """Sends grants and releases to the targets of one table.
+    """Sends the grants and releases that a table requires, and renews grants.
 
     Times are seconds of the boot clock, which also advances while the machine
     is suspended.
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/leader_role.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/leader_role.py
@@ -69,8 +69,8 @@
 class LeaderRole:
     """Takes part in leader election and, while leading, assigns key ranges.
 
-    Times are seconds of the boot clock, which also advances while the machine
-    is suspended.
+    Both times are in seconds of the boot clock, which also advances while the
+    machine is suspended.
 
     Attributes:
         address: Host and port at which peers reach this VM.
--- a/tests/gateway/test_grant_reconciliation.py
+++ b/tests/gateway/test_grant_reconciliation.py
@@ -30,15 +30,15 @@
             fakes.target("b"),
         )
         self.alive_at = {}
-        self.authority = leadership.LeaderLease(1e9)
-        self.authority.confirm(0.0)
+        self.lease = leadership.LeaderLease(1e9)
+        self.lease.confirm(0.0)
         self.reconciler = grant_reconciliation.GrantReconciler(
             fakes.configured(trouble_after=1e9),
             self.orders,
             self.cluster,
             self.clock,
             self.log,
-            self.authority,
+            self.lease,
             former or former_leaders.FormerLeaders(0.0),
             self.alive_at,
             lambda: None,
@@ -433,7 +433,7 @@
 
         async def main():
             rig = Rig()
-            rig.authority._span = 10.0
+            rig.lease._span = 10.0
             await rig.wait_granted(0)
             await asyncio.sleep(1.0)
             rig.clock.suspended = 30.0
--- a/tests/gateway/test_proofs.py
+++ b/tests/gateway/test_proofs.py
@@ -45,15 +45,15 @@
             fakes.target("a", born=BORN),
             fakes.target("b"),
         )
-        authority = leadership.LeaderLease(1e9)
-        authority.confirm(0.0)
+        lease = leadership.LeaderLease(1e9)
+        lease.confirm(0.0)
         self.reconciler = grant_reconciliation.GrantReconciler(
             fakes.configured(trouble_after=1e9),
             self.orders,
             self.cluster,
             self.clock,
             self.log,
-            authority,
+            lease,
             former_leaders.FormerLeaders(0.0),
             {},
             lambda: None,
@@ -204,7 +204,7 @@
         assert _clashes(history) == []
 
     @pytest.mark.parametrize(
-        "replaced_proof", ["released", "expired", "incarnation ended"]
+        "replaced_proof", ["released", "lapsed", "run ended"]
     )
     def test_each_proof_is_needed(self, replaced_proof, monkeypatch):
         """Without any one of the proofs, some history gives two owners."""
@@ -214,12 +214,12 @@
 
         mutations = {
             "released": (fakes.Orders, "release", release),
-            "expired": (
+            "lapsed": (
                 grant_reconciliation.GrantReconciler,
                 "_grants_expire_at",
                 lambda *_: 0.0,
             ),
-            "incarnation ended": (
+            "run ended": (
                 grant_reconciliation.GrantReconciler,
                 "_incarnation_ended",
                 lambda made, holder: (
--- a/tests/gateway/test_witnessing.py
+++ b/tests/gateway/test_witnessing.py
@@ -546,7 +546,7 @@
         assert _clashes(history) == []
 
     @pytest.mark.parametrize(
-        "disabled", ["promises", "incarnations", "short lease"]
+        "disabled", ["promises", "runs", "short authority"]
     )
     def test_each_part_is_needed(self, disabled, monkeypatch):
         """With one part disabled, a history gives a key two owners."""
@@ -579,13 +579,13 @@
                 lambda f, w, _, now: record_promise(f, w, None, now),
                 outage,
             ),
-            "incarnations": (
+            "runs": (
                 former_leaders.FormerLeaders,
                 "record_promise",
                 any_incarnation,
                 restarted,
             ),
-            "short lease": (
+            "short authority": (
                 leadership.LeaderLease,
                 "need_witnesses",
                 lambda _: None,
