--- a/packages/mimosastile-gateway/src/mimosastile_gateway/daemon.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/daemon.py
@@ -451,7 +451,7 @@
             **{name: age for name, age in ages.items() if age is not None},
             "configuration_version": max(state.version, 0),
             "ready": self.ready,
-            "leading": self._leader_role.leading,
+            "leading": self._leader_role.is_leader,
             "store_reached": state.store_ok,
             "log_lines_dropped": self._events.dropped,
             "connections_opened": self._pool.opened,
@@ -485,7 +485,7 @@
     ) -> msgspec.Struct | None:
         if path == messages.REPORT_PATH:
             report = messages.decode(body, messages.Report)
-            return self._leader_role.take_report(report)
+            return self._leader_role.handle_report(report)
         if path == messages.ASSIGN_PATH:
             pushed = messages.decode(body, messages.ReportReply)
             self._membership.apply_push(pushed)
@@ -497,7 +497,7 @@
         if path == messages.LEADER_CONTACT_PATH:
             return self._membership.leader_contact()
         if path == messages.EXTEND_PATH:
-            return await self._leader_role.witness.answer(
+            return await self._leader_role.witness.handle_request(
                 messages.decode(body, messages.ExtensionRequest)
             )
         return None
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/membership.py
@@ -31,7 +31,7 @@
 _SESSION_SHARE = 0.3
 """Part of a session lease after which it is renewed; leaves time for two
 retries."""
-_CALL_TIMEOUT_SECONDS = leader_role.ANSWER_SECONDS
+_CALL_TIMEOUT_SECONDS = leader_role.MAX_REPLY_DELAY_SECONDS
 """Longest wait for a peer's response: sixteen round trips to the farthest
 region, or the retransmission of one lost packet."""
 _RELAY_TIMEOUT_SECONDS = 0.3
@@ -293,7 +293,7 @@
     def leader_contact(self) -> messages.LeaderContact:
         """Returns this VM's view of the leader, for a peer's query."""
         seconds = self._clock.now() - self._leader_seen_at
-        if self._leader.leading:
+        if self._leader.is_leader:
             seconds = 0.0
         return messages.LeaderContact(
             self._cluster.leader,
@@ -458,7 +458,7 @@
         """Follows a leader if its epoch is later than the current one's."""
         if self._cluster.record_leader(entry):
             self._leader_seen_at = self._clock.now()
-            self._leader.outranked_by(entry)
+            self._leader.step_down_if_outranked(entry)
             self._report_due.set()
 
     # Reports.
@@ -482,8 +482,8 @@
         """Reports to the leader; looks for one if there is no response."""
         self._reported_at = self._clock.now()
         report = self._make_report()
-        if self._leader.leading:
-            reply = self._leader.take_report(report)
+        if self._leader.is_leader:
+            reply = self._leader.handle_report(report)
             self._take_reply(reply)
             return
         leader = self._cluster.leader
@@ -555,9 +555,9 @@
             self._cluster.configuration_seen,
             self._own_update(),
             self._admission.stopping,
-            self._leader.longer_grants(),
+            self._leader.extended_grants_seconds(),
             leader.epoch if leader else -1,
-            self._leader.witness.promised(),
+            self._leader.witness.promised_seconds(),
             self._cluster.evacuations,
             self._cluster.limits.unknown_to_leader(self._clock.now()),
             self._unreported_leaving(),
@@ -616,7 +616,7 @@
         this VM does not know what is missing and would send everything.
         """
         synced = self._synced_leader == self._cluster.leader
-        if self._leader.leading or not synced or not self._follow_requested:
+        if self._leader.is_leader or not synced or not self._follow_requested:
             return None
         return self._cluster.updates_since(
             self._leader_revision,
@@ -627,7 +627,7 @@
     def _rely(self, reply: messages.ReportReply) -> None:
         """Decides from a leader's response whether to follow the store."""
         here = self._settings.vm.id
-        chosen = here in reply.watchers or self._leader.leading
+        chosen = here in reply.watchers or self._leader.is_leader
         reported_at = self._reported_at
         self._cluster.record_view_ages(
             reply.seen,
@@ -667,7 +667,7 @@
         self._watcher.set_leader_reliable(
             not follows,
             read_delay=read_delay,
-            closely=closely or self._leader.leading,
+            closely=closely or self._leader.is_leader,
         )
 
     def _works(self) -> dict[str, float]:
@@ -715,7 +715,7 @@
         if not reply.leading:
             return
         self._leader_seen_at = now
-        self._leader.hear(reply)
+        self._leader.handle_reply(reply)
         self._vms = reply.vms
         for death in reply.crashes:
             self._crashes.record_crash(death, now)
--- a/tests/gateway/test_bounded_targets.py
+++ b/tests/gateway/test_bounded_targets.py
@@ -25,7 +25,7 @@
         since: When it first stated a limit.
     """
     informed_at = {}
-    for at, vm, headers in target.passed:
+    for at, vm, headers in target.responses:
         if b"server-limit" in headers:
             informed_at.setdefault(vm, at)
     counted = [
@@ -34,7 +34,7 @@
         if arrival.vm in informed_at
         and arrival.at >= informed_at[arrival.vm] + RESPONSE_DELAY_SECONDS
     ]
-    rate = float(target.says["server-limit"])
+    rate = float(target.extra_headers["server-limit"])
     allowed = 1.5 * rate * WINDOW_SECONDS + 5
     return max(
         (
@@ -58,7 +58,7 @@
 
 def _set_limit(target, rate):
     """Makes a target state a limit; returns the time."""
-    target.says["server-limit"] = str(rate)
+    target.extra_headers["server-limit"] = str(rate)
     return virtual.now()
 
 
@@ -207,14 +207,14 @@
             limited = [
                 (
                     target,
-                    _set_limit(target, cluster.chance.choice((0.4, 2.6, 6.1))),
+                    _set_limit(target, cluster.rng.choice((0.4, 2.6, 6.1))),
                 )
-                for target in cluster.chance.sample(
+                for target in cluster.rng.sample(
                     list(cluster.targets.values()), 3
                 )
             ]
             for number in range(9):
-                await asyncio.sleep(cluster.chance.uniform(0.3, 1.5))
+                await asyncio.sleep(cluster.rng.uniform(0.3, 1.5))
                 self._inject_fault(cluster, number)
             self._heal(cluster)
             await asyncio.gather(*calling)
@@ -226,11 +226,11 @@
 
     def _inject_fault(self, cluster, number):
         alive = sorted(cluster.vms)
-        fault = cluster.chance.choice(("kill", "cut", "heal", "start", "store"))
+        fault = cluster.rng.choice(("kill", "cut", "heal", "start", "store"))
         if fault == "kill" and len(alive) > 6:
-            cluster.vms.pop(cluster.chance.choice(alive)).end()
+            cluster.vms.pop(cluster.rng.choice(alive)).end()
         elif fault == "cut":
-            cluster.isolate(*cluster.chance.sample(alive, len(alive) // 3))
+            cluster.isolate(*cluster.rng.sample(alive, len(alive) // 3))
         elif fault == "heal":
             self._heal(cluster)
         elif fault == "start":
@@ -253,7 +253,7 @@
 
         async def scenario(cluster):
             target = cluster.owner()
-            cluster.orders.notices[target.id] = target_feedback.TargetFeedback(
+            cluster.orders.feedback[target.id] = target_feedback.TargetFeedback(
                 limit=3.1, names_limit=True
             )
             await asyncio.sleep(2.0)
@@ -292,7 +292,7 @@
             target = cluster.owner() if key else cluster.targets["p0"]
             _set_limit(target, 6.1)
             await cluster.call(6.0, 120.0, path, key)
-            del target.says["server-limit"]
+            del target.extra_headers["server-limit"]
             lifted_at = virtual.now()
             await cluster.call(20.0, 120.0, path, key)
             assert (
@@ -311,7 +311,7 @@
             target = cluster.targets["p0"]
             _set_limit(target, 0.4)
             await cluster.call(5.0, 120.0, "/p")
-            del target.says["server-limit"]
+            del target.extra_headers["server-limit"]
             target.born = 2
             cluster.apply_target(target.registration)
             began = virtual.now()
--- a/tests/gateway/test_cluster_state.py
+++ b/tests/gateway/test_cluster_state.py
@@ -24,7 +24,9 @@
 
 
 def _state():
-    return fakes.known(fakes.VirtualClock(), fakes.Lines(), fakes.target("a"))
+    return fakes.new_cluster_state(
+        fakes.VirtualClock(), fakes.MemoryEvents(), fakes.target("a")
+    )
 
 
 def _run(check):
@@ -227,11 +229,13 @@
         """
 
         async def main():
-            state = fakes.known(fakes.VirtualClock(), fakes.Lines())
+            state = fakes.new_cluster_state(
+                fakes.VirtualClock(), fakes.MemoryEvents()
+            )
             state.seen = 5
             await asyncio.sleep(10.0)
             evacuations = eligibility.Evacuations(zones, 9 if zones else 0)
             state.record_view_ages(seen, 8.0, version, evacuations, 7.0)
-            assert fakes.ages(state) == ages
+            assert fakes.view_ages(state) == ages
 
         virtual.run(main())
--- a/tests/gateway/test_datagrams.py
+++ b/tests/gateway/test_datagrams.py
@@ -22,7 +22,7 @@
     """A channel that receives its datagrams from the test."""
 
     def __init__(self):
-        self.log = fakes.Lines()
+        self.log = fakes.MemoryEvents()
         self.received = []
         self._channel = datagrams.Channel(self.log)
         self._channel._receive = lambda *message: self.received.append(message)
@@ -44,8 +44,8 @@
 
 
 def _gate(port):
-    timer, log = fakes.VirtualClock(), fakes.Lines()
-    state = fakes.known(timer, log, fakes.target("a"))
+    timer, log = fakes.VirtualClock(), fakes.MemoryEvents()
+    state = fakes.new_cluster_state(timer, log, fakes.target("a"))
     gate = admission_service.AdmissionService(
         fakes.configured(), port, state, timer
     )
--- a/tests/gateway/test_dispatching.py
+++ b/tests/gateway/test_dispatching.py
@@ -70,8 +70,8 @@
     """One VM's dispatcher, and a key whose owner can have a gate."""
 
     def __init__(self):
-        self.clock, self.log = fakes.VirtualClock(), fakes.Lines()
-        self.cluster = fakes.known(
+        self.clock, self.log = fakes.VirtualClock(), fakes.MemoryEvents()
+        self.cluster = fakes.new_cluster_state(
             self.clock, self.log, fakes.target("a"), fakes.target("b")
         )
         self.balancer = load_balancing.LoadBalancer(
--- a/tests/gateway/test_dissemination.py
+++ b/tests/gateway/test_dissemination.py
@@ -65,10 +65,12 @@
 def _run(scenario):
     async def main():
         timer = fakes.VirtualClock()
-        state = fakes.known(timer, fakes.Lines(), fakes.target("a"))
+        state = fakes.new_cluster_state(
+            timer, fakes.MemoryEvents(), fakes.target("a")
+        )
         calls = Calls()
         sender = dissemination.Disseminator(
-            "vm-1", "z", calls, state, timer, fakes.Lines()
+            "vm-1", "z", calls, state, timer, fakes.MemoryEvents()
         )
         sender.begin(ENTRY)
         sender.announce([_vm("vm-1"), _vm("vm-2"), _vm("vm-3")])
--- a/tests/gateway/test_leaving_targets.py
+++ b/tests/gateway/test_leaving_targets.py
@@ -16,14 +16,14 @@
 
 def _leave(target):
     """Lets a target announce its shutdown; returns the time."""
-    target.says["server-leaving"] = "1"
+    target.extra_headers["server-leaving"] = "1"
     return virtual.now()
 
 
 def too_late(target):
     """Returns requests that VMs sent too long after the announcement."""
     notified = {}
-    for at, vm, headers in target.passed:
+    for at, vm, headers in target.responses:
         if b"server-leaving" in headers:
             notified.setdefault(vm, at)
     return [
@@ -113,7 +113,7 @@
 
         async def scenario(cluster):
             target = cluster.owner()
-            cluster.orders.notices[target.id] = target_feedback.TargetFeedback(
+            cluster.orders.feedback[target.id] = target_feedback.TargetFeedback(
                 leaving=True
             )
             await asyncio.sleep(3.0)
@@ -213,7 +213,7 @@
             target = cluster.targets["p0"]
             _leave(target)
             await cluster.call(3.0, 60.0, "/p")
-            del target.says["server-leaving"]
+            del target.extra_headers["server-leaving"]
             target.born += 1
             _register(cluster, target)
             since = virtual.now()
--- a/tests/gateway/test_membership.py
+++ b/tests/gateway/test_membership.py
@@ -100,8 +100,8 @@
 
 def _run(scenario):
     async def main():
-        timer, log = fakes.VirtualClock(), fakes.Lines()
-        state = fakes.known(timer, log, fakes.target("a"))
+        timer, log = fakes.VirtualClock(), fakes.MemoryEvents()
+        state = fakes.new_cluster_state(timer, log, fakes.target("a"))
         store, calls = Store(), Calls()
         member = _member(fakes.configured(), state, store, calls, timer, log)
         await scenario(member, state, store, calls)
@@ -177,7 +177,7 @@
             member._reported_at = virtual.now()
             await asyncio.sleep(delay)
             member._take_reply(reply)
-            assert fakes.ages(state) == (
+            assert fakes.view_ages(state) == (
                 pytest.approx(0.5 + delay),
                 pytest.approx(0.7 + delay),
             )
@@ -352,8 +352,8 @@
             base = fakes.configured()
             name = f"vm-{number:03}"
             vm = msgspec.structs.replace(base.vm, id=name, peers=name)
-            log = fakes.Lines()
-            state = fakes.known(timer, log, fakes.target("a"))
+            log = fakes.MemoryEvents()
+            state = fakes.new_cluster_state(timer, log, fakes.target("a"))
             self.vms[name] = _member(
                 msgspec.structs.replace(base, vm=vm),
                 state,
@@ -374,7 +374,7 @@
             return messages.encode(messages.UpdateAck())
         if path == messages.REPORT_PATH:
             report = messages.decode(body, messages.Report)
-            return messages.encode(other._leader.take_report(report))
+            return messages.encode(other._leader.handle_report(report))
         if path == messages.LEADER_CONTACT_PATH:
             return messages.encode(other.leader_contact())
         return b"{}"
--- a/tests/gateway/test_news_histories.py
+++ b/tests/gateway/test_news_histories.py
@@ -77,7 +77,9 @@
             await asyncio.sleep(self._random.uniform(0.3, 4.0))
             choice = self._random.random()
             vms = self.fleet.vms
-            leaders = [name for name, vm in vms.items() if vm.leading.leading]
+            leaders = [
+                name for name, vm in vms.items() if vm.leader_role.is_leader
+            ]
             if choice < 0.35:
                 count = self._random.choice((1, 1, 2, 3))
                 self._isolate(self._random.sample(sorted(vms), count))
@@ -85,7 +87,7 @@
                 self._isolate(leaders[:1])
             elif choice < 0.8:
                 now = virtual.now()
-                self.fleet.store.silence()
+                self.fleet.store.stall_watches()
                 for times in self._disturbed.values():
                     times.append([now, now])
             elif leaders and len(vms) > _VMS - _MAX_KILLED:
--- a/tests/gateway/test_news_in_time.py
+++ b/tests/gateway/test_news_in_time.py
@@ -127,7 +127,7 @@
         """
 
         async def scenario(cluster):
-            cluster.store.silence()
+            cluster.store.stall_watches()
             silent = virtual.now()
             await asyncio.sleep(after)
             target = cluster.targets["p0"]
--- a/tests/gateway/test_resting_targets.py
+++ b/tests/gateway/test_resting_targets.py
@@ -14,7 +14,7 @@
 
 def _reject(target, seconds, *, runs=True):
     """Lets a target reject all requests with Retry-After; returns the time."""
-    target.says["retry-after"] = seconds
+    target.extra_headers["retry-after"] = seconds
     target.rejects = True
     target.runs = runs
     return virtual.now()
@@ -24,7 +24,7 @@
     """Returns the largest number of a VM's requests during a backoff."""
     notified = [
         (at, vm)
-        for at, vm, headers in target.passed
+        for at, vm, headers in target.responses
         if b"retry-after" in headers
     ]
     return max(
@@ -81,7 +81,7 @@
             _reject(target, "1.5")
             await cluster.call(3.0, 120.0, path, key)
             target.rejects = False
-            del target.says["retry-after"]
+            del target.extra_headers["retry-after"]
             await asyncio.sleep(1.5)
             since = virtual.now()
             await cluster.call(8.0, 120.0, path, key)
@@ -144,7 +144,7 @@
             _reject(target, "7200", runs=False)
             await cluster.call(2.0, 120.0, "/p")
             target.rejects = False
-            target.says.clear()
+            target.extra_headers.clear()
             target.born = 2
             cluster.take_target(target.registration)
             since = virtual.now()
--- a/tests/gateway/test_store_watching.py
+++ b/tests/gateway/test_store_watching.py
@@ -48,8 +48,8 @@
 
 def _watcher(store, *targets):
     """Returns a VM's store watcher, its cluster state and its log."""
-    timer, log = fakes.VirtualClock(), fakes.Lines()
-    state = fakes.known(timer, log, *targets)
+    timer, log = fakes.VirtualClock(), fakes.MemoryEvents()
+    state = fakes.new_cluster_state(timer, log, *targets)
     watcher = store_watching.StoreWatcher(
         settings.StoreSettings(address="127.0.0.1:1"),
         store,
@@ -325,13 +325,13 @@
         """Guards against a grace period that restarts at each notified VM."""
 
         async def main():
-            timer, log = fakes.VirtualClock(), fakes.Lines()
-            leader = fakes.known(timer, log, fakes.target("a"))
+            timer, log = fakes.VirtualClock(), fakes.MemoryEvents()
+            leader = fakes.new_cluster_state(timer, log, fakes.target("a"))
             leader.apply_target(fakes.target("a", leaving=True, revision=5))
             leader.seen = 5
             await asyncio.sleep(1.5)
             update = leader.updates_since(1, leader.version)
-            behind = fakes.known(timer, log, fakes.target("a"))
+            behind = fakes.new_cluster_state(timer, log, fakes.target("a"))
             behind.apply_update(update)
             ends = [vm.directory.get("a").until for vm in (leader, behind)]
             assert ends[0] == ends[1]
@@ -361,7 +361,7 @@
             watcher.start()
             wait = settings.StoreSettings(address="").watch_wait
             await asyncio.sleep(wait + delay + 0.01)
-            for age in fakes.ages(state):
+            for age in fakes.view_ages(state):
                 assert age == pytest.approx(delay + 0.01, abs=0.001)
             watcher.stop()
 
@@ -383,10 +383,10 @@
             await asyncio.sleep(leads_at)
             watcher.set_leader_reliable(False, closely=True)
             await asyncio.sleep(0.5)
-            store.silence()
+            store.stall_watches()
             await asyncio.sleep(contact_seconds)
             for _ in range(100):
-                assert max(fakes.ages(state)) < contact_seconds
+                assert max(fakes.view_ages(state)) < contact_seconds
                 await asyncio.sleep(0.1)
             watcher.stop()
 
