--- a/packages/mimosastile-core/src/mimosastile_core/quarantine.py
+++ b/packages/mimosastile-core/src/mimosastile_core/quarantine.py
@@ -188,9 +188,10 @@
 
 
 class UnconfirmedCrashes:
-    """Lost responses of one VM's targets that may not be crashes.
+    """Lost responses that count as crashes until a response disproves them.
 
-    One VM keeps a target: all requests go through it, its keeper.
+    Each entry VM records them for the targets of which it is the keeper: the
+    entry VM through which alone a target gets requests and grants.
     """
 
     __slots__ = ("_lost",)
@@ -201,8 +202,8 @@
     def add(self, target: str, crash: str, now: float) -> None:
         """Records a lost response that counts as a crash for now."""
         recent = [
-            (at, crash)
-            for at, crash in self._lost.get(target, ())
+            (at, other_crash)
+            for at, other_crash in self._lost.get(target, ())
             if now - at < _UNCONFIRMED_SECONDS
         ]
         self._lost[target] = [*recent, (now, crash)]
