--- a/packages/mimosastile-entry/src/mimosastile_entry/_admission.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_admission.py
@@ -1,4 +1,7 @@
-"""Slots of the targets that this VM keeps; the core's queue decides."""
+"""Admission control for the targets whose keeper is this VM.
+
+The keeper of a target is the only entry VM that sends it requests and grants.
+"""
 
 import asyncio
 from typing import Any
@@ -8,35 +11,35 @@
 from mimosastile_core import queueing
 from mimosastile_entry import ports
 
-_Turn = asyncio.Future[errors.Failure | None]
+_Waiter = asyncio.Future[errors.Failure | None]
 
 
 class Admission:
-    """Carries out what the queues of the kept targets decide."""
+    """Applies the decisions of the targets' admission queues."""
 
-    __slots__ = ("_clock", "_queues", "_turns")
+    __slots__ = ("_clock", "_queues", "_waiters")
 
     def __init__(self, clock: ports.ClockPort) -> None:
-        """Makes it with no queues.
+        """Initializes the admission control without queues.
 
         Args:
-            clock: Tells the time.
+            clock: Source of the loop time.
         """
         self._clock = clock
         self._queues: dict[str, queueing.TargetQueue] = {}
-        self._turns: dict[queueing.Ticket, _Turn] = {}
+        self._waiters: dict[queueing.Ticket, _Waiter] = {}
 
     def load(self, target: str) -> int:
-        """Returns how many requests run on a target or wait for it."""
+        """Returns the number of running and queued requests of a target."""
         queue = self._queues.get(target)
         return queue.running + queue.waiting if queue else 0
 
     def in_flight(self) -> dict[str, int]:
-        """Returns the running requests by target."""
+        """Returns the number of running requests by target."""
         return {t: q.running for t, q in self._queues.items() if q.running}
 
     def dump(self) -> dict[str, Any]:
-        """Returns the queues that are in use."""
+        """Returns the queues that have running or waiting requests."""
         return {
             target: {
                 "running": queue.running,
@@ -54,16 +57,17 @@
         ticket: queueing.Ticket,
         deadline: float,
     ) -> errors.Failure | None:
-        """Waits for a slot.
+        """Waits for a slot of a target.
 
         Args:
             target: The target.
             service: Configuration of its service.
-            ticket: The request; give it to `leave` if it got a slot.
-            deadline: Loop time at which the caller gives up.
+            ticket: Queue entry of the request; pass it to `leave` to release
+                the slot.
+            deadline: Loop time at which the caller's request expires.
 
         Returns:
-            None if the request holds a slot, else why it does not.
+            None if the request holds a slot, else the failure.
         """
         queue = self._queues.get(target)
         if queue is None:
@@ -74,49 +78,52 @@
         outcome = queue.offer(ticket, deadline, now)
         if not isinstance(outcome, list):
             return outcome
-        turn: _Turn = asyncio.get_running_loop().create_future()
-        self._turns[ticket] = turn
-        self._carry_out(outcome)
+        waiter: _Waiter = asyncio.get_running_loop().create_future()
+        self._waiters[ticket] = waiter
+        self._apply(outcome)
         try:
-            # Not `wait_for`: it swallows a cancellation that comes with the
-            # slot, and a request would be sent for a caller that has gone.
+            # Not `wait_for`: it swallows a cancellation that coincides with
+            # the slot, and a request would be sent for a caller that has
+            # disconnected.
             async with asyncio.timeout(ticket.latest - now):
-                return await turn
+                return await waiter
         except TimeoutError:
             self.leave(target, ticket)
             return errors.Failure(errors.ErrorKind.QUEUE_TIMEOUT)
         except asyncio.CancelledError:
-            # The slot may have been handed over in the same moment. Without
-            # giving it back the target would serve one request fewer after
-            # each such race, for good.
+            # The slot may have been assigned at the same moment. Unless it is
+            # released, each such race permanently reduces the target's
+            # concurrency by one.
             self.leave(target, ticket)
             raise
         finally:
-            self._turns.pop(ticket, None)
+            self._waiters.pop(ticket, None)
 
     def leave(self, target: str, ticket: queueing.Ticket) -> None:
-        """Gives a slot back, or a place in the queue."""
-        self._carry_out(self._queues[target].leave(ticket, self._clock.now()))
+        """Releases a slot, or removes a request from the queue."""
+        self._apply(self._queues[target].leave(ticket, self._clock.now()))
 
     def shed(self, target: str) -> None:
-        """Heeds a target's refusal because of overload."""
+        """Records that a target refused a request because of overload."""
         self._queues[target].shed(self._clock.now())
 
-    def leaver(self, target: str, ticket: queueing.Ticket) -> ports.Closer:
-        """Returns `leave` as something to do when an answer is closed."""
+    def leave_callback(
+        self, target: str, ticket: queueing.Ticket
+    ) -> ports.Closer:
+        """Returns a callback that calls `leave` when a response is closed."""
 
         async def close() -> None:
             self.leave(target, ticket)
 
         return close
 
-    def _carry_out(self, actions: list[queueing.Action]) -> None:
+    def _apply(self, actions: list[queueing.Action]) -> None:
         for action in actions:
-            turn = self._turns.get(action.ticket)
-            # Whoever is being cancelled at this moment gives the slot back
-            # by itself when it wakes.
-            if turn is not None and not turn.done():
-                turn.set_result(
+            waiter = self._waiters.get(action.ticket)
+            # A waiter that is being cancelled releases the slot itself when
+            # it resumes.
+            if waiter is not None and not waiter.done():
+                waiter.set_result(
                     action.failure
                     if isinstance(action, queueing.Refused)
                     else None
--- a/packages/mimosastile-entry/src/mimosastile_entry/_gating.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_gating.py
@@ -1,4 +1,4 @@
-"""Sends requests through the gate of a target that checks no orders."""
+"""Sends requests through the admission gate of targets without order checks."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Callable
@@ -12,10 +12,10 @@
 from mimosastile_entry import ports
 
 
-class _Passage:
-    """One request that passed the gate; it leaves once."""
+class _AdmittedRequest:
+    """A request admitted by the gate; it leaves the gate exactly once."""
 
-    __slots__ = ("_answered", "_gate", "_left", "_notify", "_position")
+    __slots__ = ("_completed", "_gate", "_left", "_notify", "_position")
 
     def __init__(
         self,
@@ -26,23 +26,23 @@
         self._gate = gate
         self._position = position
         self._notify = notify
-        self._answered = False
+        self._completed = False
         self._left = False
 
-    async def passed_on(
+    async def relay_body(
         self, body: AsyncIterator[bytes]
     ) -> AsyncIterator[bytes]:
-        """Yields an answer's body and notes that it came to its end."""
+        """Yields a response's body and records when it is complete."""
         async for chunk in body:
             yield chunk
-        self._answered = True
+        self._completed = True
 
     async def close(self) -> None:
-        """Leaves, answered if the body came to its end."""
-        self.leave(self._answered)
+        """Leaves the gate, as answered if the body was complete."""
+        self.leave(self._completed)
 
     def leave(self, answered: bool) -> None:
-        """Leaves the gate."""
+        """Leaves the gate; later calls have no effect."""
         if not self._left:
             self._left = True
             self._gate.finish(self._position, answered)
@@ -57,32 +57,32 @@
     gate: gates.GatedTarget,
     notify: Callable[[], None],
 ) -> result.Result[ports.Response, errors.Failure]:
-    """Sends a request if the gate lets it pass.
+    """Sends a request if the gate admits it.
 
     Args:
-        targets: Where to send.
+        targets: Port to the targets.
         vm: The target.
         request: The request.
-        fence: What the sender knows of the slice.
+        fence: Fencing token and key position of the request.
         gate: The target's gate.
-        notify: Called when the request has ended.
+        notify: Called when the request has left the gate.
 
     Returns:
-        The answer, or why there is none.
+        The response, or the failure.
     """
     if not gate.admit(fence.position, fence.fence):
         return result.Err(errors.Failure(errors.ErrorKind.WRONG_FENCE))
-    passage = _Passage(gate, fence.position, notify)
+    admitted = _AdmittedRequest(gate, fence.position, notify)
     sent: result.Result[ports.Response, errors.Failure] | None = None
     try:
         sent = await targets.send(vm, request, fence)
     finally:
         if sent is None:
-            # Cancelled on the way; the target may run it all the same.
-            passage.leave(answered=False)
+            # Cancelled while sending; the target may still run it.
+            admitted.leave(answered=False)
     if isinstance(sent, result.Err):
-        passage.leave(sent.err_value.answer.ran is errors.Ran.NO)
+        admitted.leave(sent.err_value.answer.ran is errors.Ran.NO)
         return sent
-    sent.ok_value.body = passage.passed_on(sent.ok_value.body)
-    sent.ok_value.on_close(passage.close)
+    sent.ok_value.body = admitted.relay_body(sent.ok_value.body)
+    sent.ok_value.on_close(admitted.close)
     return sent
--- a/packages/mimosastile-entry/src/mimosastile_entry/_keeper.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_keeper.py
@@ -303,7 +303,7 @@
     async def _check_clock(self) -> None:
         while True:
             self._guard.is_open(self._clock.now())
-            self._loads.set_heard(self._responding_targets())
+            self._loads.set_responding_targets(self._responding_targets())
             await asyncio.sleep(_MAX_CLOCK_GAP_SECONDS / 5)
 
     def _responding_targets(self) -> dict[str, tuple[str, ...]]:
--- a/packages/mimosastile-entry/src/mimosastile_entry/_limits.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_limits.py
@@ -1,4 +1,4 @@
-"""The limits service: members' limits over all entry VMs together."""
+"""Limits service: enforces members' limits across all entry VMs."""
 
 import asyncio
 import collections
@@ -18,35 +18,38 @@
 
 _REPORT_SECONDS = 0.1
 _IDLE_REPORTS = 5
-"""Reports between two that name idle members as well."""
+"""Every n-th report also includes idle members."""
 _CALL_SECONDS = 0.5
-_ASK_SECONDS = 0.1
-"""How long a request waits for a larger share before it is refused."""
-_PAUSES = (0.0, 0.06)
-"""Seconds before each question. What another VM has just stopped using is
-known to the dealer one report later."""
+_SHARE_WAIT_SECONDS = 0.1
+"""Time a request waits for a larger share before it is refused."""
+_PAUSES_SECONDS = (0.0, 0.06)
+"""Pause before each request for a larger share. Capacity that another VM has
+just released reaches the allocator one report later."""
 
 
 class LimitsService:
-    """Admits requests of members within their limits."""
+    """Admits members' requests within concurrency and rate limits.
+
+    For each member one entry VM, the allocator, divides the limits into shares.
+    """
 
     __slots__ = (
         "_allowances",
-        "_asking",
-        "_asks",
         "_clock",
         "_fleet",
         "_ledgers",
         "_peers",
+        "_share_requests",
         "_state",
         "_task",
         "_vm",
+        "_waiting",
         "name",
         "needs",
     )
 
     def __init__(self, vm: str) -> None:
-        """Makes the service.
+        """Initializes the service.
 
         Args:
             vm: Identifier of this VM.
@@ -62,8 +65,8 @@
         self._vm = vm
         self._allowances: dict[str, limits.Allowance] = {}
         self._ledgers: dict[str, tuple[limits.Ledger, limits.Ledger]] = {}
-        self._asking: collections.Counter[str] = collections.Counter()
-        self._asks: dict[str, asyncio.Task[None]] = {}
+        self._waiting: collections.Counter[str] = collections.Counter()
+        self._share_requests: dict[str, asyncio.Task[None]] = {}
         self._task: asyncio.Task[None] | None = None
         self._state: _state.StateService
         self._fleet: _fleet.FleetService
@@ -71,24 +74,24 @@
         self._clock: ports.ClockPort
 
     async def start(self, kernel: kernel.Kernel) -> None:
-        """Begins to report needs and to deal shares."""
+        """Starts to report needs and to allocate shares."""
         self._state = kernel.find("state")
         self._fleet = kernel.find("fleet")
         self._peers = kernel.find("peers")
         self._clock = kernel.find("clock")
         inbox: _inbox.InboxService = kernel.find("inbox")
-        inbox.handle(messages.Needs, self._deal)
+        inbox.handle(messages.Needs, self._allocate)
         self._task = asyncio.create_task(self._run(), name="limits-report")
 
     async def stop(self) -> None:
-        """Ends the reports."""
+        """Stops the reports."""
         if self._task is not None:
             self._task.cancel()
-        for task in self._asks.values():
+        for task in self._share_requests.values():
             task.cancel()
 
     def dump(self) -> dict[str, Any]:
-        """Returns what is in use by member, and whom this VM deals for."""
+        """Returns the use by member, and the members this VM allocates for."""
         return {
             "in_use": {
                 name: allowance.in_use
@@ -99,13 +102,13 @@
         }
 
     async def enter(self, name: str) -> errors.Failure | None:
-        """Counts a request in; its end must be told to `leave`.
+        """Counts a request as started; the caller must call `leave` at its end.
 
         Args:
             name: The member.
 
         Returns:
-            None if the request is within the member's limits.
+            None if the request is within the member's limits, else the failure.
         """
         member = self._state.replica.config.document.members.get(name)
         if member is None:
@@ -116,22 +119,22 @@
             return None
         if not allowance.may_request(self._clock.now()):
             return errors.Failure(errors.ErrorKind.MEMBER_LIMIT)
-        for pause in _PAUSES:
+        for pause in _PAUSES_SECONDS:
             await asyncio.sleep(pause)
-            await self._ask_for_more(name)
+            await self._request_larger_share(name)
             if self._admit(allowance, member):
                 return None
             allowance.record_refusal(self._clock.now())
         return errors.Failure(errors.ErrorKind.MEMBER_LIMIT)
 
     def leave(self, name: str) -> None:
-        """Counts a request out that was counted in."""
+        """Counts a request as ended that `enter` admitted."""
         allowance = self._allowances.get(name)
         if allowance is not None and allowance.in_use:
             allowance.release()
 
-    def leaver(self, name: str) -> ports.Closer:
-        """Returns `leave` as something to do when an answer is closed."""
+    def leave_callback(self, name: str) -> ports.Closer:
+        """Returns a callback that calls `leave` when a response is closed."""
 
         async def close() -> None:
             self.leave(name)
@@ -161,22 +164,22 @@
             self._clock.now(),
         )
 
-    async def _ask_for_more(self, name: str) -> None:
-        """Asks the dealer at once; requests of one member ask together."""
-        self._asking[name] += 1
-        task = self._asks.get(name)
+    async def _request_larger_share(self, name: str) -> None:
+        """Reports the need at once; a member's requests share one report."""
+        self._waiting[name] += 1
+        task = self._share_requests.get(name)
         if task is None:
             task = asyncio.create_task(self._report((name,)))
-            self._asks[name] = task
-            task.add_done_callback(lambda _: self._asks.pop(name))
+            self._share_requests[name] = task
+            task.add_done_callback(lambda _: self._share_requests.pop(name))
         try:
-            await asyncio.wait({task}, timeout=_ASK_SECONDS)
+            await asyncio.wait({task}, timeout=_SHARE_WAIT_SECONDS)
         finally:
-            self._asking[name] -= 1
+            self._waiting[name] -= 1
 
     async def _run(self) -> None:
-        for turn in itertools.count():
-            idle = turn % _IDLE_REPORTS == 0
+        for cycle in itertools.count():
+            idle = cycle % _IDLE_REPORTS == 0
             members = self._state.replica.config.document.members
             await self._report(
                 [name for name in members if idle or self._is_busy(name)]
@@ -190,31 +193,34 @@
     async def _report(self, names: Iterable[str]) -> None:
         now = self._clock.now()
         vms = set(self._fleet.fleet.entries) | {self._vm}
-        by_dealer: dict[str, list[messages.MemberNeed]] = (
+        by_allocator: dict[str, list[messages.MemberNeed]] = (
             collections.defaultdict(list)
         )
         for name in names:
             if self._limited(name) is None:
                 continue
-            needs = self._allowance(name).needs(now, self._asking[name])
+            needs = self._allowance(name).needs(now, self._waiting[name])
             need = messages.MemberNeed(name, *needs)
-            dealer = limits.allocator(name, vms)
-            by_dealer[dealer].append(need)
-            if dealer != self._vm:
-                # A book that is taken up again after another VM has dealt
-                # would hold shares that are no longer true; the sum would
-                # overrun the limit.
+            allocator = limits.allocator(name, vms)
+            by_allocator[allocator].append(need)
+            if allocator != self._vm:
+                # A ledger reused after another VM was the allocator would
+                # hold outdated shares, and the sum of the shares would
+                # exceed the limit.
                 self._ledgers.pop(name, None)
         await asyncio.gather(
-            *(self._ask(vm, needs, now) for vm, needs in by_dealer.items())
+            *(
+                self._request_shares(vm, needs, now)
+                for vm, needs in by_allocator.items()
+            )
         )
 
-    async def _ask(
+    async def _request_shares(
         self, vm: str, needs: Iterable[messages.MemberNeed], sent_at: float
     ) -> None:
         message = messages.Needs(self._vm, tuple(needs))
         if vm == self._vm:
-            self._take(self._deal(message), sent_at)
+            self._apply_shares(self._allocate(message), sent_at)
             return
         peer = self._fleet.fleet.entries.get(vm)
         if peer is None:
@@ -222,23 +228,23 @@
         reply = await self._peers.call(peer, message, _CALL_SECONDS)
         shares = reply.ok()
         if isinstance(shares, messages.Shares):
-            self._take(shares, sent_at)
+            self._apply_shares(shares, sent_at)
 
-    def _take(self, shares: messages.Shares, sent_at: float) -> None:
+    def _apply_shares(self, shares: messages.Shares, sent_at: float) -> None:
         for share in shares.shares:
             self._allowance(share.member).grant(
                 share.concurrency, share.rate, sent_at
             )
 
-    def _deal(self, message: messages.Needs) -> messages.Shares:
+    def _allocate(self, message: messages.Needs) -> messages.Shares:
         now = self._clock.now()
         vms = set(self._fleet.fleet.entries) | {self._vm}
         shares = []
         for need in message.needs:
             member = self._limited(need.member)
             if member is None or limits.allocator(need.member, vms) != self._vm:
-                # The sender's list is another; it keeps to its floor until
-                # the lists agree.
+                # The sender has a different list of VMs. It stays at its
+                # minimum share until the lists agree.
                 continue
             ledgers = self._ledgers.get(need.member)
             if ledgers is None:
--- a/packages/mimosastile-entry/src/mimosastile_entry/_links.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_links.py
@@ -1,4 +1,4 @@
-"""The links service: what this VM sends to other regions, within a budget."""
+"""Links service: rate-limits and counts traffic to other regions."""
 
 import asyncio
 import collections
@@ -22,13 +22,13 @@
 
 
 class Load(msgspec.Struct, frozen=True):
-    """What crosses the link and on whose account.
+    """Destination and attribution of bytes that cross a link.
 
     Attributes:
-        region: Where it goes.
-        member: Who pays.
-        service: Which service it belongs to.
-        priority: Its class.
+        region: Destination region.
+        member: Member whose account is charged.
+        service: Service that the bytes belong to.
+        priority: Priority class.
     """
 
     region: str
@@ -38,7 +38,11 @@
 
 
 class LinksService:
-    """Paces and counts the bytes that this VM sends to other regions."""
+    """Paces and counts the bytes that this VM sends to other regions.
+
+    For each pair of regions one entry VM, the allocator, divides the bandwidth
+    into shares.
+    """
 
     __slots__ = (
         "_clock",
@@ -48,20 +52,20 @@
         "_pacers",
         "_peers",
         "_region",
+        "_send_locks",
         "_state",
         "_task",
-        "_turns",
         "_vm",
         "name",
         "needs",
     )
 
     def __init__(self, vm: str, region: str) -> None:
-        """Makes the service.
+        """Initializes the service.
 
         Args:
             vm: Identifier of this VM.
-            region: Where it stands.
+            region: Region of this VM.
         """
         self.name = "links"
         self.needs: tuple[str, ...] = (
@@ -76,8 +80,8 @@
         self._meter = links.Meter()
         self._pacers: dict[str, links.Pacer] = {}
         self._ledgers: dict[str, limits.Ledger] = {}
-        # One sender of a class asks at a time, in the order of arrival.
-        self._turns: dict[tuple[str, config.Priority], asyncio.Lock] = (
+        # Serializes the senders of a priority class in order of arrival.
+        self._send_locks: dict[tuple[str, config.Priority], asyncio.Lock] = (
             collections.defaultdict(asyncio.Lock)
         )
         self._task: asyncio.Task[None] | None = None
@@ -87,17 +91,17 @@
         self._clock: ports.ClockPort
 
     async def start(self, kernel: kernel.Kernel) -> None:
-        """Begins to report needs and to deal shares."""
+        """Starts to report needs and to allocate shares."""
         self._state = kernel.find("state")
         self._fleet = kernel.find("fleet")
         self._peers = kernel.find("peers")
         self._clock = kernel.find("clock")
         inbox: _inbox.InboxService = kernel.find("inbox")
-        inbox.handle(messages.LinkNeeds, self._deal)
+        inbox.handle(messages.LinkNeeds, self._allocate)
         self._task = asyncio.create_task(self._run(), name="links-report")
 
     async def stop(self) -> None:
-        """Ends the reports."""
+        """Stops the reports."""
         if self._task is not None:
             self._task.cancel()
 
@@ -106,37 +110,37 @@
         return {"sent_bytes": self._meter.total()}
 
     def crosses(self, region: str) -> bool:
-        """Whether what goes to a region crosses a link."""
+        """Returns whether traffic to a region crosses a link."""
         return bool(region) and region != self._region
 
     async def send(self, load: Load, size: int) -> None:
-        """Waits until some bytes may go, and accounts them.
+        """Counts bytes and waits until they may be sent.
 
         Args:
-            load: What they belong to.
-            size: How many.
+            load: Destination and attribution of the bytes.
+            size: Number of bytes.
         """
         self._meter.count(load.region, load.member, load.service, size)
         pacer = self._pacer(load.region)
         if not self._wait(pacer, load, size):
             return
-        async with self._turns[load.region, load.priority]:
+        async with self._send_locks[load.region, load.priority]:
             while True:
                 seconds = self._wait(pacer, load, size)
                 if not seconds:
                     return
-                # A VM that has just begun holds next to nothing; slept out at
-                # that rate, a wait would last minutes although the share is
-                # raised at once, seen as requests that are never answered.
+                # A VM that has just started has almost no share. A full wait at
+                # that rate would last minutes although the share is raised
+                # at once, and requests would appear to hang.
                 await asyncio.sleep(min(seconds, _REPORT_SECONDS))
 
     async def paced(
         self, load: Load, chunks: AsyncIterator[bytes]
     ) -> AsyncIterator[bytes]:
-        """Yields the chunks of a body as the link allows.
+        """Yields the chunks of a body at the rate that the link allows.
 
         Args:
-            load: What they belong to.
+            load: Destination and attribution of the bytes.
             chunks: The body.
         """
         async for chunk in chunks:
@@ -159,7 +163,7 @@
         return links.budget(self._state.replica.config.document.link)
 
     def _senders(self) -> set[str]:
-        """Returns the entry VMs that share this region's directions."""
+        """Returns the entry VMs that share this region's outgoing links."""
         listed = self._fleet.fleet.entries.values()
         return {vm.id for vm in listed if vm.region == self._region} | {
             self._vm
@@ -182,32 +186,34 @@
         for region in regions - {self._region}:
             need = self._pacer(region).need(now)
             message = messages.LinkNeeds(self._vm, region, need)
-            await self._ask(message, now)
-
-    async def _ask(self, message: messages.LinkNeeds, now: float) -> None:
-        dealer = self._dealer(message.region)
-        if dealer == self._vm:
-            self._take(self._deal(message), now)
+            await self._request_share(message, now)
+
+    async def _request_share(
+        self, message: messages.LinkNeeds, now: float
+    ) -> None:
+        allocator = self._allocator(message.region)
+        if allocator == self._vm:
+            self._apply_share(self._allocate(message), now)
             return
-        # A book taken up again after another VM has dealt would be stale.
+        # A ledger reused after another VM was the allocator would be stale.
         self._ledgers.pop(message.region, None)
-        peer = self._fleet.fleet.entries.get(dealer)
+        peer = self._fleet.fleet.entries.get(allocator)
         if peer is not None:
             reply = await self._peers.call(peer, message, _CALL_SECONDS)
             share = reply.ok()
             if isinstance(share, messages.LinkShare):
-                self._take(share, now)
+                self._apply_share(share, now)
 
-    def _take(self, share: messages.LinkShare, sent_at: float) -> None:
+    def _apply_share(self, share: messages.LinkShare, sent_at: float) -> None:
         if share.rate > 0:
             self._pacer(share.region).grant(share.rate, sent_at)
 
-    def _dealer(self, region: str) -> str:
+    def _allocator(self, region: str) -> str:
         direction = f"{self._region}/{region}"
         return limits.allocator(direction, self._senders())
 
-    def _deal(self, message: messages.LinkNeeds) -> messages.LinkShare:
-        if self._dealer(message.region) != self._vm:
+    def _allocate(self, message: messages.LinkNeeds) -> messages.LinkShare:
+        if self._allocator(message.region) != self._vm:
             return messages.LinkShare(self._vm, message.region, 0.0)
         now = self._clock.now()
         ledger = self._ledgers.get(message.region)
--- a/packages/mimosastile-entry/src/mimosastile_entry/_loads.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_loads.py
@@ -1,4 +1,4 @@
-"""The loads service: what each slice costs, reported to whoever plans."""
+"""Loads service: measures load per slice and reports it to the planner."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -28,17 +28,21 @@
 
 
 class LoadsService:
-    """Counts slot-seconds by slice and collects the counts of all keepers."""
+    """Counts slot-seconds by slice and aggregates the reports of all keepers.
+
+    The keeper of a target is the only entry VM that sends it requests and
+    grants.
+    """
 
     __slots__ = (
-        "_boards",
+        "_aggregators",
         "_bytes",
         "_clock",
         "_counters",
         "_fleet",
-        "_heard",
         "_membership",
         "_peers",
+        "_responding_targets",
         "_sent",
         "_state",
         "_task",
@@ -48,7 +52,7 @@
     )
 
     def __init__(self, vm: str) -> None:
-        """Makes the service.
+        """Initializes the service.
 
         Args:
             vm: Identifier of this VM.
@@ -64,8 +68,8 @@
         )
         self._vm = vm
         self._counters: dict[str, loads.Counter] = {}
-        self._boards: dict[str, loads.Aggregator] = {}
-        self._heard: dict[str, tuple[str, ...]] = {}
+        self._aggregators: dict[str, loads.Aggregator] = {}
+        self._responding_targets: dict[str, tuple[str, ...]] = {}
         self._sent = 0
         self._bytes = 0
         self._task: asyncio.Task[None] | None = None
@@ -76,74 +80,79 @@
         self._clock: ports.ClockPort
 
     async def start(self, kernel: kernel.Kernel) -> None:
-        """Begins to report."""
+        """Starts the load reports."""
         self._state = kernel.find("state")
         self._fleet = kernel.find("fleet")
         self._membership = kernel.find("membership")
         self._peers = kernel.find("peers")
         self._clock = kernel.find("clock")
         inbox: _inbox.InboxService = kernel.find("inbox")
-        inbox.handle(messages.LoadReport, self._take)
+        inbox.handle(messages.LoadReport, self._record)
         self._task = asyncio.create_task(
             _propagation.repeat(self._report, _PREFIX), name="loads"
         )
 
     async def stop(self) -> None:
-        """Ends the reports."""
+        """Stops the reports."""
         if self._task is not None:
             self._task.cancel()
 
     def dump(self) -> dict[str, Any]:
-        """Returns what reporting costs and what was reported."""
+        """Returns the reports and bytes sent, and the reported slices."""
         return {
             "reports_sent": self._sent,
             "bytes_sent": self._bytes,
             "slices_known": {
-                name: len(board.loads) for name, board in self._boards.items()
+                name: len(aggregator.loads)
+                for name, aggregator in self._aggregators.items()
             },
         }
 
-    def board(self, service: str) -> loads.Aggregator:
-        """Returns the reports about a service."""
-        return self._boards.setdefault(service, loads.Aggregator())
+    def aggregator(self, service: str) -> loads.Aggregator:
+        """Returns the aggregated load reports of a service."""
+        return self._aggregators.setdefault(service, loads.Aggregator())
 
-    def set_heard(self, heard: dict[str, tuple[str, ...]]) -> None:
-        """Sets by service the targets that this VM keeps and hears."""
-        self._heard = heard
+    def set_responding_targets(
+        self, responding: dict[str, tuple[str, ...]]
+    ) -> None:
+        """Sets by service the responsive targets whose keeper is this VM."""
+        self._responding_targets = responding
 
     async def measure(
         self, fence: holder.RequestFence, work: Awaitable[Outcome]
     ) -> Outcome:
-        """Runs a request and counts how long it held its slot."""
-        began = self._clock.now()
+        """Runs a request and records how long it occupied its slot."""
+        started_at = self._clock.now()
         outcome = await work
         counter = self._counters.setdefault(
             fence.block.service, loads.Counter()
         )
 
-        async def note() -> None:
-            counter.record(fence.position, self._clock.now() - began)
+        async def record() -> None:
+            counter.record(fence.position, self._clock.now() - started_at)
 
         if isinstance(outcome, result.Ok):
-            outcome.ok_value.on_close(note)
+            outcome.ok_value.on_close(record)
         else:
-            await note()
+            await record()
         return outcome
 
     async def _report(self) -> None:
         wait = _REPORT_SECONDS * (0.75 + self._clock.random() / 2)
         await asyncio.sleep(wait)
         for service in self._state.replica.config.document.services:
-            heard = self._heard.get(service, ())
+            responding = self._responding_targets.get(service, ())
             table = self._state.replica.table(service)
-            if not heard or table is None:
+            if not responding or table is None:
                 continue
             counter = self._counters.setdefault(service, loads.Counter())
             report = messages.LoadReport(
                 self._vm,
                 service,
-                counter.collect(table, wait, _SLICES_PER_TARGET * len(heard)),
-                heard,
+                counter.collect(
+                    table, wait, _SLICES_PER_TARGET * len(responding)
+                ),
+                responding,
             )
             await self._send(report)
 
@@ -152,7 +161,7 @@
             report.service, self._membership.alive()
         )
         if planner == self._vm:
-            self._take(report)
+            self._record(report)
             return
         listed = self._fleet.fleet.entries.get(planner)
         if listed is not None:
@@ -160,6 +169,6 @@
             self._bytes += len(messages.encode(report))
             await self._peers.call(listed, report, _CALL_SECONDS)
 
-    def _take(self, report: messages.LoadReport) -> messages.Ack:
-        self.board(report.service).record(report, self._clock.now())
+    def _record(self, report: messages.LoadReport) -> messages.Ack:
+        self.aggregator(report.service).record(report, self._clock.now())
         return messages.Ack(self._vm)
--- a/packages/mimosastile-entry/src/mimosastile_entry/_planner.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_planner.py
@@ -140,7 +140,7 @@
     ) -> None:
         """Balances the load of a service with few moves."""
         weights = service.placement
-        aggregator = self._loads.board(name)
+        aggregator = self._loads.aggregator(name)
         now = self._clock.now()
         slices = [slice_ for block in blocks for slice_ in block.slices]
         aggregator.decay((slice_.first for slice_ in slices), now)
@@ -203,7 +203,7 @@
         weights: config.Placement,
     ) -> list[balance_plan.Candidate]:
         now = self._clock.now()
-        responding = self._loads.board(name).responding_targets(now)
+        responding = self._loads.aggregator(name).responding_targets(now)
         owning = {slice_.owner for slice_ in slices if slice_.owner}
         live = self._fleet.fleet.live_targets(name)
         for target in responding & set(live):
@@ -254,7 +254,7 @@
         }
         if not orphaned:
             return
-        aggregator = self._loads.board(block.service)
+        aggregator = self._loads.aggregator(block.service)
         slices = list(block.slices)
         responding = [
             candidate
--- a/packages/mimosastile-entry/src/mimosastile_entry/_router.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_router.py
@@ -1,4 +1,4 @@
-"""The router service: brings a request to its target and an answer back."""
+"""Router service: routes requests to targets and returns their responses."""
 
 import asyncio
 import collections
@@ -25,31 +25,31 @@
 from mimosastile_entry import ports
 
 _TIMER_SECONDS = 0.005
-_NO_ANSWER = frozenset(
+_NO_RESPONSE = frozenset(
     {
         errors.ErrorKind.UNREACHABLE,
         errors.ErrorKind.ANSWER_LOST,
         errors.ErrorKind.ANSWER_BROKEN,
     }
 )
-"""The target, or its keeper, was not reached or did not answer."""
+"""Errors where the target or its keeper was unreachable or sent no response."""
 
 
 class RouterService:
-    """Decides for each request where it goes, how often and what it answers."""
+    """Selects each request's next hop, retries it and builds its response."""
 
     __slots__ = (
-        "_answers",
         "_changed",
         "_clock",
+        "_config_number",
         "_fleet",
         "_keeper",
         "_limits",
+        "_locality",
         "_metrics",
-        "_number",
-        "_place",
         "_plans",
         "_quarantine",
+        "_response_counts",
         "_sending",
         "_state",
         "_targeting",
@@ -58,12 +58,12 @@
         "needs",
     )
 
-    def __init__(self, vm: str, place: balancing.Locality) -> None:
-        """Makes the service.
+    def __init__(self, vm: str, locality: balancing.Locality) -> None:
+        """Initializes the service.
 
         Args:
             vm: Identifier of this VM.
-            place: Where it stands.
+            locality: Region and zone of this VM.
         """
         self.name = "router"
         self.needs: tuple[str, ...] = (
@@ -79,9 +79,9 @@
             "metrics",
         )
         self._vm = vm
-        self._place = place
-        self._answers: collections.Counter[str] = collections.Counter()
-        self._number = -1
+        self._locality = locality
+        self._response_counts: collections.Counter[str] = collections.Counter()
+        self._config_number = -1
         self._plans: dict[str, plans.Plan] = {}
         self._changed = asyncio.Event()
         self._sending: _sending.Sending
@@ -94,7 +94,7 @@
         self._clock: ports.ClockPort
 
     async def start(self, kernel: kernel.Kernel) -> None:
-        """Finds the services that routing needs."""
+        """Looks up the services that routing depends on."""
         self._state = kernel.find("state")
         self._fleet = kernel.find("fleet")
         self._keeper = kernel.find("keeper")
@@ -103,10 +103,10 @@
         self._limits = kernel.find("limits")
         self._metrics = kernel.find("metrics")
         self._targeting = _targeting.Targeting(
-            self._place, self._state, self._fleet, self._clock
+            self._locality, self._state, self._fleet, self._clock
         )
         self._sending = _sending.Sending(
-            self._place.region,
+            self._locality.region,
             self._state,
             self._keeper,
             kernel.find("peers"),
@@ -119,12 +119,12 @@
         self._on_change()
 
     async def stop(self) -> None:
-        """Does nothing; the listeners have let all requests end."""
+        """Does nothing; the listeners have already drained all requests."""
 
     def dump(self) -> dict[str, Any]:
-        """Returns counts of answers and what is under way."""
+        """Returns response counts, queues, ejected targets, retry budgets."""
         return {
-            "answers": dict(self._answers),
+            "answers": dict(self._response_counts),
             "queues": self._sending.admission.dump(),
             "left_alone": self._targeting.ejected(),
             "retry_tokens": {
@@ -133,38 +133,40 @@
         }
 
     async def handle(self, request: ports.Request) -> ports.Response:
-        """Routes a request and always returns an answer."""
+        """Routes a request; failures are returned as error responses."""
         _logs.REQUEST_ID.set(request.request_id)
-        began = self._clock.now()
+        started_at = self._clock.now()
         outcome = await self._admit(request)
         if isinstance(outcome, result.Ok):
-            self._count(request, _metrics.PASSED_ON, began)
+            self._count(request, _metrics.PASSED_ON, started_at)
             return outcome.ok_value
         failure = outcome.err_value
-        self._count(request, failure.kind.value, began)
+        self._count(request, failure.kind.value, started_at)
         return _calls.refuse(failure, request.request_id)
 
     def _count(
-        self, request: ports.Request, outcome: str, began: float
+        self, request: ports.Request, outcome: str, started_at: float
     ) -> None:
-        self._answers[outcome] += 1
-        # A forwarded request is measured where it came in.
+        self._response_counts[outcome] += 1
+        # The entry VM that received the request from the caller records it.
         if not request.forwarded:
-            self._metrics.record(request, outcome, self._clock.now() - began)
+            self._metrics.record(
+                request, outcome, self._clock.now() - started_at
+            )
 
     def _on_change(self) -> None:
         version = self._state.replica.config
-        if version.number != self._number:
-            self._number = version.number
+        if version.number != self._config_number:
+            self._config_number = version.number
             self._plans = plans.compile_plans(version.document, self._plans)
         self._targeting.changed()
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def _admit(self, request: ports.Request) -> _calls.SendResult:
-        """Routes a request within its member's limits."""
+        """Routes a request if its member is within its limits."""
         if request.forwarded:
-            # The VM that forwards it has counted it.
+            # The forwarding VM has already counted it against the limits.
             return await self._route(request)
         member = request.member
         refused = await self._limits.enter(member)
@@ -177,7 +179,7 @@
             if outcome is None or outcome.is_err():
                 self._limits.leave(member)
         if isinstance(outcome, result.Ok):
-            outcome.ok_value.on_close(self._limits.leaver(member))
+            outcome.ok_value.on_close(self._limits.leave_callback(member))
         return outcome
 
     async def _route(self, request: ports.Request) -> _calls.SendResult:
@@ -190,7 +192,7 @@
             call.plan.budget.earn(call.plan.service.retry)
         lost: errors.Failure | None = None
         while True:
-            # Taken before the try, so that a change during it is not missed.
+            # Read before the attempt, so that a change during it is not missed.
             changed = self._changed
             sent = await self._try_once(call)
             if isinstance(sent, result.Ok):
@@ -200,8 +202,8 @@
                 lost = failure
             decision = self._decide(call, failure)
             if decision.step is retries.Step.GIVE_UP:
-                # A second send that did not run takes nothing back: "not
-                # run" would be a lie if the first one did.
+                # An earlier attempt may have run. Its failure takes
+                # precedence, as "not run" would then be wrong.
                 return result.Err(self._final(call, lost or failure))
             if decision.step is retries.Step.SLEEP:
                 await asyncio.sleep(decision.seconds)
@@ -213,8 +215,8 @@
     def _decide(
         self, call: _calls.Call, failure: errors.Failure
     ) -> retries.Decision:
-        # A peer that forwarded the request decides on the retry itself: it
-        # may know a newer table than this VM.
+        # The peer that forwarded the request decides on retries: it may
+        # have a newer table than this VM.
         if call.request.forwarded:
             return retries.Decision(retries.Step.GIVE_UP)
         return call.attempts.after(
@@ -229,7 +231,7 @@
         self, call: _calls.Call, failure: errors.Failure
     ) -> errors.Failure:
         kind = failure.kind
-        # Timers of the loop may fire a little early.
+        # Timers of the event loop may fire slightly early.
         late = self._clock.now() + _TIMER_SECONDS >= call.request.deadline
         if late and kind is errors.ErrorKind.ANSWER_LOST:
             kind = errors.ErrorKind.DEADLINE
@@ -252,16 +254,16 @@
         return _calls.classify(plan, request, rest)
 
     async def _try_once(self, call: _calls.Call) -> _calls.SendResult:
-        held = self._quarantine.check(call.request)
-        if held is not None:
-            return result.Err(held)
+        quarantined = self._quarantine.check(call.request)
+        if quarantined is not None:
+            return result.Err(quarantined)
         found = self._targeting.next_hop(call)
         if isinstance(found, result.Err):
             return found
         hop = found.ok_value
         if call.request.forwarded:
             return await self._send(call, hop)
-        began = self._clock.now()
+        started_at = self._clock.now()
         self._targeting.begin(call, hop)
         sent: _calls.SendResult | None = None
         try:
@@ -270,11 +272,11 @@
             if sent is None or sent.is_err():
                 self._targeting.end(call, hop)
         if isinstance(sent, result.Ok):
-            self._targeting.answered(call, hop, began)
-            sent.ok_value.on_close(self._ender(call, hop))
+            self._targeting.answered(call, hop, started_at)
+            sent.ok_value.on_close(self._end_callback(call, hop))
             return sent
         call.attempts.avoid |= {hop.target.id}
-        if sent.err_value.kind in _NO_ANSWER:
+        if sent.err_value.kind in _NO_RESPONSE:
             self._targeting.failed(call, hop)
         return sent
 
@@ -293,17 +295,17 @@
                 errors.ErrorKind.NO_OWNER, "The keeper changes."
             )
         sent = await self._sending.forward(call, hop, peer)
-        if sent.is_err() and _knows_better(sent.err()):
+        if sent.is_err() and _has_stale_state(sent.err()):
             await self._state.learn_from(peer)
         return sent
 
-    def _ender(self, call: _calls.Call, hop: _calls.Hop) -> ports.Closer:
+    def _end_callback(self, call: _calls.Call, hop: _calls.Hop) -> ports.Closer:
         async def close() -> None:
             self._targeting.end(call, hop)
 
         return close
 
 
-def _knows_better(failure: errors.Failure | None) -> bool:
+def _has_stale_state(failure: errors.Failure | None) -> bool:
     wrong = errors.ErrorKind.WRONG_FENCE
     return failure is not None and failure.kind is wrong
--- a/packages/mimosastile-entry/src/mimosastile_entry/_sending.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_sending.py
@@ -126,7 +126,7 @@
             return sent
         self._quarantine.answered(target.id, started_at)
         response = sent.ok_value
-        response.on_close(self._admission.leaver(target.id, ticket))
+        response.on_close(self._admission.leave_callback(target.id, ticket))
         origin = call.request.origin
         if call.request.forwarded and self._links.crosses(origin):
             load = self._link_load(call, origin)
