--- a/packages/mimosastile-entry/src/mimosastile_entry/_calls.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_calls.py
@@ -1,4 +1,4 @@
-"""A request on its way: what is known of it and how it is refused."""
+"""Classification of requests by configuration, and error responses."""
 
 from collections.abc import AsyncIterator
 from urllib import parse
@@ -21,14 +21,14 @@
 
 
 class Call(msgspec.Struct):
-    """A request with everything that the configuration says about it.
+    """A request with the configuration that applies to it.
 
     Attributes:
         request: The request.
-        plan: What the configuration says about its service.
-        treatment: What it says about requests like this one.
-        position: Hash of the key, None for a service not divided by key.
-        attempts: What happened so far.
+        plan: Configuration of its service.
+        treatment: Configuration of requests with its path and method.
+        position: Hash of the key, None if the service has no key.
+        attempts: Outcomes of the attempts so far.
     """
 
     request: ports.Request
@@ -39,7 +39,11 @@
 
 
 class Hop(msgspec.Struct, frozen=True):
-    """One way to send a call: the target, its keeper and the order."""
+    """One route for a call: the target, its keeper and the fencing token.
+
+    The keeper of a target is the only entry VM that sends it requests and
+    grants.
+    """
 
     target: fleet.Vm
     keeper: tables.KeeperRef
@@ -49,10 +53,10 @@
 def classify(
     plan: plans.Plan, request: ports.Request, rest: str
 ) -> result.Result[Call, errors.Failure]:
-    """Returns a request with what its service's plan says about it.
+    """Returns a request with the configuration that applies to it.
 
     Args:
-        plan: The plan.
+        plan: Configuration of the request's service.
         request: The request.
         rest: Its path after the service's name, percent-encoded.
     """
@@ -79,7 +83,7 @@
     """Returns the key that a request carries, empty if it carries none.
 
     Args:
-        source: Where the service declares it.
+        source: Location of the key as the service declares it.
         request: The request.
         rest: The path after the service's name, percent-encoded.
     """
@@ -94,7 +98,7 @@
 
 
 def refuse(failure: errors.Failure, request_id: str) -> ports.Response:
-    """Returns the answer that tells a caller of a failure."""
+    """Returns the error response for a failure."""
     body = msgspec.json.encode(errors.refusal(failure, request_id))
     headers = [
         ("content-type", "application/json"),
@@ -103,15 +107,17 @@
     ]
     if failure.wait:
         headers.append(("retry-after", str(failure.wait)))
-    return ports.Response(failure.answer.status, tuple(headers), _once(body))
+    return ports.Response(
+        failure.answer.status, tuple(headers), _single_chunk(body)
+    )
 
 
-async def _once(body: bytes) -> AsyncIterator[bytes]:
+async def _single_chunk(body: bytes) -> AsyncIterator[bytes]:
     yield body
 
 
 def failed(
     kind: errors.ErrorKind, detail: str = ""
 ) -> result.Err[errors.Failure]:
-    """Returns a failure as an outcome."""
+    """Returns an error result with a failure."""
     return result.Err(errors.Failure(kind, detail))
--- a/packages/mimosastile-entry/src/mimosastile_entry/_client.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_client.py
@@ -1,4 +1,4 @@
-"""The HTTP client of the daemon, its pools and what its failures mean."""
+"""HTTP client of the daemon: connection pools and error classification."""
 
 import asyncio
 import ssl
@@ -16,41 +16,42 @@
     aiohttp.ClientConnectorError,
     aiohttp.ConnectionTimeoutError,
 )
-"""No byte of the request can have left this VM."""
+"""Errors raised before any byte of the request was sent."""
 
 CALL_ERRORS = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
-"""Everything that aiohttp raises for a failed exchange."""
+"""All errors that aiohttp raises for a failed exchange."""
 
-_RESENT = (aiohttp.ClientOSError, aiohttp.ServerDisconnectedError)
-# The library would add these when a caller sent none. A target that is told
-# of an encoding the caller cannot read would send an unreadable answer.
-_NOT_ADDED = ("User-Agent", "Content-Type", "Accept", "Accept-Encoding")
-_UNUSED_SECONDS = 60.0
+_RETRIED_BY_AIOHTTP = (aiohttp.ClientOSError, aiohttp.ServerDisconnectedError)
+# aiohttp would add these headers if the caller sent none. A target could then
+# choose an encoding that the caller cannot decode.
+_SKIPPED_HEADERS = ("User-Agent", "Content-Type", "Accept", "Accept-Encoding")
+_UNUSED_POOL_SECONDS = 60.0
 
 
 class LostConnectionError(aiohttp.ClientConnectionError):
-    """The connection ended before the answer; the request may have run."""
+    """The connection ended before the response; the request may have run."""
 
 
 async def _send_once(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    # The library sends idempotent methods again by itself when a pooled
-    # connection drops; a PUT or DELETE whose route the operators declared
-    # not idempotent would run twice. It does so only for its own two errors,
-    # so these are replaced by one that it does not know.
+    # aiohttp retries idempotent methods by itself when a pooled connection
+    # drops; a PUT or DELETE whose route the operators declared not
+    # idempotent would run twice. It retries only on two of its own errors,
+    # so these are replaced by one that it does not retry.
     try:
         return await handler(request)
     except CONNECT_ERRORS:
         raise
-    except _RESENT as error:
+    except _RETRIED_BY_AIOHTTP as error:
         raise LostConnectionError(str(error)) from error
 
 
-def kind_of(error: BaseException) -> errors.ErrorKind:
-    """Returns what a failed exchange says about the request.
+def error_kind(error: BaseException) -> errors.ErrorKind:
+    """Returns the error kind of a failed exchange.
 
-    Only a connection that was never made proves that nothing ran.
+    Only a connection that was never established proves that the request did
+    not run.
     """
     if isinstance(error, CONNECT_ERRORS):
         return errors.ErrorKind.UNREACHABLE
@@ -60,15 +61,15 @@
 
 
 class Pool:
-    """The connections to one address and the session that uses them.
+    """Connection pool of one address, with the session that uses it.
 
     Attributes:
-        session: The session.
-        connector: Its connections.
-        limit: Most connections open at a time, 0 for no limit.
-        in_use: Exchanges under way.
-        used_at: Loop time of the latest use.
-        retired: Whether it is closed once nothing is under way.
+        session: HTTP session of the pool.
+        connector: Connections of the pool.
+        limit: Maximum number of open connections, 0 for no limit.
+        in_use: Number of exchanges in progress.
+        used_at: Loop time of the last use.
+        retired: Whether the pool closes after its last exchange.
     """
 
     __slots__ = (
@@ -95,7 +96,7 @@
             connector=self.connector,
             auto_decompress=False,
             cookie_jar=aiohttp.DummyCookieJar(),
-            skip_auto_headers=_NOT_ADDED,
+            skip_auto_headers=_SKIPPED_HEADERS,
             middlewares=(_send_once,),
             timeout=aiohttp.ClientTimeout(
                 total=None,
@@ -104,19 +105,19 @@
             ),
         )
 
-    async def leave(self) -> None:
-        """Notes that an exchange has ended."""
+    async def release(self) -> None:
+        """Ends an exchange; closes a retired pool after its last one."""
         self.in_use -= 1
         if self.retired and not self.in_use:
             await self.session.close()
 
 
 class HttpClient:
-    """Owns the pools; adapters share it."""
+    """Owns the connection pools; shared by all adapters."""
 
     __slots__ = (
         "_configured",
-        "_plain",
+        "_platform_pool",
         "_pools",
         "_retired",
         "name",
@@ -132,74 +133,77 @@
         self._configured = configured or settings.ConnectionSettings()
         self._pools: dict[tuple[str, int], Pool] = {}
         self._retired: list[Pool] = []
-        self._plain: Pool | None = None
+        self._platform_pool: Pool | None = None
 
     @property
     def configured(self) -> settings.ConnectionSettings:
-        """Timeouts and ages."""
+        """Timeouts and maximum ages of connections."""
         return self._configured
 
     @property
     def session(self) -> aiohttp.ClientSession:
-        """The session for the platform's services."""
-        if self._plain is None:
+        """The session for calls to the platform's services."""
+        if self._platform_pool is None:
             raise kernel.MissingServiceError("the client has not started")
-        return self._plain.session
+        return self._platform_pool.session
 
     def pool(
         self, vm: fleet.Vm, limit: int, tls: ssl.SSLContext | None = None
     ) -> Pool:
-        """Returns the pool of a VM's address.
+        """Returns the connection pool of a VM's address.
 
         Args:
             vm: The VM.
-            limit: Most connections open at a time, 0 for no limit. A pool
-                whose limit has changed is replaced; what runs in it goes on.
-            tls: Context to call with, None to call in the clear.
+            limit: Maximum number of open connections, 0 for no limit. A pool
+                whose limit has changed is replaced; its exchanges continue.
+            tls: TLS context for the calls, None for plain text.
         """
-        at = (vm.host, vm.port)
-        found = self._pools.get(at)
+        address = (vm.host, vm.port)
+        found = self._pools.get(address)
         if found is None or found.limit != limit:
             if found is not None:
                 self._retire(found)
             found = Pool(limit, self._configured, tls or True)
-            self._pools[at] = found
+            self._pools[address] = found
             self._retire_unused()
         found.used_at = asyncio.get_running_loop().time()
         return found
 
     async def start(self, kernel: kernel.Kernel) -> None:
-        """Opens the session for the platform's services."""
+        """Opens the session for calls to the platform's services."""
         del kernel
-        self._plain = Pool(0, self._configured)
+        self._platform_pool = Pool(0, self._configured)
 
     async def stop(self) -> None:
         """Closes all connections."""
-        plain = [self._plain] if self._plain else []
+        plain = [self._platform_pool] if self._platform_pool else []
         for pool in (*self._pools.values(), *self._retired, *plain):
             await pool.session.close()
         self._pools.clear()
         self._retired.clear()
 
     def dump(self) -> dict[str, Any]:
-        """Returns limit and use of the pools by address."""
+        """Returns the limits and exchanges of the pools by address."""
         return {
             f"{host}:{port}": {"limit": pool.limit, "in_use": pool.in_use}
             for (host, port), pool in self._pools.items()
         }
 
     def _retire_unused(self) -> None:
-        # Targets come and go; their pools would stay for ever otherwise.
-        oldest = asyncio.get_running_loop().time() - _UNUSED_SECONDS
+        # The pools of removed targets would otherwise never be closed.
+        oldest_use = asyncio.get_running_loop().time() - _UNUSED_POOL_SECONDS
         unused = [
-            at for at, pool in self._pools.items() if 0 < pool.used_at < oldest
+            address
+            for address, pool in self._pools.items()
+            if 0 < pool.used_at < oldest_use
         ]
-        for at in unused:
-            self._retire(self._pools.pop(at))
+        for address in unused:
+            self._retire(self._pools.pop(address))
 
     def _retire(self, pool: Pool) -> None:
-        # Exchanges under way go on; the last of them closes the pool. An idle
-        # one is closed with the client, its connections by their own timer.
+        # Exchanges in progress continue; the last of them closes the pool. An
+        # idle pool is closed with the client, its connections by their idle
+        # timeout.
         pool.retired = True
         self._retired = [p for p in self._retired if not p.session.closed]
         self._retired.append(pool)
--- a/packages/mimosastile-entry/src/mimosastile_entry/_digests.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_digests.py
@@ -90,7 +90,7 @@
         return seconds * (0.75 + self._clock.random() / 2)
 
     def _digest(self) -> messages.Digest:
-        readings = self._fleet.readings
+        readings = self._fleet.listings
         return messages.Digest(
             self._vm,
             self._state.replica.config.number,
@@ -105,7 +105,7 @@
         return self._digest()
 
     def _confirm(self, digest: messages.Digest) -> None:
-        self._fleet.readings.confirm(
+        self._fleet.listings.confirm(
             digest.reader,
             digest.list_number,
             digest.list_age,
@@ -167,7 +167,7 @@
         return delta
 
     async def _fetch_list(self, peer: str, digest: messages.Digest) -> bool:
-        if not self._fleet.readings.wants(
+        if not self._fleet.listings.wants(
             digest.reader,
             digest.list_number,
             digest.list_age,
@@ -177,6 +177,6 @@
         listing = await self._propagation.call(
             peer, messages.AskListing(self._vm)
         )
-        return isinstance(listing, messages.Listing) and self._fleet.take(
+        return isinstance(listing, messages.Listing) and self._fleet.apply(
             listing
         )
--- a/packages/mimosastile-entry/src/mimosastile_entry/_exchange.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_exchange.py
@@ -1,4 +1,4 @@
-"""One exchange with a target or a peer: sent once, answered whole or not."""
+"""HTTP exchanges with targets and peers: one attempt, streamed response."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -16,14 +16,15 @@
 from mimosastile_entry import ports
 
 
-class Terms(msgspec.Struct, frozen=True):
-    """How long an exchange may take and what the other side may say.
+class Options(msgspec.Struct, frozen=True):
+    """Timeouts of an exchange, and errors that the server may report.
 
     Attributes:
-        deadline: Seconds until the head must be there.
-        silence: Seconds without any byte of the head, then the connection is
-            taken for lost; 0 if a long wait is no sign of that.
-        not_run: Error kinds that the other side may name in its answer.
+        deadline: Seconds within which the head must arrive.
+        silence: Seconds without any byte of the head after which the
+            connection counts as lost; 0 if a long wait is normal.
+        not_run: Error kinds that are accepted from the response as proof
+            that the request did not run.
     """
 
     deadline: float
@@ -37,56 +38,58 @@
     request: ports.Request,
     url: str,
     headers: list[tuple[str, str]],
-    terms: Terms,
+    options: Options,
 ) -> result.Result[ports.Response, errors.Failure]:
-    """Sends a request once and returns the answer as it begins.
+    """Sends a request once and returns the response when its head arrives.
 
-    The deadline limits the time to the head. A body may take as long as it
-    makes progress.
+    The deadline limits the time to the head. The body has no total limit as
+    long as it makes progress.
 
     Args:
         client: The client.
-        pool: The connections to the address.
+        pool: Connection pool of the address.
         request: The request.
-        url: Where to; percent-encoded already.
+        url: Destination, already percent-encoded.
         headers: All headers to send.
-        terms: Times, and what the answer may say.
+        options: Timeouts and accepted errors.
 
     Returns:
-        The answer, or a failure that says whether the request may have run.
+        The response, or a failure that tells whether the request may have run.
     """
-    if terms.deadline <= 0:
+    if options.deadline <= 0:
         return result.Err(errors.Failure(errors.ErrorKind.QUEUE_TIMEOUT))
     pool.in_use += 1
     response: aiohttp.ClientResponse | None = None
-    passed_on = False
+    returned = False
     try:
-        response = await _head(pool, request, url, headers, terms)
-        head = _wire.AnswerHead(response)
-        failure = _refusal(response, head, terms.not_run)
+        response = await _receive_head(pool, request, url, headers, options)
+        head = _wire.ResponseHead(response)
+        failure = _refusal(response, head, options.not_run)
         if failure is not None:
             return result.Err(failure)
-        passed_on = True
+        returned = True
         return result.Ok(_to_response(client, pool, response, head))
     except (*_client.CALL_ERRORS, ValueError) as error:
-        return result.Err(_failure(pool, error, terms))
+        return result.Err(_failure(pool, error, options))
     finally:
-        # The timeout may fire in the moment in which the head arrives; its
-        # connection would otherwise stay taken until it is collected.
-        if not passed_on:
+        # The timeout may fire at the moment the head arrives. Without the
+        # close, its connection would stay in use until garbage collection.
+        if not returned:
             if response is not None:
                 response.close()
-            await pool.leave()
+            await pool.release()
 
 
-async def _head(
+async def _receive_head(
     pool: _client.Pool,
     request: ports.Request,
     url: str,
     headers: list[tuple[str, str]],
-    terms: Terms,
+    options: Options,
 ) -> aiohttp.ClientResponse:
-    alarm = _alarms.Alarm(min(terms.deadline, terms.silence or terms.deadline))
+    alarm = _alarms.Alarm(
+        min(options.deadline, options.silence or options.deadline)
+    )
     try:
         return await pool.session.request(
             request.method,
@@ -103,36 +106,36 @@
 
 
 def _failure(
-    pool: _client.Pool, error: Exception, terms: Terms
+    pool: _client.Pool, error: Exception, options: Options
 ) -> errors.Failure:
     if isinstance(error, ValueError):
-        # The library refuses a head that it cannot write, before it connects.
+        # aiohttp rejects a head that it cannot encode before it connects.
         return errors.Failure(errors.ErrorKind.BAD_REQUEST)
-    kind = _client.kind_of(error)
-    if not isinstance(error, TimeoutError) or kind not in _UNSURE:
+    kind = _client.error_kind(error)
+    if not isinstance(error, TimeoutError) or kind not in _MAY_HAVE_RUN:
         return errors.Failure(kind, str(error))
-    pool.connector.suspect()
-    silent = terms.silence and terms.silence < terms.deadline
+    pool.connector.invalidate_connections()
+    silent = options.silence and options.silence < options.deadline
     return errors.Failure(
         errors.ErrorKind.ANSWER_LOST if silent else errors.ErrorKind.DEADLINE
     )
 
 
-_UNSURE = frozenset({errors.ErrorKind.ANSWER_LOST})
+_MAY_HAVE_RUN = frozenset({errors.ErrorKind.ANSWER_LOST})
 
 
 def _refusal(
     response: aiohttp.ClientResponse,
-    head: _wire.AnswerHead,
+    head: _wire.ResponseHead,
     not_run: Collection[errors.ErrorKind],
 ) -> errors.Failure | None:
     if head.error is not None:
-        known = head.error in not_run
-        kind = head.error if known else errors.ErrorKind.ANSWER_LOST
+        accepted = head.error in not_run
+        kind = head.error if accepted else errors.ErrorKind.ANSWER_LOST
         return errors.Failure(kind)
-    # A body that ends with its connection looks the same whether it is whole
-    # or the server died half-way; a caller would take half an archive for the
-    # whole of it.
+    # A body delimited by the end of the connection looks the same whether it
+    # is complete or the server crashed half-way. A caller would take half an
+    # archive for all of it.
     empty = response.method == "HEAD" or response.status in _wire.BODILESS
     if not head.framed and not empty:
         return errors.Failure(
@@ -145,13 +148,13 @@
     client: _client.HttpClient,
     pool: _client.Pool,
     response: aiohttp.ClientResponse,
-    head: _wire.AnswerHead,
+    head: _wire.ResponseHead,
 ) -> ports.Response:
-    """Returns an answer that is passed on chunk by chunk.
+    """Returns a response that is streamed chunk by chunk.
 
-    Closing it before its end closes the connection: an unfinished exchange
-    must never be followed by another request on the same connection, whose
-    caller would get the rest of this answer.
+    Closing it before its end closes the connection. If another request
+    followed on the same connection, its caller would get the rest of this
+    response.
     """
     connection = response.connection
     if connection is not None and connection.protocol is not None:
@@ -160,7 +163,7 @@
 
     async def close() -> None:
         response.close()
-        await pool.leave()
+        await pool.release()
 
     return ports.Response(
         response.status,
@@ -170,15 +173,15 @@
     )
 
 
-class _Whole:
-    """A body that has arrived already, as its only chunk."""
+class _SingleChunk:
+    """A body that has already arrived, as a single chunk."""
 
     __slots__ = ("_chunk",)
 
     def __init__(self, chunk: bytes) -> None:
         self._chunk = chunk
 
-    def __aiter__(self) -> "_Whole":
+    def __aiter__(self) -> "_SingleChunk":
         return self
 
     async def __anext__(self) -> bytes:
@@ -191,10 +194,10 @@
 def _body(
     response: aiohttp.ClientResponse, pool: _client.Pool
 ) -> AsyncIterator[bytes]:
-    # Most answers come in one piece with their head.
+    # Most bodies arrive together with their head.
     content = response.content
     if content.is_eof() and content.exception() is None:
-        return _Whole(content.read_nowait(-1))
+        return _SingleChunk(content.read_nowait(-1))
     return _chunks(response, pool)
 
 
@@ -206,5 +209,5 @@
             yield chunk
     except (aiohttp.ClientError, TimeoutError, OSError) as error:
         if isinstance(error, TimeoutError):
-            pool.connector.suspect()
+            pool.connector.invalidate_connections()
         raise ports.BrokenAnswerError(str(error)) from error
--- a/packages/mimosastile-entry/src/mimosastile_entry/_fleet.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet service: the latest reading of the platform's list of VMs."""
+"""Fleet service: the latest listing of the platform's VMs."""
 
 from collections.abc import Callable
 from typing import Any
@@ -15,14 +15,14 @@
 # The property `fleet` hides the module of that name inside the class.
 Vms = dict[str, fleet.Vm]
 CurrentFleet = fleet.Fleet
-ReadingsInUse = listings.Listings
+CurrentListings = listings.Listings
 
 
 class FleetService:
-    """Holds the reading in use and tells others when it changed.
+    """Holds the current listing and notifies subscribers of changes.
 
-    It reads the list once when it starts; the propagation service says when
-    it is read again, or hands in what a peer has read.
+    It reads the list once at its start. Later the propagation service
+    triggers reads, or passes on a listing that a peer has read.
     """
 
     __slots__ = (
@@ -40,7 +40,7 @@
     )
 
     def __init__(self, vm: str) -> None:
-        """Makes the service.
+        """Initializes the service.
 
         Args:
             vm: Identifier of this VM.
@@ -59,24 +59,24 @@
 
     @property
     def fleet(self) -> CurrentFleet:
-        """The reading in use, with drained targets as leaving."""
+        """The current listing, with drained targets marked as leaving."""
         return self._fleet
 
     @property
-    def readings(self) -> ReadingsInUse:
-        """Where the reading in use comes from and how old it is."""
+    def listings(self) -> CurrentListings:
+        """Reader and age of the current listing."""
         return self._listings
 
     def has_left(self, target: str) -> bool:
-        """Whether a target has been leaving too long to get new work."""
+        """Returns whether a leaving target is past the time to get requests."""
         return bool(self._leaving) and self._leaving.is_over(
             target, self._clock.now()
         )
 
     def is_gone(self, vm: str) -> bool:
-        """Whether a VM was listed once and is listed no longer.
+        """Returns whether a VM was listed before and no longer is.
 
-        A VM that was never listed is not gone: the list lags.
+        A VM that was never listed is not gone, as the list lags behind.
         """
         return self._listings.is_gone(vm)
 
@@ -87,29 +87,29 @@
         }
 
     def subscribe(self, listener: Callable[[], None]) -> None:
-        """Calls the listener after each change of the list."""
+        """Registers a listener that is called after each change of the list."""
         self._listeners.append(listener)
 
     def drain(self, targets: frozenset[str]) -> None:
-        """Treats targets as leaving, whatever the list says of them."""
+        """Marks targets as leaving, regardless of their state in the list."""
         changed = targets != self._drained
         self._drained = targets
-        self._told_if(changed)
+        self._notify_if(changed)
 
     async def start(self, kernel: kernel.Kernel) -> None:
         """Reads the list once."""
         self._port = kernel.find("fleet_port")
         self._clock = kernel.find("clock")
         inbox: _inbox.InboxService = kernel.find("inbox")
-        inbox.handle(messages.AskListing, self._answer)
+        inbox.handle(messages.AskListing, self._send_listing)
         self._listings = listings.Listings(f"{self._vm}/{self._clock.new_id()}")
         await self.read()
 
     async def stop(self) -> None:
-        """Has nothing to stop."""
+        """Does nothing; the service has no tasks."""
 
     def dump(self) -> dict[str, Any]:
-        """Returns the listed VMs and where the reading comes from."""
+        """Returns the listed VMs, and the reader and age of the listing."""
         return {
             "reader": self._listings.reader,
             "age": round(self._listings.age(self._clock.now()), 3),
@@ -118,19 +118,19 @@
         }
 
     async def read(self) -> bool:
-        """Reads the list; True if it changed."""
-        began = self._clock.now()
+        """Reads the list from the platform and returns whether it changed."""
+        started_at = self._clock.now()
         self._reads += 1
         read = await self._port.vms()
         if isinstance(read, result.Err):
             return False
-        return self._told_if(self._listings.read(read.ok_value, began))
+        return self._notify_if(self._listings.read(read.ok_value, started_at))
 
-    def take(self, listing: messages.Listing) -> bool:
-        """Takes a peer's reading if it is newer; True if the list changed."""
-        return self._told_if(self._listings.told(listing, self._clock.now()))
+    def apply(self, listing: messages.Listing) -> bool:
+        """Applies a peer's newer listing; returns whether the list changed."""
+        return self._notify_if(self._listings.told(listing, self._clock.now()))
 
-    def _told_if(self, changed: bool) -> bool:
+    def _notify_if(self, changed: bool) -> bool:
         if changed:
             self._fleet = self._listings.fleet.draining(self._drained)
             self._leaving.update(self._fleet, self._clock.now())
@@ -138,6 +138,6 @@
                 listener()
         return changed
 
-    def _answer(self, message: messages.AskListing) -> messages.Listing:
+    def _send_listing(self, message: messages.AskListing) -> messages.Listing:
         del message
         return self._listings.listing("", self._clock.now())
--- a/packages/mimosastile-entry/src/mimosastile_entry/_guard.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_guard.py
@@ -1,4 +1,4 @@
-"""Lets only signed messages and forwarded requests of peers in."""
+"""Authentication of messages and forwarded requests from peers."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -19,26 +19,26 @@
 App = Callable[[Scope, Receive, Send], Awaitable[None]]
 
 _PREFIX = "peers:"
-_MAX_BODY = 32 << 20
+_MAX_BODY_BYTES = 32 << 20
 _FORWARD = _wire.FORWARD_PATH + "/"
 
 
 class Guard:
-    """Checks the signature of what only peers may send.
+    """Middleware that checks the signatures of requests reserved to peers.
 
-    The head is checked before a byte of the body is read, the body before
-    anything acts on it. A streamed body has no digest; its head names the
-    request it belongs to.
+    The head is verified before any of the body is read, and the body before
+    the application gets it. A streamed body has no digest; its signed head
+    identifies the request.
     """
 
     __slots__ = ("_app", "_signer")
 
     def __init__(self, app: App, signer: _auth.Signer) -> None:
-        """Makes the guard.
+        """Initializes the guard.
 
         Args:
-            app: The application of the inner side.
-            signer: The signer.
+            app: The ASGI application of the inner port.
+            signer: Verifier of the signatures.
         """
         self._app = app
         self._signer = signer
@@ -46,14 +46,14 @@
     async def __call__(
         self, scope: Scope, receive: Receive, send: Send
     ) -> None:
-        """Serves one request, or refuses it."""
-        # The decoded path, as it is what the application goes by.
+        """Passes one request to the application, or refuses it."""
+        # The decoded path, as the application routes by it.
         path = scope["path"]
-        inner = path.startswith((_FORWARD, _wire.MESSAGE_PATH))
-        if not inner or not self._signer.enabled:
+        reserved = path.startswith((_FORWARD, _wire.MESSAGE_PATH))
+        if not reserved or not self._signer.enabled:
             await self._app(scope, receive, send)
             return
-        headers = self._checked(scope)
+        headers = self._verified_headers(scope)
         if headers is None:
             await _refuse(send)
             return
@@ -61,34 +61,34 @@
         if digest == _auth.STREAMED and path.startswith(_FORWARD):
             await self._app(scope, receive, send)
             return
-        body = await _whole(scope, receive)
+        body = await _read_body(scope, receive)
         if body is None or not _auth.body_matches(body, headers):
             await _refuse(send)
             return
-        await self._app(scope, _replayed(body, receive), send)
+        await self._app(scope, _replay(body, receive), send)
 
-    def _checked(self, scope: Scope) -> list[tuple[str, str]] | None:
-        given = _heads.decoded(scope["headers"])
-        if given is None:
+    def _verified_headers(self, scope: Scope) -> list[tuple[str, str]] | None:
+        received = _heads.decoded(scope["headers"])
+        if received is None:
             return None
         path = scope["raw_path"].decode("ascii", "replace")
         query = scope["query_string"].decode("latin-1")
         sent = f"{path}?{query}" if query else path
-        digests = [v for n, v in given if n == _wire.BODY_DIGEST]
+        digests = [v for n, v in received if n == _wire.BODY_DIGEST]
         if len(digests) != 1:
             return None
-        good = self._signer.check(scope["method"], sent, given)
-        return given if good else None
+        valid = self._signer.check(scope["method"], sent, received)
+        return received if valid else None
 
 
-async def _whole(scope: Scope, receive: Receive) -> bytes | None:
-    """Returns the body, None if it is too large or breaks off."""
+async def _read_body(scope: Scope, receive: Receive) -> bytes | None:
+    """Returns the body, None if it is too large or incomplete."""
     if not _heads.Head(scope["headers"]).has_body:
         return b""
     chunks: list[bytes] = []
     size = 0
     more = True
-    while more and size <= _MAX_BODY:
+    while more and size <= _MAX_BODY_BYTES:
         message = await receive()
         if message["type"] == "http.disconnect":
             return None
@@ -98,8 +98,8 @@
     return None if more else b"".join(chunks)
 
 
-def _replayed(body: bytes, receive: Receive) -> Receive:
-    """Returns a way to read a body that has been read already."""
+def _replay(body: bytes, receive: Receive) -> Receive:
+    """Returns a `receive` that first yields a body that was already read."""
     left = [body]
 
     async def replay() -> MutableMapping[str, Any]:
@@ -111,7 +111,9 @@
 
 
 async def _refuse(send: Send) -> None:
-    logging.warning("%s refused what no peer signed.", _PREFIX)
+    logging.warning(
+        "%s refused a request without a valid peer signature.", _PREFIX
+    )
     failure = errors.Failure(errors.ErrorKind.UNAUTHENTICATED)
     response = _calls.refuse(failure, "")
     await send(
--- a/packages/mimosastile-entry/src/mimosastile_entry/_heads.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_heads.py
@@ -89,7 +89,7 @@
                 special.setdefault(name, []).append(value)
                 if name not in _PASSED:
                     continue
-            elif name[0] == _X and _wire.is_own(name):
+            elif name[0] == _X and _wire.is_router_header(name):
                 continue
             plain.append(pair)
         self.size = size
--- a/packages/mimosastile-entry/src/mimosastile_entry/_peers_http.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_peers_http.py
@@ -64,9 +64,9 @@
                     return result.Ok(messages.decode(await response.read()))
         except (*_client.CALL_ERRORS, msgspec.DecodeError) as error:
             if isinstance(error, TimeoutError):
-                pool.connector.suspect()
+                pool.connector.invalidate_connections()
             return result.Err(
-                errors.Failure(_client.kind_of(error), str(error))
+                errors.Failure(_client.error_kind(error), str(error))
             )
 
     async def forward(
@@ -91,8 +91,8 @@
         url = f"{self._base}://{vm.host}:{vm.port}{path}"
         # No first-byte timeout: a request may wait long in the keeper's queue,
         # so a late first byte doesn't indicate a failure.
-        terms = _exchange.Terms(remaining, 0.0, _ALL_KINDS)
+        options = _exchange.Options(remaining, 0.0, _ALL_KINDS)
         pool = self._client.pool(vm, _MAX_CONNECTIONS_PER_PEER, self._tls)
         return await _exchange.send(
-            self._client, pool, request, url, headers, terms
+            self._client, pool, request, url, headers, options
         )
--- a/packages/mimosastile-entry/src/mimosastile_entry/_propagation.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_propagation.py
@@ -245,7 +245,7 @@
 
     async def _list(self) -> None:
         await asyncio.sleep(self._jitter(self._timing.list))
-        stale = self._fleet.readings.age(self._clock.now()) > self._timing.stale
+        stale = self._fleet.listings.age(self._clock.now()) > self._timing.stale
         if not (stale or self._reads_list()):
             return
         self._increment("list_read")
@@ -278,7 +278,7 @@
 
     def push_listing(self) -> None:
         """Pushes this VM's copy of the VM list to the peers of the own zone."""
-        listing = self._fleet.readings.listing(self._vm, self._clock.now())
+        listing = self._fleet.listings.listing(self._vm, self._clock.now())
         for vm in self._receivers(self._vm):
             self._sends.start(self.call(vm, listing))
 
@@ -298,7 +298,7 @@
         return messages.Ack(self._vm)
 
     def _receive_listing(self, listing: messages.Listing) -> messages.Ack:
-        if self._fleet.take(listing):
+        if self._fleet.apply(listing):
             for vm in self._receivers(listing.root):
                 self._sends.start(self.call(vm, listing))
         return messages.Ack(self._vm)
--- a/packages/mimosastile-entry/src/mimosastile_entry/_quarantine.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_quarantine.py
@@ -1,4 +1,4 @@
-"""The quarantine service: requests that stopped targets, on all entry VMs."""
+"""Quarantine service: refuses requests that repeatedly crashed targets."""
 
 import asyncio
 import math
@@ -21,18 +21,18 @@
 _SYNC_SECONDS = 5.0
 _CALL_SECONDS = 0.5
 
-_UNSURE = frozenset(
+_MAY_HAVE_CRASHED = frozenset(
     {errors.ErrorKind.ANSWER_LOST, errors.ErrorKind.ANSWER_BROKEN}
 )
 
 
 class QuarantineService:
-    """Remembers deaths, tells them to peers and refuses what caused them."""
+    """Refuses requests that caused crashes, as reported by all entry VMs."""
 
     __slots__ = (
         "_clock",
         "_fleet",
-        "_memory",
+        "_history",
         "_peers",
         "_state",
         "_tasks",
@@ -43,7 +43,7 @@
     )
 
     def __init__(self, vm: str) -> None:
-        """Makes the service.
+        """Initializes the service.
 
         Args:
             vm: Identifier of this VM.
@@ -57,7 +57,7 @@
             "clock",
         )
         self._vm = vm
-        self._memory = quarantine.CrashHistory()
+        self._history = quarantine.CrashHistory()
         self._unconfirmed = quarantine.UnconfirmedCrashes()
         self._tasks = _background.Background()
         self._state: _state.StateService
@@ -66,7 +66,7 @@
         self._clock: ports.ClockPort
 
     async def start(self, kernel: kernel.Kernel) -> None:
-        """Learns what the peers remember."""
+        """Starts the exchange of crash histories with peers."""
         self._state = kernel.find("state")
         self._fleet = kernel.find("fleet")
         self._peers = kernel.find("peers")
@@ -76,33 +76,33 @@
         self._tasks.start(self._sync())
 
     async def stop(self) -> None:
-        """Ends the exchange with peers."""
+        """Stops the exchange with peers."""
         self._tasks.cancel()
 
     def dump(self) -> dict[str, Any]:
-        """Returns the remembered requests and where they stopped targets."""
+        """Returns the recorded requests and the crashes they caused."""
         now = self._clock.now()
         return {
             "refused_seconds": {
-                request: self._memory.held_for(request, self._policy, now)
-                for request in self._memory.fingerprints()
+                request: self._history.held_for(request, self._policy, now)
+                for request in self._history.fingerprints()
             },
             "deaths": [
                 {
-                    "fingerprint": death.fingerprint,
-                    "target": death.target,
-                    "config_number": death.number,
-                    "seconds_ago": death.age,
+                    "fingerprint": crash.fingerprint,
+                    "target": crash.target,
+                    "config_number": crash.number,
+                    "seconds_ago": crash.age,
                 }
-                for death in self._memory.crashes(now)
+                for crash in self._history.crashes(now)
             ],
         }
 
     def check(self, request: ports.Request) -> errors.Failure | None:
         """Returns why a request is refused, None if it is not."""
-        if not self._memory:
+        if not self._history:
             return None
-        seconds = self._memory.held_for(
+        seconds = self._history.held_for(
             _fingerprint(request), self._policy, self._clock.now()
         )
         if seconds <= 0:
@@ -111,71 +111,76 @@
             errors.ErrorKind.QUARANTINED, retry_after=math.ceil(seconds)
         )
 
-    def answered(self, target: str, began: float) -> None:
-        """Notes that a target answered a request sent at a time."""
-        disproved = self._unconfirmed.pop_disproved(target, began)
+    def record_response(self, target: str, sent_at: float) -> None:
+        """Records a response, which disproves an unconfirmed crash.
+
+        Args:
+            target: The target that responded.
+            sent_at: Loop time at which the request was sent.
+        """
+        disproved = self._unconfirmed.pop_disproved(target, sent_at)
         if disproved:
-            self._memory.withdraw(disproved, self._clock.now())
-            self._tell(messages.Deaths(self._vm, (), tuple(disproved)))
+            self._history.withdraw(disproved, self._clock.now())
+            self._broadcast(messages.Deaths(self._vm, (), tuple(disproved)))
 
-    def failed(
+    def record_failure(
         self,
         target: str,
         request: ports.Request,
         kind: errors.ErrorKind,
-        began: float,
+        sent_at: float,
     ) -> None:
-        """Notes a failure; a lost answer counts as a death of the target.
+        """Records a failure; a lost response counts as a crash of the target.
 
-        A deadline that passed or a caller that went away is no death.
+        An expired deadline or a disconnected caller does not count.
 
         Args:
             target: The target.
-            request: What was sent to it.
-            kind: How that failed.
-            began: When it was sent.
+            request: The request that was sent.
+            kind: Kind of the failure.
+            sent_at: Loop time at which it was sent.
         """
         now = self._clock.now()
-        if kind not in _UNSURE or now >= request.deadline:
+        if kind not in _MAY_HAVE_CRASHED or now >= request.deadline:
             return
-        death = quarantine.Crash(
+        crash = quarantine.Crash(
             self._clock.new_id(),
             _fingerprint(request),
             target,
             self._state.replica.config.number,
-            ran=now - began,
+            ran=now - sent_at,
         )
-        self._memory.record(death, now)
-        self._unconfirmed.add(target, death.id, now)
+        self._history.record(crash, now)
+        self._unconfirmed.add(target, crash.id, now)
         logging.warning(
-            "%s %s was running on %s when its answer was lost.",
+            "%s request %s was running on %s when its response was lost.",
             _PREFIX,
-            death.fingerprint,
+            crash.fingerprint,
             target,
         )
-        self._tell(messages.Deaths(self._vm, (death,)))
+        self._broadcast(messages.Deaths(self._vm, (crash,)))
 
     @property
     def _policy(self) -> config.Quarantine:
         return self._state.replica.config.document.quarantine
 
     def _receive(self, message: messages.Deaths) -> messages.Deaths:
-        self._take(message)
+        self._merge(message)
         if not message.requests_all:
             return messages.Deaths(self._vm)
         now = self._clock.now()
         return messages.Deaths(
-            self._vm, self._memory.crashes(now), self._memory.withdrawn()
+            self._vm, self._history.crashes(now), self._history.withdrawn()
         )
 
-    def _take(self, message: messages.Deaths) -> None:
+    def _merge(self, message: messages.Deaths) -> None:
         now = self._clock.now()
-        self._memory.withdraw(message.withdrawn, now)
-        for death in message.crashes:
-            self._memory.record(death, now)
-        self._memory.expire(self._policy, now)
+        self._history.withdraw(message.withdrawn, now)
+        for crash in message.crashes:
+            self._history.record(crash, now)
+        self._history.expire(self._policy, now)
 
-    def _tell(self, message: messages.Deaths) -> None:
+    def _broadcast(self, message: messages.Deaths) -> None:
         for vm in self._fleet.peers().values():
             self._tasks.start(self._call(vm.id, message))
 
@@ -184,27 +189,27 @@
         if peer is None:
             return
         reply = await self._peers.call(peer, message, _CALL_SECONDS)
-        told = reply.ok()
-        if isinstance(told, messages.Deaths):
-            self._take(told)
+        received = reply.ok()
+        if isinstance(received, messages.Deaths):
+            self._merge(received)
 
     async def _sync(self) -> None:
-        """Makes up for messages that were lost, one peer at a time."""
+        """Exchanges histories with random peers, to recover lost messages."""
         while True:
-            names = sorted(self._fleet.peers())
-            if names:
-                chosen = names[int(self._clock.random() * len(names))]
+            peers = sorted(self._fleet.peers())
+            if peers:
+                chosen = peers[int(self._clock.random() * len(peers))]
                 now = self._clock.now()
                 await self._call(
                     chosen,
                     messages.Deaths(
                         self._vm,
-                        self._memory.crashes(now),
-                        self._memory.withdrawn(),
+                        self._history.crashes(now),
+                        self._history.withdrawn(),
                         requests_all=True,
                     ),
                 )
-            self._memory.expire(self._policy, self._clock.now())
+            self._history.expire(self._policy, self._clock.now())
             await asyncio.sleep(_SYNC_SECONDS)
 
 
--- a/packages/mimosastile-entry/src/mimosastile_entry/_sending.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_sending.py
@@ -124,7 +124,7 @@
                 target.id, call, sent.err_value.kind, started_at
             )
             return sent
-        self._quarantine.answered(target.id, started_at)
+        self._quarantine.record_response(target.id, started_at)
         response = sent.ok_value
         response.on_close(self._admission.leave_callback(target.id, ticket))
         origin = call.request.origin
@@ -156,8 +156,10 @@
         started_at: float,
     ) -> None:
         if kind in _TARGET_REFUSALS:
-            self._quarantine.answered(target, started_at)
+            self._quarantine.record_response(target, started_at)
         else:
-            self._quarantine.failed(target, call.request, kind, started_at)
+            self._quarantine.record_failure(
+                target, call.request, kind, started_at
+            )
         if kind is errors.ErrorKind.OVERLOADED:
             self._admission.shed(target)
--- a/packages/mimosastile-entry/src/mimosastile_entry/_targets_http.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_targets_http.py
@@ -63,9 +63,9 @@
                     return result.Ok(_REPLY.decode(await response.read()))
         except (*_client.CALL_ERRORS, msgspec.DecodeError) as error:
             if isinstance(error, TimeoutError):
-                pool.connector.suspect()
+                pool.connector.invalidate_connections()
             return result.Err(
-                errors.Failure(_client.kind_of(error), str(error))
+                errors.Failure(_client.error_kind(error), str(error))
             )
 
     async def send(
@@ -85,11 +85,11 @@
         ]
         query = f"?{request.query}" if request.query else ""
         url = f"http://{vm.host}:{vm.port}{request.path}{query}"
-        terms = _exchange.Terms(
+        options = _exchange.Options(
             remaining, self._client.configured.first_byte, _NOT_RUN_KINDS
         )
         return await _exchange.send(
-            self._client, self._pool(vm), request, url, headers, terms
+            self._client, self._pool(vm), request, url, headers, options
         )
 
     def _pool(self, vm: fleet.Vm) -> _client.Pool:
--- a/packages/mimosastile-entry/src/mimosastile_entry/_tls.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_tls.py
@@ -1,4 +1,4 @@
-"""The TLS service: contexts by side, renewed when their files change."""
+"""TLS service: contexts for callers and peers, reloaded when files change."""
 
 import asyncio
 import os
@@ -13,55 +13,59 @@
 _PREFIX = "tls:"
 
 LOAD_ERRORS = (OSError, ssl.SSLError)
-"""What a missing, unreadable or mismatched file raises."""
+"""Errors raised for missing, unreadable or mismatched files."""
 
 
 class Side:
-    """The contexts of one side: what it shows, and whom it trusts.
+    """TLS contexts of one side: callers or peers.
 
     Attributes:
-        server: Context of the listening side.
-        client: Context for calls to others of the same side; None without an
-            authority to check them by.
+        server: Context for listening sockets.
+        client: Context for outgoing calls; None if no certificate authority
+            is configured.
     """
 
-    __slots__ = ("_files", "_seen", "client", "server")
+    __slots__ = ("_files", "_loaded_stamps", "client", "server")
 
     def __init__(self, files: settings.TlsSettings) -> None:
         """Loads the files.
 
         Args:
-            files: Paths of certificate, key and authority.
+            files: Paths of certificate, key and certificate authority.
 
         Raises:
-            OSError: A file is missing or is not what it should be.
+            OSError: A file is missing or invalid.
         """
         self._files = files
-        self._seen = self._stamps()
+        self._loaded_stamps = self._stamps()
         self.server = _server_context(files)
         self.client: ssl.SSLContext | None = None
         if files.authority:
             self.client = ssl.create_default_context(cafile=files.authority)
             self.client.minimum_version = ssl.TLSVersion.TLSv1_2
 
-    def renew(self) -> bool:
-        """Loads the files again if they have changed; True if it did.
+    def reload(self) -> bool:
+        """Reloads the files if they have changed.
 
-        New connections get the new certificate, open ones are left alone.
+        New connections use the new certificate; open ones are unaffected.
+
+        Returns:
+            Whether the files were reloaded.
 
         Raises:
-            OSError: The new files cannot be used; the former stay in force.
+            OSError: The new files are invalid; the previous ones stay in use.
         """
         stamps = self._stamps()
-        if stamps == self._seen:
+        if stamps == self._loaded_stamps:
             return False
-        # A certificate is replaced file by file. Loaded into the context in
-        # use, a key that does not fit yet would leave it without any.
+        # Certificate and key are replaced one after the other. Loading a
+        # mismatched pair would leave the context in use without a
+        # certificate, so the files are first loaded into a new context.
         _server_context(self._files)
         self.server.load_cert_chain(self._files.certificate, self._files.key)
         if self.client is not None:
             self.client.load_verify_locations(self._files.authority)
-        self._seen = stamps
+        self._loaded_stamps = stamps
         return True
 
     def _stamps(self) -> tuple[tuple[int, int], ...]:
@@ -75,15 +79,15 @@
 
 
 class TlsService:
-    """Holds the sides' contexts and looks for changed files."""
+    """Holds the TLS contexts and polls their files for changes."""
 
     __slots__ = ("_configured", "_sides", "_task", "name", "needs")
 
     def __init__(self, configured: settings.TlsSection) -> None:
-        """Makes the service.
+        """Initializes the service.
 
         Args:
-            configured: Files by side.
+            configured: Paths of the files by side.
         """
         self.name = "tls"
         self.needs: tuple[str, ...] = ()
@@ -95,7 +99,7 @@
         """Loads all files.
 
         Raises:
-            OSError: A file cannot be used.
+            OSError: A file is missing or invalid.
         """
         del kernel
         named = (
@@ -104,10 +108,12 @@
         )
         self._sides = {side: Side(files) for side, files in named if files}
         if self._sides:
-            self._task = asyncio.create_task(self._renew_always(), name="tls")
+            self._task = asyncio.create_task(
+                self._reload_periodically(), name="tls"
+            )
 
     async def stop(self) -> None:
-        """Looks for changes no more."""
+        """Stops polling for changes."""
         if self._task is not None:
             self._task.cancel()
 
@@ -116,34 +122,39 @@
         return {"sides": sorted(self._sides)}
 
     def server(self, side: str) -> ssl.SSLContext | None:
-        """Returns the listening context of a side, None in the clear."""
+        """Returns a side's context for listening, None for plain text."""
         found = self._sides.get(side)
         return found.server if found else None
 
     def client(self, side: str) -> ssl.SSLContext | None:
-        """Returns the calling context of a side, None in the clear."""
+        """Returns a side's context for outgoing calls, None for plain text."""
         found = self._sides.get(side)
         return found.client if found else None
 
-    def renew(self) -> None:
-        """Takes changed files into use; bad ones are logged and left."""
+    def reload(self) -> None:
+        """Reloads changed files; logs and ignores invalid ones."""
         for name, side in self._sides.items():
             try:
-                if side.renew():
-                    logging.info("%s new certificate for %s.", _PREFIX, name)
+                if side.reload():
+                    logging.info(
+                        "%s reloaded the certificate for %s.", _PREFIX, name
+                    )
             except LOAD_ERRORS as error:
                 logging.error(
-                    "%s keeps the certificate for %s: %s.", _PREFIX, name, error
+                    "%s keeps the old certificate for %s; reload failed: %s.",
+                    _PREFIX,
+                    name,
+                    error,
                 )
 
-    async def _renew_always(self) -> None:
+    async def _reload_periodically(self) -> None:
         while True:
             await asyncio.sleep(self._configured.reload_seconds)
-            self.renew()
+            self.reload()
 
 
 def _server_context(files: settings.TlsSettings) -> ssl.SSLContext:
-    made = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-    made.minimum_version = ssl.TLSVersion.TLSv1_2
-    made.load_cert_chain(files.certificate, files.key)
-    return made
+    context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
+    context.minimum_version = ssl.TLSVersion.TLSv1_2
+    context.load_cert_chain(files.certificate, files.key)
+    return context
--- a/packages/mimosastile-entry/src/mimosastile_entry/_uploads.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_uploads.py
@@ -1,4 +1,4 @@
-"""Bodies of requests on their way in: whole, streamed, stalled or unread."""
+"""Request bodies from callers: buffering, streaming, limits and draining."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -21,14 +21,14 @@
 
 
 class CallerGoneError(Exception):
-    """The caller left, stalled or sent too much before its body was whole."""
+    """The caller disconnected, stalled or exceeded the size limit."""
 
 
 class Upload:
     """The body of one request.
 
     Attributes:
-        complete: Whether all of it has been read.
+        complete: Whether the body has been read to its end.
     """
 
     __slots__ = ("_head", "_limits", "_receive", "_size", "complete")
@@ -39,12 +39,12 @@
         receive: Receive,
         limits: settings.LimitSettings,
     ) -> None:
-        """Begins with nothing read.
+        """Initializes the upload with nothing read.
 
         Args:
             head: The request's head.
-            receive: The server's way to the body.
-            limits: Sizes and times.
+            receive: ASGI callable that yields the body.
+            limits: Size limits and timeouts.
         """
         self.complete = not head.has_body
         self._head = head
@@ -55,11 +55,15 @@
     async def read(
         self, request: ports.Request
     ) -> result.Result[ports.Request, errors.Failure]:
-        """Holds a small body whole and leaves a large one's rest to stream."""
+        """Buffers the body up to the replay limit and streams the rest.
+
+        Args:
+            request: The request; gets its body, and a stream if it is large.
+        """
         chunks: list[bytes] = []
         while not self.complete and self._size <= self._limits.replay_bytes:
             try:
-                chunks.append(await self._next())
+                chunks.append(await self._next_chunk())
             except TimeoutError:
                 return errors.failed(errors.ErrorKind.REQUEST_TIMEOUT)
             except CallerGoneError:
@@ -68,30 +72,30 @@
             return errors.failed(errors.ErrorKind.BODY_TOO_LARGE)
         request.body = b"".join(chunks)
         if not self.complete:
-            request.stream = self._rest()
+            request.stream = self._stream_rest()
         return result.Ok(request)
 
     async def linger(self, *, closing: bool) -> None:
-        """Reads and drops what is left if the connection closes afterwards.
+        """Reads and discards the rest of the body before a connection closes.
 
-        A server that closes while the caller still sends makes the caller's
-        system throw the answer away; it would see a reset instead.
+        If a server closes while the caller is still sending, the caller's
+        kernel discards the response and reports a reset instead.
 
         Args:
-            closing: Whether this VM closes the connection.
+            closing: Whether this VM closes the connection afterwards.
         """
-        # One that waits for leave to send its body sends none after a refusal.
+        # A caller that waits for "100 Continue" sends no body after a refusal.
         if self._head.expects or not (closing or self._head.closes):
             return
         try:
             async with asyncio.timeout(_LINGER_SECONDS):
                 last = self._size + _LINGER_BYTES
                 while not self.complete and self._size < last:
-                    await self._next()
+                    await self._next_chunk()
         except (TimeoutError, CallerGoneError):
             return
 
-    async def _next(self) -> bytes:
+    async def _next_chunk(self) -> bytes:
         async with asyncio.timeout(self._limits.stall_seconds):
             message = await self._receive()
         if message["type"] == "http.disconnect":
@@ -101,10 +105,10 @@
         self.complete = not message.get("more_body", False)
         return chunk
 
-    async def _rest(self) -> AsyncIterator[bytes]:
+    async def _stream_rest(self) -> AsyncIterator[bytes]:
         while not self.complete:
             try:
-                chunk = await self._next()
+                chunk = await self._next_chunk()
             except TimeoutError as error:
                 raise CallerGoneError("body stalled") from error
             if self._size > self._limits.body_bytes:
--- a/packages/mimosastile-entry/src/mimosastile_entry/_wire.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_wire.py
@@ -10,7 +10,7 @@
 from mimosastile_entry import ports
 
 PREFIX = "x-mimosastile-"
-"""Headers of the router; a caller's are stripped."""
+"""Prefix of the router's headers; they are stripped from callers' requests."""
 
 MEMBER = PREFIX + "member"
 REQUEST_ID = PREFIX + "request-id"
@@ -25,13 +25,13 @@
 BODY_DIGEST = PREFIX + "body-digest"
 
 GRANT_PATH = "/-/grant"
-"""Where targets take grants."""
+"""Path at which targets receive grants."""
 
 MESSAGE_PATH = "/peer/message"
-"""Where peers take messages."""
+"""Path at which peers receive messages."""
 
 FORWARD_PATH = "/forward"
-"""Prefix under which peers take forwarded requests."""
+"""Path prefix at which peers receive forwarded requests."""
 
 HOP_BY_HOP = frozenset(
     {
@@ -47,16 +47,16 @@
         "upgrade",
     }
 )
-"""Headers that belong to one connection and are never passed on."""
+"""Headers that apply to one connection and are never forwarded."""
 
 BODILESS = frozenset({204, 304})
-"""Statuses of answers without a body."""
+"""Status codes of responses without a body."""
 
 
 def end_to_end(
     headers: Iterable[tuple[str, str]],
 ) -> tuple[tuple[str, str], ...]:
-    """Returns the headers that may be passed on, names in lower case."""
+    """Returns the headers that may be forwarded, names in lower case."""
     pairs = [(name.lower(), value) for name, value in headers]
     named = {
         token.strip().lower()
@@ -67,15 +67,17 @@
     return tuple(
         (name, value)
         for name, value in pairs
-        if name not in HOP_BY_HOP and name not in named and not _is_own(name)
+        if name not in HOP_BY_HOP
+        and name not in named
+        and not _is_router_header(name)
     )
 
 
-def is_own(name: bytes) -> bool:
-    """Whether a header, in lower case, is one of the router's own.
+def is_router_header(name: bytes) -> bool:
+    """Returns whether a header name, in lower case, is reserved to the router.
 
-    Some servers hand a name on with underscores for dashes; a caller could
-    use that to pass for the router.
+    Some servers treat underscores in names as dashes; a caller could use that
+    to impersonate the router.
     """
     return name[:1] == b"x" and name.replace(b"_", b"-").startswith(_PREFIX)
 
@@ -83,45 +85,45 @@
 _PREFIX = PREFIX.encode()
 
 
-def _is_own(name: str) -> bool:
+def _is_router_header(name: str) -> bool:
     return name[:1] == "x" and name.replace("_", "-").startswith(PREFIX)
 
 
-class AnswerHead:
-    """What one pass over an answer's headers finds.
+class ResponseHead:
+    """Parsed headers of a response.
 
     Attributes:
-        error: The error kind that the other side names, None without one.
-        framed: Whether length or chunks tell where the body ends.
-        headers: What may be passed on, names in lower case.
+        error: Error kind that the server reports, None if it reports none.
+        framed: Whether a length or chunks delimit the body.
+        headers: Headers that may be forwarded, names in lower case.
     """
 
     __slots__ = ("error", "framed", "headers")
 
     def __init__(self, response: aiohttp.ClientResponse) -> None:
-        """Reads the headers.
+        """Parses the headers.
 
         Args:
-            response: The answer.
+            response: Response whose head has arrived.
         """
         pairs = [(n.lower(), v) for n, v in response.headers.items()]
         names = {name for name, _ in pairs}
         self.error: errors.ErrorKind | None = None
         if ERROR in names:
-            self.error = named_error(response.headers[ERROR])
+            self.error = parse_error_kind(response.headers[ERROR])
         chunked = "transfer-encoding" in names
         self.framed = chunked or "content-length" in names
-        # A length beside another framing, or on an answer that has no body by
-        # its status, is not the length of what follows; the caller would wait
-        # for bytes that never come, or take the next answer for this one's
-        # rest.
+        # A length besides chunked encoding, or on a response that has no
+        # body by its status, is not the length of the bytes that follow. The
+        # caller would wait for bytes that never arrive, or read the next
+        # response as part of this one.
         if chunked or response.status in BODILESS:
             pairs = [pair for pair in pairs if pair[0] != "content-length"]
         self.headers = end_to_end(pairs)
 
 
 def fence_headers(fence: holder.RequestFence) -> dict[str, str]:
-    """Returns the headers that tell a target whose order a request is."""
+    """Returns the headers that carry the fencing token of a request."""
     return {
         BLOCK: f"{fence.block.service}/{fence.block.index}",
         POSITION: str(fence.position),
@@ -132,13 +134,13 @@
 def request_body(
     request: ports.Request,
 ) -> bytes | AsyncIterator[bytes] | None:
-    """Returns what the client sends as the body."""
+    """Returns the body that the client sends, None if it is empty."""
     if request.stream is None:
         return request.body or None
-    return _joined(request.body, request.stream)
+    return _concatenate(request.body, request.stream)
 
 
-async def _joined(
+async def _concatenate(
     head: bytes, stream: AsyncIterator[bytes]
 ) -> AsyncIterator[bytes]:
     if head:
@@ -147,8 +149,11 @@
         yield chunk
 
 
-def named_error(name: str | None) -> errors.ErrorKind | None:
-    """Returns the error kind that an answer's header names, if any."""
+def parse_error_kind(name: str | None) -> errors.ErrorKind | None:
+    """Returns the error kind that a response's header names, if any.
+
+    An unknown name gives `INTERNAL`.
+    """
     try:
         return errors.ErrorKind(name) if name else None
     except ValueError:
--- a/tests/entry/test_admission.py
+++ b/tests/entry/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of slots as the daemon hands them out."""
+"""Tests of the admission control of targets."""
 
 import asyncio
 
@@ -24,24 +24,24 @@
 
 
 class TestCancelledWhileQueued:
-    """A caller goes away in the moment in which its request gets a slot.
+    """A caller disconnects at the moment its request gets a slot.
 
-    If that slot were lost, the target would serve one request fewer after
-    each such race until nothing is served at all.
+    If that slot leaked, each such race would reduce the target's concurrency
+    by one until it served nothing.
     """
 
-    @pytest.mark.parametrize("handed_over", [False, True])
-    def test_slot_goes_to_the_next(self, handed_over):
-        """Before and after the hand-over."""
+    @pytest.mark.parametrize("assigned_first", [False, True])
+    def test_slot_goes_to_the_next(self, assigned_first):
+        """The cancellation comes before or after the assignment of the slot."""
 
-        async def story():
+        async def scenario():
             admission = _admission.Admission(daemon.clock(1))
             first, second, third = _ticket(), _ticket(), _ticket()
             assert await _enter(admission, first) is None
             waiting = _enter(admission, second)
             last = _enter(admission, third)
             await virtual.pause(0.1)
-            if handed_over:
+            if assigned_first:
                 admission.leave("t", first)
                 waiting.cancel()
             else:
@@ -53,12 +53,12 @@
             admission.leave("t", third)
             assert admission.load("t") == 0
 
-        virtual.run(story())
+        virtual.run(scenario())
 
-    def test_cancelled_and_handed_over_before_it_wakes(self):
-        """The cancellation is under way when the slot comes."""
+    def test_cancelled_and_assigned_before_it_resumes(self):
+        """The cancellation is pending when the slot is assigned."""
 
-        async def story():
+        async def scenario():
             admission = _admission.Admission(daemon.clock(1))
             first, second = _ticket(), _ticket()
             await _enter(admission, first)
@@ -70,19 +70,19 @@
                 await waiting
             assert admission.load("t") == 0
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
-class TestStuckTarget:
-    """All slots of a target hang.
+class TestHangingTarget:
+    """All slots of a target are held by requests that hang.
 
-    Whoever waits is told so while there is time left to try elsewhere.
+    Waiting requests are refused while there is time to try another target.
     """
 
     def test_refused_well_before_the_deadline(self):
-        """The configured wait counts, not the caller's patience."""
+        """The configured wait applies, not the caller's deadline."""
 
-        async def story():
+        async def scenario():
             admission = _admission.Admission(daemon.clock(1))
             await _enter(admission, _ticket())
             began = virtual.now()
@@ -91,16 +91,16 @@
             assert virtual.now() - began == SERVICE.queue.wait
             assert failure.wait >= 1
 
-        virtual.run(story())
+        virtual.run(scenario())
 
-    def test_refused_when_half_of_a_short_time_is_over(self):
-        """The rest is for the run, or for another try."""
+    def test_refused_after_half_of_a_short_deadline(self):
+        """The other half is left for running the request, or for a retry."""
 
-        async def story():
+        async def scenario():
             admission = _admission.Admission(daemon.clock(1))
             await _enter(admission, _ticket())
             await _enter(admission, _ticket(), left=2.0)
             assert virtual.now() == pytest.approx(1.0)
             assert admission.load("t") == 1
 
-        virtual.run(story())
+        virtual.run(scenario())
--- a/tests/entry/test_cancellation.py
+++ b/tests/entry/test_cancellation.py
@@ -1,4 +1,4 @@
-"""Tests that a task ends when it is cancelled in the moment of an event."""
+"""Tests that a task ends if its cancellation coincides with an event."""
 
 import asyncio
 
@@ -8,17 +8,17 @@
 
 
 class TestLostCancellation:
-    """A service stops in the very turn of the loop that wakes its task.
+    """A service stops in the event loop cycle that resumes its task.
 
-    Python 3.11's `wait_for` then returns the event and forgets that the task
-    was cancelled. The task would go on for good: a keeper that has ended
-    would send grants, a stopped daemon would write claims.
+    Python 3.11's `wait_for` then returns the event and loses the cancellation.
+    The task would never end: a former keeper would still send grants, and a
+    stopped daemon would write claims.
     """
 
     def test_watch_ends(self):
-        """A change in the store and a cancellation, together."""
+        """A change in the store coincides with the cancellation."""
 
-        async def story():
+        async def scenario():
             kept = store.MemoryStore()
             task = asyncio.ensure_future(kept.watch("", 0, 60.0))
             await virtual.pause(1.0)
@@ -27,12 +27,12 @@
             await asyncio.wait([task], timeout=1.0)
             assert task.cancelled()
 
-        virtual.run(story())
+        virtual.run(scenario())
 
     def test_claims_end(self):
-        """A change of the replica and a stop, together."""
+        """A change of the replica coincides with the cancellation."""
 
-        async def story():
+        async def scenario():
             made = world.World()
             kernel = await made.add_daemon("e0", "kontinent", "zagreb-a")
             await virtual.pause(1.03)
@@ -45,4 +45,4 @@
             await asyncio.wait(tasks, timeout=1.0)
             assert {task.cancelled() for task in tasks} == {True}
 
-        virtual.run(story())
+        virtual.run(scenario())
--- a/tests/entry/test_client.py
+++ b/tests/entry/test_client.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP client: nothing is sent twice, nobody is followed."""
+"""Tests of the HTTP client: no automatic retries, redirects or headers."""
 
 import asyncio
 
@@ -9,18 +9,17 @@
 
 
 class TestDroppedConnection:
-    """A server reads a request and drops the connection without an answer.
+    """A server reads a request and closes the connection without a response.
 
-    The client library would send idempotent methods again by itself. The
-    request then runs twice, though the operators may have said that it must
-    not, and a letter is printed twice.
+    aiohttp would retry idempotent methods by itself. The request would run
+    twice, although its route may be declared not idempotent.
     """
 
     @pytest.mark.parametrize("method", ["GET", "HEAD", "PUT", "DELETE", "POST"])
     def test_request_is_sent_once(self, method):
-        """On a connection of the pool, where the library resends."""
+        """Sent on a pooled connection, where aiohttp would retry."""
 
-        async def story():
+        async def scenario():
             def replies(number):
                 return rig.Reply() if number == 0 else rig.Reply(b"", True)
 
@@ -33,23 +32,23 @@
                 second = await rig.send(made, vm, method)
                 return second, peer
 
-        second, peer = asyncio.run(story())
+        second, peer = asyncio.run(scenario())
         assert peer.connections == 1
         assert len(peer.requests) == 2
         assert second.err().kind is errors.ErrorKind.ANSWER_LOST
 
 
 class TestRedirect:
-    """A target answers with a redirect.
+    """A target responds with a redirect.
 
-    Followed by the router, the request would run a second time, perhaps on a
-    server that does not own its key.
+    If the router followed it, the request would run a second time, possibly
+    on a target that does not own its key.
     """
 
-    def test_redirect_is_passed_on(self):
-        """The caller decides."""
+    def test_redirect_is_returned(self):
+        """The caller decides whether to follow it."""
 
-        async def story():
+        async def scenario():
             moved = (
                 b"HTTP/1.1 307 Moved\r\nlocation: /s/2\r\n"
                 b"content-length: 0\r\n\r\n"
@@ -62,36 +61,36 @@
                 await sent.ok().close()
                 return sent.ok(), peer
 
-        response, peer = asyncio.run(story())
+        response, peer = asyncio.run(scenario())
         assert response.status == 307
         assert dict(response.headers)["location"] == "/s/2"
         assert len(peer.requests) == 1
 
 
 class TestUnreachable:
-    """Nothing listens at the target's address."""
+    """No server listens at the target's address."""
 
-    def test_says_that_nothing_ran(self):
-        """No byte can have left."""
+    def test_reported_as_not_run(self):
+        """No byte of the request was sent."""
 
-        async def story():
+        async def scenario():
             async with rig.raw_server(lambda _: rig.Reply()) as peer:
                 port = peer.port
             async with rig.sender(port) as (made, vm):
                 return await rig.send(made, vm, "POST", b"letter")
 
-        sent = asyncio.run(story())
+        sent = asyncio.run(scenario())
         assert sent.err().kind is errors.ErrorKind.UNREACHABLE
         assert sent.err().answer.ran is errors.Ran.NO
 
 
 class TestAddedHeaders:
-    """The client library adds headers that the caller did not send."""
+    """aiohttp would add headers that the caller did not send."""
 
     def test_target_gets_the_callers_headers(self):
-        """An encoding that the caller cannot read is not asked for."""
+        """The target must not choose an encoding unknown to the caller."""
 
-        async def story():
+        async def scenario():
             async with (
                 rig.raw_server(lambda _: rig.Reply()) as peer,
                 rig.sender(peer.port) as (made, vm),
@@ -99,6 +98,6 @@
                 await rig.read_body((await rig.send(made, vm)).ok())
                 return peer.requests[0].lower()
 
-        head = asyncio.run(story())
+        head = asyncio.run(scenario())
         for name in (b"accept-encoding", b"user-agent", b"accept:"):
             assert name not in head
--- a/tests/entry/test_connections.py
+++ b/tests/entry/test_connections.py
@@ -1,4 +1,4 @@
-"""Tests of pools: limits, ages, silence and progress."""
+"""Tests of connection pools: limits, reuse, lost connections, timeouts."""
 
 import asyncio
 import socket
@@ -22,25 +22,25 @@
 class TestLimit:
     """A target accepts a limited number of connections.
 
-    One more would be refused by the target, or push out another entry VM.
+    It would refuse one more, or drop that of another entry VM.
     """
 
     def test_no_more_connections_than_the_service_allows(self):
-        """Exchanges wait for one another's connection."""
+        """Exchanges wait for a free connection."""
 
-        async def story():
+        async def scenario():
             async with (
                 rig.raw_server(lambda _: rig.Reply()) as peer,
                 rig.sender(peer.port, connections=2) as (made, vm),
             ):
                 return await _gather(made, vm, 20), peer.connections
 
-        assert asyncio.run(story()) == ([b"ok"] * 20, 2)
+        assert asyncio.run(scenario()) == ([b"ok"] * 20, 2)
 
-    def test_one_that_waits_too_long_did_not_run(self):
-        """It never had a connection."""
+    def test_exchange_that_waits_too_long_did_not_run(self):
+        """It never got a connection."""
 
-        async def story():
+        async def scenario():
             async with (
                 rig.raw_server(
                     lambda _: rig.Reply(PART, after=b"rest")
@@ -53,15 +53,15 @@
                 whole = await rig.read_body(first.ok())
                 return whole, second.err(), len(peer.requests)
 
-        whole, failure, requests = asyncio.run(story())
+        whole, failure, requests = asyncio.run(scenario())
         assert whole == b"halfrest"
         assert failure.kind is errors.ErrorKind.UNREACHABLE
         assert requests == 1
 
-    def test_changed_limit_takes_a_new_pool(self):
-        """Exchanges under way end in the former one."""
+    def test_changed_limit_replaces_the_pool(self):
+        """Exchanges in progress end in the former pool."""
 
-        async def story():
+        async def scenario():
             async with (
                 rig.raw_server(
                     lambda _: rig.Reply(PART, after=b"rest")
@@ -76,16 +76,16 @@
                 whole = await rig.read_body(first)
                 return whole, former.session.closed, latter.session.closed
 
-        assert asyncio.run(story()) == (b"halfrest", True, False)
+        assert asyncio.run(scenario()) == (b"halfrest", True, False)
 
 
 class TestReuse:
-    """A connection is used again while it is young and known to live."""
+    """A connection is reused while it is recent and still open."""
 
     def test_within_its_age(self):
-        """One connection serves requests in turn."""
+        """One connection serves consecutive requests."""
 
-        async def story():
+        async def scenario():
             async with (
                 rig.raw_server(lambda _: rig.Reply()) as peer,
                 rig.sender(peer.port) as (made, vm),
@@ -94,13 +94,13 @@
                     await _gather(made, vm, 1)
                 return peer.connections
 
-        assert asyncio.run(story()) == 1
+        assert asyncio.run(scenario()) == 1
 
     @pytest.mark.parametrize("times", [{"max_age": 0.01}, {"idle": 0.01}])
-    def test_not_beyond_it(self, times):
-        """It is replaced by a new one."""
+    def test_not_beyond_its_age(self, times):
+        """A new connection replaces it."""
 
-        async def story():
+        async def scenario():
             async with (
                 rig.raw_server(lambda _: rig.Reply()) as peer,
                 rig.sender(peer.port, **times) as (made, vm),
@@ -110,12 +110,12 @@
                 await _gather(made, vm, 1)
                 return peer.connections
 
-        assert asyncio.run(story()) == 2
+        assert asyncio.run(scenario()) == 2
 
     def test_not_when_the_server_has_closed_it(self):
-        """Even if this VM has not read the end yet: a POST would be lost."""
+        """Even if the client has not read the end yet: a POST would be lost."""
 
-        async def story():
+        async def scenario():
             async with (
                 rig.raw_server(lambda _: rig.Reply()) as peer,
                 rig.sender(peer.port) as (made, vm),
@@ -127,20 +127,20 @@
                 sent = await rig.send(made, vm, "POST", b"letter")
                 return await rig.read_body(sent.ok()), peer.connections
 
-        assert asyncio.run(story()) == (b"ok", 2)
+        assert asyncio.run(scenario()) == (b"ok", 2)
 
 
-class TestSilentConnection:
-    """Something between the ends has lost track of a connection.
+class TestLostConnection:
+    """A network device on the path has dropped the state of a connection.
 
-    Requests on it vanish without a sign, while new connections work. A caller
-    would wait until its deadline, again and again.
+    Requests on it are lost silently, while new connections work. Callers would
+    repeatedly wait until their deadline.
     """
 
-    def test_is_left_for_new_ones(self):
-        """Others that were open at that time are not trusted either."""
+    def test_is_replaced(self):
+        """Other connections that were open at that time are replaced too."""
 
-        async def story():
+        async def scenario():
             def replies(number):
                 return (
                     rig.Reply(b"", after=b"x") if number == 2 else rig.Reply()
@@ -155,16 +155,16 @@
                 after = await _gather(made, vm, 1)
                 return silent.err(), after, peer.connections
 
-        failure, after, connections = asyncio.run(story())
+        failure, after, connections = asyncio.run(scenario())
         assert failure.kind is errors.ErrorKind.ANSWER_LOST
         assert failure.answer.ran is errors.Ran.PERHAPS
         assert after == [b"ok"]
         assert connections == 3
 
-    def test_lost_packets_are_noticed_by_the_kernel(self):
-        """The options are set on each connection."""
+    def test_kernel_detects_lost_packets(self):
+        """The socket options are set on each connection."""
 
-        async def story():
+        async def scenario():
             async with (
                 rig.raw_server(
                     lambda _: rig.Reply(PART, after=b"rest")
@@ -186,22 +186,22 @@
                 await response.close()
                 return options
 
-        keepalive, nodelay, unacknowledged = asyncio.run(story())
+        keepalive, nodelay, unacknowledged = asyncio.run(scenario())
         assert keepalive and nodelay
         assert 0 < unacknowledged <= 10000
 
 
 class TestProgress:
-    """A slow answer is told from a stuck one by its progress.
+    """Progress distinguishes a slow response from a stalled one.
 
-    Archive downloads take longer than any deadline for a first answer; cut
-    off half-way they would have to start again.
+    Archive downloads take longer than any deadline for the head. If they were
+    aborted half-way, they would have to start again.
     """
 
     def test_download_outlives_the_deadline(self):
         """The deadline limits the time to the head."""
 
-        async def story():
+        async def scenario():
             async with (
                 rig.raw_server(
                     lambda _: rig.Reply(PART, after=b"rest")
@@ -213,12 +213,12 @@
                 peer.release.set()
                 return await rig.read_body(sent.ok())
 
-        assert asyncio.run(story()) == b"halfrest"
+        assert asyncio.run(scenario()) == b"halfrest"
 
-    def test_download_without_progress_breaks_off(self):
-        """The caller sees a broken answer."""
+    def test_download_without_progress_is_aborted(self):
+        """The caller gets a broken response."""
 
-        async def story():
+        async def scenario():
             async with (
                 rig.raw_server(
                     lambda _: rig.Reply(PART, after=b"rest")
@@ -230,26 +230,26 @@
                     await rig.read_body(sent.ok())
                 return made.find("client").pool(vm, 120).in_use
 
-        assert asyncio.run(story()) == 0
+        assert asyncio.run(scenario()) == 0
 
     def test_deadline_before_the_head(self):
-        """The request may have run."""
+        """The error says that the request may have run."""
 
-        async def story():
+        async def scenario():
             async with (
                 rig.raw_server(lambda _: rig.Reply(b"", after=b"x")) as peer,
                 rig.sender(peer.port) as (made, vm),
             ):
                 return await rig.send(made, vm, seconds=0.05)
 
-        failure = asyncio.run(story()).err()
+        failure = asyncio.run(scenario()).err()
         assert failure.kind is errors.ErrorKind.DEADLINE
         assert failure.answer.ran is errors.Ran.PERHAPS
 
-    def test_passed_deadline_sends_nothing(self):
-        """The request did not run."""
+    def test_expired_deadline_sends_nothing(self):
+        """The error says that the request did not run."""
 
-        async def story():
+        async def scenario():
             async with (
                 rig.raw_server(lambda _: rig.Reply()) as peer,
                 rig.sender(peer.port) as (made, vm),
@@ -257,21 +257,21 @@
                 sent = await rig.send(made, vm, seconds=0)
                 return sent.err().answer.ran, peer.connections
 
-        assert asyncio.run(story()) == (errors.Ran.NO, 0)
+        assert asyncio.run(scenario()) == (errors.Ran.NO, 0)
 
 
 class TestPeers:
-    """Connections to other entry VMs are kept in the same way."""
+    """Connections to other entry VMs are pooled in the same way."""
 
-    def test_silent_one_is_left_for_a_new_one(self):
-        """A message without a reply makes the open connections suspect."""
+    def test_lost_connection_is_replaced(self):
+        """A message without a reply invalidates the open connections."""
         reply = messages.encode(messages.Ack("e1"))
         data = b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%s" % (
             len(reply),
             reply,
         )
 
-        async def story():
+        async def scenario():
             def replies(number):
                 if number == 1:
                     return rig.Reply(b"", after=b"x")
@@ -287,6 +287,6 @@
                 sent = [await peers.call(vm, ack, 0.05) for _ in range(3)]
                 return sent, peer.connections
 
-        sent, connections = asyncio.run(story())
+        sent, connections = asyncio.run(scenario())
         assert [s.is_ok() for s in sent] == [True, False, True]
         assert connections == 2
--- a/tests/entry/test_exchange.py
+++ b/tests/entry/test_exchange.py
@@ -1,4 +1,4 @@
-"""Tests of answers on their way from a target to a caller, over sockets."""
+"""Tests of requests and responses between callers and targets, over sockets."""
 
 import asyncio
 
@@ -11,9 +11,9 @@
 
 
 def _through(replies, sent, limits=None, **times):
-    """Sends raw bytes through the callers' side; returns answer and parts."""
+    """Sends raw bytes through the callers' port; returns response and parts."""
 
-    async def story():
+    async def scenario():
         async with (
             rig.raw_server(replies) as peer,
             rig.front(peer.port, limits, **times) as front,
@@ -21,14 +21,13 @@
             received = await rig.exchange(front.port, sent)
             return received, peer, front
 
-    return asyncio.run(story())
+    return asyncio.run(scenario())
 
 
-class TestShortAnswer:
-    """A target dies in the middle of an answer.
+class TestTruncatedResponse:
+    """A target crashes while it sends a response.
 
-    A caller that took the part for the whole would file half an archive, or
-    show half a letter.
+    A caller that took the part for the whole would store truncated data.
     """
 
     @pytest.mark.parametrize(
@@ -40,8 +39,8 @@
         ],
         ids=["length", "no last chunk", "within a chunk"],
     )
-    def test_caller_sees_that_it_broke(self, data):
-        """Fewer bytes than declared, or no last chunk."""
+    def test_caller_detects_the_truncation(self, data):
+        """The caller gets fewer bytes than declared, or no last chunk."""
         received, _, front = _through(
             lambda _: rig.Reply(data, close=True), rig.get()
         )
@@ -77,8 +76,8 @@
             "many headers",
         ],
     )
-    def test_answer_that_cannot_be_told_whole_is_refused(self, data):
-        """It is an open error that says: may have run."""
+    def test_response_of_unknown_completeness_is_refused(self, data):
+        """The error says that the request may have run."""
         received, _, front = _through(
             lambda _: rig.Reply(data, close=True), rig.get()
         )
@@ -89,8 +88,8 @@
         assert front.router.in_flight == 0
 
 
-class TestWholeAnswer:
-    """Answers without a fault arrive as they were sent."""
+class TestValidResponse:
+    """Valid responses arrive unchanged."""
 
     @pytest.mark.parametrize(
         ("method", "data", "status", "length", "body"),
@@ -122,7 +121,7 @@
         ],
     )
     def test_framing(self, method, data, status, length, body):
-        """A declared length is kept; an empty answer stays empty."""
+        """A declared length is kept; a response without a body stays empty."""
         received, _, _ = _through(
             lambda _: rig.Reply(data), rig.get(method=method)
         )
@@ -134,8 +133,8 @@
         else:
             assert rest == body
 
-    def test_headers_pass_but_for_the_routers_own(self):
-        """Bytes of a name in UTF-8 arrive unchanged; hops are kept apart."""
+    def test_headers_pass_except_reserved_ones(self):
+        """UTF-8 values arrive unchanged; hop-by-hop headers are removed."""
         data = (
             b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n"
             b"content-disposition: filename=\xc4\x8d.pdf\r\n"
@@ -150,8 +149,8 @@
         assert b"x-hop" not in head
         assert head.count(b"set-cookie") == 2
 
-    def test_caller_cannot_pass_for_the_router(self):
-        """Its member is that of its credential, whatever it claims."""
+    def test_caller_cannot_impersonate_the_router(self):
+        """The member comes from the credential, not from the headers."""
         extra = (
             "connection: close, x-hop\r\nx-hop: 1\r\n"
             "x-mimosastile-member: rival\r\nX-Mimosastile-Fence: 9\r\n"
@@ -167,11 +166,11 @@
         assert "x-name: \u010d".encode() in head
 
 
-class TestCrossedAnswers:
-    """A target sends more than was asked for, or an answer comes late.
+class TestSurplusBytes:
+    """A target sends surplus bytes, or a response arrives late.
 
-    The surplus waits on a pooled connection, and the next caller would get an
-    answer that was meant for another one.
+    The bytes would remain on a pooled connection, and the next caller would
+    get another caller's response.
     """
 
     @pytest.mark.parametrize(
@@ -183,10 +182,10 @@
         ],
     )
     @pytest.mark.parametrize("together", [True, False])
-    def test_next_caller_gets_its_own(self, surplus, together):
-        """Whether the surplus comes with the answer or while idle."""
+    def test_next_caller_gets_its_own_response(self, surplus, together):
+        """The surplus arrives with the response or on the idle connection."""
 
-        async def story():
+        async def scenario():
             def replies(number):
                 if number:
                     return rig.Reply(rig.OK.replace(b"\r\nok", b"\r\nme"))
@@ -205,32 +204,32 @@
                 second = await rig.read_body((await rig.send(made, vm)).ok())
                 return body, second
 
-        first, second = asyncio.run(story())
-        # Junk right behind an answer may also break that answer, openly.
+        first, second = asyncio.run(scenario())
+        # Surplus bytes right after a response may also make it fail.
         assert first in (b"ok", b"")
         assert second == b"me"
 
-    def test_unread_surplus_is_noticed_too(self):
-        """It lies in the socket when the connection is about to be reused."""
+    def test_unread_surplus_is_detected(self):
+        """It is in the socket buffer when the connection would be reused."""
 
-        async def story():
+        async def scenario():
             async with (
                 rig.raw_server(lambda _: rig.Reply()) as peer,
                 rig.sender(peer.port) as (made, vm),
             ):
                 await rig.read_body((await rig.send(made, vm)).ok())
-                # Written and sent in one step, without a round of the loop
+                # Written and sent without an event loop cycle in between,
                 # in which the client could read it.
                 peer.writers[0].write(rig.OK.replace(b"\r\nok", b"\r\nno"))
                 second = await rig.read_body((await rig.send(made, vm)).ok())
                 return second, peer.connections
 
-        assert asyncio.run(story()) == (b"ok", 2)
+        assert asyncio.run(scenario()) == (b"ok", 2)
 
-    def test_cancelled_exchange_takes_its_connection_along(self):
-        """A late answer finds nobody; the next caller has another way."""
+    def test_cancelled_exchange_closes_its_connection(self):
+        """A late response is dropped; the next caller gets a new connection."""
 
-        async def story():
+        async def scenario():
             def replies(number):
                 if number:
                     return rig.Reply()
@@ -251,12 +250,12 @@
                 pool = made.find("client").pool(vm, 120)
                 return second, peer.connections, pool.in_use
 
-        assert asyncio.run(story()) == (b"ok", 2, 0)
+        assert asyncio.run(scenario()) == (b"ok", 2, 0)
 
-    def test_half_read_answer_takes_its_connection_along(self):
-        """Closing an answer before its end closes the connection."""
+    def test_half_read_response_closes_its_connection(self):
+        """Closing a response before its end closes the connection."""
 
-        async def story():
+        async def scenario():
             def replies(number):
                 part = b"HTTP/1.1 200 OK\r\ncontent-length: 8\r\n\r\nhalf"
                 return rig.Reply(rig.OK if number else part)
@@ -270,14 +269,14 @@
                 second = await rig.read_body((await rig.send(made, vm)).ok())
                 return second, peer.connections
 
-        assert asyncio.run(story()) == (b"ok", 2)
+        assert asyncio.run(scenario()) == (b"ok", 2)
 
 
-class TestLeavingCaller:
-    """A caller closes its connection while its request is on its way.
+class TestDisconnectedCaller:
+    """A caller closes its connection while its request is in progress.
 
-    Nobody will read the answer, but the target's slot would stay taken, and
-    after a few such callers the target serves no one.
+    If the target's slot stayed in use, a few such callers would block the
+    target.
     """
 
     @pytest.mark.parametrize(
@@ -286,10 +285,10 @@
         ids=["before the answer", "within the answer"],
     )
     @pytest.mark.parametrize("pipelined", [False, True])
-    def test_work_is_cancelled_at_once(self, data, pipelined):
-        """The target's connection is closed, the slot given back."""
+    def test_exchange_is_cancelled_at_once(self, data, pipelined):
+        """The target's connection is closed and the slot released."""
 
-        async def story():
+        async def scenario():
             async with (
                 rig.raw_server(
                     lambda _: rig.Reply(data, after=b"rest")
@@ -306,12 +305,12 @@
                     await front.router.ended.wait()
                 return front.router.in_flight, len(peer.requests)
 
-        assert asyncio.run(story()) == (0, 1)
+        assert asyncio.run(scenario()) == (0, 1)
 
-    def test_upload_that_breaks_off_is_no_request(self):
-        """The target never sees the end of the body."""
+    def test_incomplete_upload_is_no_request(self):
+        """The target never receives the end of the body."""
 
-        async def story():
+        async def scenario():
             async with (
                 rig.raw_server(lambda _: rig.Reply()) as peer,
                 rig.front(peer.port) as front,
@@ -332,13 +331,13 @@
                     await front.router.ended.wait()
                 return front.router.in_flight, peer.requests
 
-        assert asyncio.run(story()) == (0, [])
+        assert asyncio.run(scenario()) == (0, [])
 
 
 class TestStalledCaller:
-    """A caller stops sending its body, or stops reading its answer.
+    """A caller stops sending its body, or stops reading its response.
 
-    Without a bound it would hold a slot of the target for ever.
+    Without a timeout it would hold a slot of the target forever.
     """
 
     LIMITS = rig.settings.LimitSettings(stall_seconds=0.05)
@@ -347,12 +346,12 @@
         ("body", "status"), [(b"", 408), (b"x" * 150000, 502)]
     )
     def test_upload(self, body, status):
-        """Not run if the target got nothing; may have run otherwise."""
+        """Not run if nothing was sent to the target; else it may have run."""
         sent = rig.get(
             method="POST", extra="content-length: 200000\r\n", body=body
         )
 
-        async def story():
+        async def scenario():
             async with (
                 rig.raw_server(lambda _: rig.Reply()) as peer,
                 rig.front(peer.port, self.LIMITS) as front,
@@ -365,15 +364,15 @@
                 writer.close()
                 return head, front.router.in_flight, peer.requests
 
-        head, in_flight, requests = asyncio.run(story())
+        head, in_flight, requests = asyncio.run(scenario())
         assert int(head.split()[1]) == status
         assert in_flight == 0
         assert requests == []
 
     def test_download(self):
-        """The answer is broken off and the slot given back."""
+        """The response is aborted and the slot released."""
 
-        async def story():
+        async def scenario():
             size = 20 << 20
             data = b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % size
             async with (
@@ -391,16 +390,16 @@
                 writer.close()
                 return front.router.in_flight
 
-        assert asyncio.run(story()) == 0
+        assert asyncio.run(scenario()) == 0
 
 
 class TestUpload:
-    """Bodies that are too large to hold are streamed."""
+    """Bodies that are too large to buffer are streamed."""
 
     @pytest.mark.parametrize("size", [0, 1, 1000, 300000])
     @pytest.mark.parametrize("chunked", [False, True])
     def test_body_arrives_whole(self, size, chunked):
-        """With its length, or chunked as the caller sent it."""
+        """It has its length, or is chunked as the caller sent it."""
         body = bytes(i % 251 for i in range(size))
         if chunked:
             extra = "connection: close\r\ntransfer-encoding: chunked\r\n"
@@ -413,13 +412,13 @@
         assert rig.parse(received)[0] == 200
         head, _, got = peer.requests[0].partition(b"\r\n\r\n")
         if b"chunked" in head.lower():
-            got = _joined(got)
+            got = _decode_chunks(got)
         assert got == body
 
-    def test_refused_upload_gets_its_answer(self):
-        """A target answers before it has read the body."""
+    def test_refused_upload_gets_its_response(self):
+        """The target responds before it has read the body."""
 
-        async def story():
+        async def scenario():
             async def refuse(reader, writer):
                 await reader.readuntil(b"\r\n\r\n")
                 writer.write(
@@ -445,13 +444,13 @@
                 server.close()
                 return received, front.router.in_flight
 
-        received, in_flight = asyncio.run(story())
+        received, in_flight = asyncio.run(scenario())
         status, _, body = rig.parse(received)
         assert (status, body) == (413, b"big")
         assert in_flight == 0
 
 
-def _joined(chunked):
+def _decode_chunks(chunked):
     body = b""
     while chunked:
         size, _, chunked = chunked.partition(b"\r\n")
@@ -461,7 +460,7 @@
 
 
 class TestNamedErrors:
-    """A target says by a header that a request did not run."""
+    """A target reports by a header that a request did not run."""
 
     @pytest.mark.parametrize(
         ("name", "kind"),
@@ -472,10 +471,10 @@
             ("no such kind", errors.ErrorKind.ANSWER_LOST),
         ],
     )
-    def test_only_the_agreed_kinds_count(self, name, kind):
-        """Any other word proves nothing about the run."""
+    def test_only_accepted_kinds_count(self, name, kind):
+        """Any other name does not prove that the request did not run."""
 
-        async def story():
+        async def scenario():
             data = (
                 b"HTTP/1.1 503 No\r\ncontent-length: 0\r\n"
                 b"x-mimosastile-error: " + name.encode() + b"\r\n\r\n"
@@ -486,4 +485,4 @@
             ):
                 return await rig.send(made, vm)
 
-        assert asyncio.run(story()).err().kind is kind
+        assert asyncio.run(scenario()).err().kind is kind
--- a/tests/entry/test_guard.py
+++ b/tests/entry/test_guard.py
@@ -1,4 +1,4 @@
-"""Tests of the inner port: only peers get in, whatever comes off it."""
+"""Tests of the inner port: only requests signed by peers are accepted."""
 
 import asyncio
 import contextlib
@@ -21,13 +21,13 @@
 
 
 class _App:
-    """Notes what gets past the guard."""
+    """Records the requests that pass the guard."""
 
     def __init__(self):
         self.reached = []
 
     async def __call__(self, scope, receive, send):
-        """Reads the body and answers."""
+        """Reads the body and responds."""
         body = b""
         message = {"more_body": True}
         while message.get("more_body"):
@@ -72,17 +72,17 @@
 
 
 class TestPeers:
-    """A peer with the shared key is let in."""
+    """Requests of a peer with the shared key are accepted."""
 
     def test_message(self, guarded):
-        """Its reply comes back."""
+        """The reply is returned."""
         runner, app, port = guarded
 
-        async def story():
+        async def scenario():
             async with _peers(port) as (peers, vm, _):
                 return await peers.call(vm, messages.Ack("e0"), 5.0)
 
-        assert runner.run(story()).ok() == messages.Ack("e1")
+        assert runner.run(scenario()).ok() == messages.Ack("e1")
         assert app.reached[-1][0] == "/peer/message"
 
     @pytest.mark.parametrize(
@@ -90,10 +90,10 @@
         [(b"", False, b""), (b"body", False, b"body"), (b"a", True, b"arest")],
     )
     def test_forwarded_request(self, guarded, body, streamed, whole):
-        """With or without a body, whole or streamed."""
+        """Its body arrives unchanged: empty, buffered or streamed."""
         runner, app, port = guarded
 
-        async def story():
+        async def scenario():
             async with _peers(port) as (peers, vm, deadline):
                 request = ports.Request(
                     "POST",
@@ -107,27 +107,27 @@
                 sent = await peers.forward(vm, request)
                 return await rig.read_body(sent.ok())
 
-        assert runner.run(story()) == REPLY
+        assert runner.run(scenario()) == REPLY
         assert app.reached[-1] == ("/forward/s/\u010d", whole)
 
 
-class TestStrangers:
-    """Somebody who reaches the inner port has no key, or changes a message.
+class TestUnauthenticated:
+    """A client on the inner port has no valid key, or changes a message.
 
-    Let in, they could grant themselves any member's rights.
+    If it were accepted, it could act with any member's rights.
     """
 
     def test_wrong_key(self, guarded):
-        """Nothing is done, and the sender learns that nothing ran."""
+        """Nothing runs, and the sender's error says so."""
         runner, app, port = guarded
         before = len(app.reached)
 
-        async def story():
+        async def scenario():
             async with _peers(port, "x" * 32) as (peers, vm, deadline):
                 request = ports.Request("POST", "/s/1", deadline=deadline)
                 return await peers.forward(vm, request)
 
-        assert runner.run(story()).err().answer.ran.value == "no"
+        assert runner.run(scenario()).err().answer.ran.value == "no"
         assert len(app.reached) == before
 
     @pytest.mark.parametrize(
@@ -144,7 +144,7 @@
         ],
     )
     def test_unsigned(self, guarded, path, extra):
-        """Refused, also in disguise."""
+        """Refused, also with an encoded path or forged headers."""
         runner, app, port = guarded
         before = len(app.reached)
         sent = rig.get(path, "POST", extra + "connection: close\r\n")
@@ -180,7 +180,7 @@
 
 
 class TestFuzz:
-    """Anything may come off the inner port."""
+    """The inner port receives arbitrary bytes."""
 
     @hypothesis.settings(
         max_examples=150,
@@ -195,8 +195,8 @@
         at=st.integers(0, 250),
         junk=st.binary(max_size=4),
     )
-    def test_nothing_unsigned_gets_in(self, guarded, path, auth, at, junk):
-        """It answers in HTTP or closes, and acts on nothing."""
+    def test_nothing_unsigned_is_accepted(self, guarded, path, auth, at, junk):
+        """It responds in HTTP or closes; no unsigned peer request passes."""
         runner, app, port = guarded
         before = len(app.reached)
         extra = f"x-mimosastile-auth: {auth}\r\nconnection: close\r\n"
--- a/tests/entry/test_links.py
+++ b/tests/entry/test_links.py
@@ -1,4 +1,4 @@
-"""Tests of the link between regions as requests meet it."""
+"""Tests of requests that cross a rate-limited link between regions."""
 
 import asyncio
 
@@ -10,16 +10,17 @@
 
 
 class TestNewVm:
-    """A VM that has just begun holds a tiny share of the link.
+    """A VM that has just started has a tiny share of the link.
 
-    Its first requests to the other region used to wait for minutes, long
-    after their callers had gone, although a fair share came at once.
+    If its first requests to the other region waited at that rate, they would
+    hang for minutes, long after their callers had disconnected, although the
+    VM gets a fair share at once.
     """
 
-    def test_first_requests_are_answered(self):
-        """All of a burst, within its deadline."""
+    def test_first_requests_succeed(self):
+        """All requests of a burst succeed within their deadline."""
 
-        async def story():
+        async def scenario():
             made = world.World(1)
             await made.deploy(deployments.SMALL)
             entry = next(vm for vm in made.daemons if "zagreb" in vm)
@@ -30,4 +31,4 @@
             ]
             return [status for status, _ in await asyncio.gather(*calls)]
 
-        assert set(virtual.run(story())) == {200}
+        assert set(virtual.run(scenario())) == {200}
--- a/tests/entry/test_path.py
+++ b/tests/entry/test_path.py
@@ -1,4 +1,4 @@
-"""Tests of the whole path in memory, under virtual time."""
+"""Tests of the whole request path, in memory and in virtual time."""
 
 import json
 
@@ -38,16 +38,16 @@
 
 
 class TestMovingKey:
-    """A target leaves between two sends of the same key.
+    """A target leaves between two requests for the same key.
 
-    Its keys get new owners. A caller notices nothing but that the answer now
-    comes from another server.
+    Its keys get new owners. The caller only observes that another target
+    responds.
     """
 
-    def test_second_send_is_answered_by_the_new_owner(self):
-        """Both sends succeed, and nothing ran on two owners at once."""
+    def test_second_request_is_served_by_the_new_owner(self):
+        """Both requests succeed, and the former owner owns nothing."""
 
-        async def story():
+        async def scenario():
             made = await _world()
             former = await _owner(made, "k1")
             made.fleet.leave(former)
@@ -57,12 +57,12 @@
             assert await _owner(made, "k1") != former
             assert made.targets[former].holder.owned(0.0) == []
 
-        virtual.run(story())
+        virtual.run(scenario())
 
     def test_every_entry_vm_finds_the_same_owner(self):
-        """Whichever VM the balancer picks, one target answers."""
+        """One target responds, whichever VM the load balancer picks."""
 
-        async def story():
+        async def scenario():
             made = await _world()
             answers = [
                 await made.call(vm, "GET", f"/{KEYED}/k2")
@@ -71,20 +71,21 @@
             assert {status for status, _ in answers} == {200}
             assert len({json.loads(b)["target"] for _, b in answers}) == 1
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
-class TestLostTarget:
-    """A target dies without a word.
+class TestCrashedTarget:
+    """A target crashes without notice.
 
-    Its keeper hears nothing more; once the last grant has run out, another
-    target gets its keys, and callers wait that long at most.
+    Its keeper, the only entry VM that sends it requests and grants, gets no
+    more responses. Once the last grant has expired, another target gets its
+    keys; callers wait no longer than that.
     """
 
     def test_keys_are_served_again_within_a_second(self):
-        """The time is virtual and the same on every machine."""
+        """The time is virtual, so the result does not depend on the machine."""
 
-        async def story():
+        async def scenario():
             made = await _world()
             owner = await _owner(made, "k1")
             made.targets[owner].crash()
@@ -95,31 +96,31 @@
             assert await _owner(made, "k1") != owner
             assert virtual.now() - began < 1.0
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
 class TestStoreOutage:
-    """The store goes down while everything else is well."""
+    """The store is down while everything else works."""
 
-    def test_requests_are_served_all_the_same(self):
-        """Keepers renew without the store."""
+    def test_requests_are_still_served(self):
+        """Keepers renew grants without the store."""
 
-        async def story():
+        async def scenario():
             made = await _world()
             made.store.go_down()
             await virtual.pause(60.0)
             assert await _owner(made, "k1")
 
-        virtual.run(story())
+        virtual.run(scenario())
 
-    def test_new_vm_learns_from_its_peers(self):
-        """It serves what they serve."""
+    def test_new_vm_gets_the_state_from_its_peers(self):
+        """It serves the same keys as its peers."""
 
-        async def story():
+        async def scenario():
             made = await _world()
             made.store.go_down()
             await made.add_daemon("e3", *PLACES[0])
             status, _ = await made.call("e3", "GET", f"/{KEYED}/k1")
             assert status == 200
 
-        virtual.run(story())
+        virtual.run(scenario())
--- a/tests/entry/test_router.py
+++ b/tests/entry/test_router.py
@@ -1,4 +1,4 @@
-"""Tests of routing under faults, in memory and under virtual time."""
+"""Tests of request routing under faults, in memory and in virtual time."""
 
 import asyncio
 import collections
@@ -67,8 +67,8 @@
     )
 
 
-async def _crash_in_run(made, service, method, path):
-    """Sends a request and kills its target once it runs there."""
+async def _crash_while_running(made, service, method, path):
+    """Sends a request and crashes its target while the request runs."""
     for target in made.targets.values():
         target.service_time = 1.0
     call = asyncio.create_task(_send(made, method, path))
@@ -81,103 +81,109 @@
     return await call
 
 
-class TestTargetDiesInTheRun:
-    """A target dies while it runs a request; no answer comes.
+class TestTargetCrashesWhileRunning:
+    """A target crashes while it runs a request, so no response arrives.
 
-    A letter may have been taken, so it must not be sent again by itself; a
-    page that an editor reads may simply be read from another target.
+    A submission may have been stored and must not be retried automatically. A
+    read may be retried at another target.
     """
 
     @pytest.mark.parametrize("service", [KEYED, PLAIN])
-    def test_submission_runs_once_and_its_caller_hears_perhaps(self, service):
-        """The refusal says that it may have run and must not be repeated."""
+    def test_submission_runs_once_and_is_reported_as_perhaps(self, service):
+        """The error says that it may have run and must not be retried."""
 
-        async def story():
+        async def scenario():
             made = await _world()
             path = f"/{service}/k1"
-            response, told = await _crash_in_run(made, service, "POST", path)
+            response, body = await _crash_while_running(
+                made, service, "POST", path
+            )
             await virtual.pause(5.0)
             assert response.status == 502
-            assert (told["ran"], told["retry"]) == ("perhaps", False)
+            assert (body["ran"], body["retry"]) == ("perhaps", False)
             assert "retry-after" not in dict(response.headers)
             assert _executions(made, path) == 1
 
-        virtual.run(story())
+        virtual.run(scenario())
 
     @pytest.mark.parametrize("service", [KEYED, PLAIN])
-    def test_reading_is_answered_by_another_target(self, service):
-        """The caller notices nothing but a short delay."""
+    def test_read_is_served_by_another_target(self, service):
+        """The caller only observes a short delay."""
 
-        async def story():
+        async def scenario():
             made = await _world()
             path = f"/{service}/k1"
-            response, told = await _crash_in_run(made, service, "GET", path)
+            response, body = await _crash_while_running(
+                made, service, "GET", path
+            )
             assert response.status == 200
-            assert not made.targets[told["target"]].crashed
+            assert not made.targets[body["target"]].crashed
             assert _executions(made, path) == 2
 
-        virtual.run(story())
+        virtual.run(scenario())
 
-    def test_reading_without_budget_may_be_repeated_by_its_caller(self):
-        """The answer comes at once and says when."""
+    def test_read_without_budget_may_be_retried_by_its_caller(self):
+        """The error comes at once, with Retry-After."""
 
-        async def story():
+        async def scenario():
             made = await _world(retry=config.Retry(budget=0.0, burst=0.0))
             path = f"/{PLAIN}/k1"
-            response, told = await _crash_in_run(made, PLAIN, "GET", path)
+            response, body = await _crash_while_running(
+                made, PLAIN, "GET", path
+            )
             assert response.status == 502
-            assert (told["ran"], told["retry"]) == ("perhaps", True)
+            assert (body["ran"], body["retry"]) == ("perhaps", True)
             assert dict(response.headers)["retry-after"] == "1"
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
 class TestNoOwner:
-    """A key's owner is lost and nobody can take its place.
+    """A key's owner has crashed and no other target can take over.
 
-    Its callers hear so after the configured wait, not at their deadline.
+    Its callers get an error after the configured wait, not at their deadline.
     """
 
-    def test_refused_at_once_after_the_configured_wait(self):
-        """With a time after which to try again."""
+    def test_refused_after_the_configured_wait(self):
+        """The error has a Retry-After header."""
 
-        async def story():
+        async def scenario():
             made = await _world(1, retry=config.Retry(owner_wait=0.7))
             made.targets[f"{KEYED}-0"].crash()
             await virtual.pause(3.0)
             began = virtual.now()
-            response, told = await _send(made, "POST", f"/{KEYED}/k1", 30.0)
+            response, body = await _send(made, "POST", f"/{KEYED}/k1", 30.0)
             assert 0.7 <= round(virtual.now() - began, 9) < 0.75
-            assert (told["ran"], told["retry"]) == ("no", True)
+            assert (body["ran"], body["retry"]) == ("no", True)
             assert dict(response.headers)["retry-after"]
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
 class TestDraining:
-    """A target takes no new work although the list does not say so yet."""
+    """A target refuses new requests before the list shows it as draining."""
 
-    def test_work_goes_elsewhere_unnoticed(self):
-        """Every request succeeds, submissions too."""
+    def test_requests_go_to_other_targets(self):
+        """Every request succeeds, including submissions."""
 
-        async def story():
+        async def scenario():
             made = await _world()
             made.targets[f"{PLAIN}-0"].draining = True
             for n in range(20):
-                response, told = await _send(made, "POST", f"/{PLAIN}/{n}")
-                assert response.status == 200, told
-                assert told["target"] != f"{PLAIN}-0"
+                response, body = await _send(made, "POST", f"/{PLAIN}/{n}")
+                assert response.status == 200, body
+                assert body["target"] != f"{PLAIN}-0"
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
 class TestSlots:
-    """Callers send through all entry VMs more than a target can run."""
+    """Callers exceed a target's concurrency limit through all entry VMs."""
 
     def test_no_target_runs_more_than_its_slots(self):
-        """Counted at the targets; every request is answered."""
+        """Concurrency is counted at the target; every request succeeds."""
 
-        async def story():
+        async def scenario():
             made = await _world(1, slots=2)
             target = made.targets[f"{KEYED}-0"]
             target.service_time = 0.1
@@ -195,39 +201,39 @@
             assert statuses == {200: 20}
             assert together == 2
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
-class TestLateAnswer:
-    """A target freezes and the caller's deadline passes."""
+class TestLateResponse:
+    """A target hangs until the caller's deadline expires."""
 
-    def test_told_as_deadline(self):
-        """It may have run."""
+    def test_reported_as_deadline(self):
+        """The error says that the request may have run."""
 
-        async def story():
+        async def scenario():
             made = await _world()
             for target in made.targets.values():
                 target.service_time = 60.0
-            response, told = await _send(made, "POST", f"/{PLAIN}/k", 1.0)
+            response, body = await _send(made, "POST", f"/{PLAIN}/k", 1.0)
             assert response.status == 504
-            assert told["error"] == errors.ErrorKind.DEADLINE.value
-            assert told["ran"] == "perhaps"
+            assert body["error"] == errors.ErrorKind.DEADLINE.value
+            assert body["ran"] == "perhaps"
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
 class TestMemberLimit:
-    """One member sends through all entry VMs more than its limit.
+    """A member exceeds its limit by sending through all entry VMs.
 
-    Each VM sees only a part of it. Without a common count the member would
-    get its limit once from each VM.
+    Each VM observes only a part of the requests. Without a shared limit the
+    member would get its full limit from each VM.
     """
 
     @pytest.mark.parametrize("through", [1, 2])
     def test_limit_holds_over_all_entry_vms(self, through):
-        """What is over it is refused as not run, with Retry-After."""
+        """Requests above the limit are refused as not run, with Retry-After."""
 
-        async def story():
+        async def scenario():
             document = _document(slots=100)
             member = config.Member(concurrency=8)
             made = await _world(
@@ -261,11 +267,11 @@
             ]
             assert in_use == [{}, {}]
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
-def _killer(made, path):
-    """Makes a request stop every target that runs it."""
+def _crash_on(made, path):
+    """Makes the request to a path crash every target that runs it."""
 
     def observe(run):
         if run.path == path:
@@ -275,27 +281,27 @@
         target.observer = observe
 
 
-class TestRequestThatKills:
-    """One request stops each target that runs it; its caller sends it again.
+class TestRequestThatCrashesTargets:
+    """A request crashes each target that runs it, and its caller retries it.
 
-    Without a memory of it, one caller takes down the whole service.
+    Without a quarantine, one caller can crash all targets of a service.
     """
 
-    def test_third_send_is_refused_wherever_it_comes(self):
-        """It did not run, and the dump shows why."""
+    def test_third_send_is_refused_by_every_entry_vm(self):
+        """It is refused as not run, and the dump shows the crashes."""
 
-        async def story():
+        async def scenario():
             made = await _world(5)
             path = f"/{PLAIN}/bad"
-            _killer(made, path)
+            _crash_on(made, path)
             for vm in ("e0", "e1"):
-                response, told = await _send(made, "POST", path, vm=vm)
-                assert told["ran"] == "perhaps"
+                response, body = await _send(made, "POST", path, vm=vm)
+                assert body["ran"] == "perhaps"
                 await virtual.pause(2.0)
             for vm in ("e0", "e1"):
-                response, told = await _send(made, "POST", path, vm=vm)
-                assert told["error"] == "quarantined"
-                assert told["ran"] == "no"
+                response, body = await _send(made, "POST", path, vm=vm)
+                assert body["error"] == "quarantined"
+                assert body["ran"] == "no"
                 assert int(dict(response.headers)["retry-after"]) > 800
             assert _executions(made, path) == 2
             dumps = [
@@ -304,35 +310,35 @@
             ]
             assert [len(dump["deaths"]) for dump in dumps] == [2, 2]
 
-        virtual.run(story())
+        virtual.run(scenario())
 
-    def test_routers_own_retries_stop_as_well(self):
-        """An idempotent one stops two targets, not three."""
+    def test_router_retries_stop_too(self):
+        """An idempotent request crashes two targets, not three."""
 
-        async def story():
+        async def scenario():
             made = await _world(5, retry=config.Retry(attempts=5))
             path = f"/{PLAIN}/bad"
-            _killer(made, path)
-            _, told = await _send(made, "GET", path)
+            _crash_on(made, path)
+            _, body = await _send(made, "GET", path)
             assert _executions(made, path) == 2
-            assert told["ran"] == "perhaps"
+            assert body["ran"] == "perhaps"
 
-        virtual.run(story())
+        virtual.run(scenario())
 
-    def test_new_entry_vm_learns_it_and_operators_clear_it(self):
-        """A patch clears deaths up to a configuration number."""
+    def test_new_entry_vm_gets_the_history_and_operators_clear_it(self):
+        """A patch clears crashes up to a configuration number."""
 
-        async def story():
+        async def scenario():
             made = await _world(5)
             path = f"/{PLAIN}/bad"
-            _killer(made, path)
+            _crash_on(made, path)
             for _ in range(2):
                 await _send(made, "POST", path)
                 await virtual.pause(2.0)
             await made.add_daemon("e2", *PLACE)
             await virtual.pause(6.0)
-            _, told = await _send(made, "POST", path, vm="e2")
-            assert told["error"] == "quarantined"
+            _, body = await _send(made, "POST", path, vm="e2")
+            assert body["error"] == "quarantined"
             dump = made.daemons["e2"].find("quarantine").dump()
             (request,) = dump["refused_seconds"]
             cleared = config.Quarantine(cleared={request: 1})
@@ -344,35 +350,35 @@
             response, _ = await _send(made, "POST", path, vm="e2")
             assert response.status == 200
 
-        virtual.run(story())
+        virtual.run(scenario())
 
-    def test_caller_that_gives_up_is_no_death(self):
-        """A slow request whose deadline passes twice is not held back."""
+    def test_expired_deadline_is_no_crash(self):
+        """A slow request that expires repeatedly is not quarantined."""
 
-        async def story():
+        async def scenario():
             made = await _world()
             for target in made.targets.values():
                 target.service_time = 60.0
             for _ in range(3):
-                _, told = await _send(made, "POST", f"/{PLAIN}/slow", 1.0)
-                assert told["error"] == "deadline"
+                _, body = await _send(made, "POST", f"/{PLAIN}/slow", 1.0)
+                assert body["error"] == "deadline"
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
 class TestSecondSendDidNotRun:
-    """A reading's answer is lost, and its second send finds no target.
+    """A read's response is lost, and its retry finds no target.
 
-    The first send may have run, so "not run" would be a lie.
+    The first attempt may have run, so "not run" would be wrong.
     """
 
-    def test_told_as_perhaps(self):
-        """The caller may still repeat it, for it is idempotent."""
+    def test_reported_as_perhaps(self):
+        """The caller may still retry it, as it is idempotent."""
 
-        async def story():
+        async def scenario():
             made = await _world(1)
             path = f"/{KEYED}/k1"
-            _, told = await _crash_in_run(made, KEYED, "GET", path)
-            assert (told["ran"], told["retry"]) == ("perhaps", True)
+            _, body = await _crash_while_running(made, KEYED, "GET", path)
+            assert (body["ran"], body["retry"]) == ("perhaps", True)
 
-        virtual.run(story())
+        virtual.run(scenario())
--- a/tests/entry/test_tls.py
+++ b/tests/entry/test_tls.py
@@ -1,4 +1,4 @@
-"""Tests of TLS by settings, with certificates made here."""
+"""Tests of the TLS settings, with generated certificates."""
 
 import asyncio
 import datetime
@@ -28,7 +28,7 @@
 
 
 def _write(directory, name):
-    """Writes a certificate of its own authority; returns its settings."""
+    """Writes a self-signed certificate and returns its settings."""
     key = ec.generate_private_key(ec.SECP256R1())
     subject = x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, name)])
     address = x509.IPAddress(ipaddress.ip_address(rig.HOST))
@@ -65,8 +65,8 @@
     await send({"type": "http.response.body", "body": reply})
 
 
-async def _shown(port):
-    """Returns the common name that a server shows."""
+async def _served_name(port):
+    """Returns the common name of a server's certificate."""
     context = ssl.create_default_context()
     context.check_hostname = False
     context.verify_mode = ssl.CERT_NONE
@@ -78,43 +78,43 @@
 
 
 class TestReload:
-    """A certificate runs out and is replaced while the daemon runs.
+    """A certificate is replaced before it expires, while the daemon runs.
 
-    With a restart for each, callers would be cut off; without a reload they
-    would be refused from its last day on.
+    A restart would disconnect callers. Without a reload, their connections
+    would fail once the certificate has expired.
     """
 
-    def test_new_connections_get_the_new_one(self, tmp_path):
-        """One that does not fit its key yet changes nothing."""
+    def test_new_connections_get_the_new_certificate(self, tmp_path):
+        """A certificate that does not match its key yet is not loaded."""
 
-        async def story():
+        async def scenario():
             files = _write(tmp_path, "first")
             service = _tls.TlsService(settings.TlsSection(callers=files))
             await service.start(None)
             listener = await serving.listen(
                 _ok, rig.HOST, 0, 1.0, tls=service.server("callers")
             )
-            shown = [await _shown(listener.port)]
+            served = [await _served_name(listener.port)]
             key = (tmp_path / "key.pem").read_bytes()
             _write(tmp_path, "second")
             new_key = (tmp_path / "key.pem").read_bytes()
             (tmp_path / "key.pem").write_bytes(key)
-            service.renew()
-            shown.append(await _shown(listener.port))
+            service.reload()
+            served.append(await _served_name(listener.port))
             (tmp_path / "key.pem").write_bytes(new_key)
-            service.renew()
-            shown.append(await _shown(listener.port))
+            service.reload()
+            served.append(await _served_name(listener.port))
             listener.abort()
             await listener.stop()
             await service.stop()
-            return shown, service.dump()
+            return served, service.dump()
 
-        shown, dump = asyncio.run(story())
-        assert shown == ["first", "first", "second"]
+        served, dump = asyncio.run(scenario())
+        assert served == ["first", "first", "second"]
         assert dump == {"sides": ["callers"]}
 
-    def test_missing_file_stops_the_start(self, tmp_path):
-        """Serving in the clear instead would show what must stay hidden."""
+    def test_missing_file_fails_the_start(self, tmp_path):
+        """Serving in plain text instead would expose confidential data."""
         files = settings.TlsSettings(str(tmp_path / "a"), str(tmp_path / "b"))
         service = _tls.TlsService(settings.TlsSection(callers=files))
         with pytest.raises(OSError, match="No such file"):
@@ -122,13 +122,13 @@
 
 
 class TestPeers:
-    """Entry VMs speak TLS to each other if the settings say so."""
+    """Entry VMs use TLS between each other if configured."""
 
     @pytest.mark.parametrize("trusted", [True, False])
-    def test_only_known_authorities_are_spoken_to(self, tmp_path, trusted):
-        """A stranger's certificate is refused before anything is sent."""
+    def test_only_trusted_certificates_are_accepted(self, tmp_path, trusted):
+        """An untrusted certificate is refused before anything is sent."""
 
-        async def story():
+        async def scenario():
             (tmp_path / "other").mkdir()
             theirs = _tls.Side(_write(tmp_path, "e1"))
             files = _write(tmp_path / "other", "stranger")
@@ -158,14 +158,14 @@
             await listener.stop()
             return sent
 
-        sent = asyncio.run(story())
+        sent = asyncio.run(scenario())
         if trusted:
             assert sent.ok() == messages.Ack("e1")
         else:
             assert sent.err().answer.ran.value == "no"
 
     def test_peers_side_needs_an_authority(self, tmp_path):
-        """Without it, peers could not be told from strangers."""
+        """Without it, peers could not be authenticated."""
         path = tmp_path / "settings.toml"
         path.write_text(
             '[vm]\nid="e"\nregion="r"\nzone="z"\n[platform]\n'
