--- a/packages/mimosastile-core/src/mimosastile_core/gateway/demand.py
+++ b/packages/mimosastile-core/src/mimosastile_core/gateway/demand.py
@@ -1,9 +1,9 @@
-"""What all VMs have under way and waiting at each target.
+"""Sums of the requests in progress and waiting at each target, of all VMs.
 
-A leader with a hundred VMs takes some two hundred reports a second and answers
-each with what the others have at hundreds of targets. Adding all reports up
-for every answer was most of its processor time; here a report changes what
-its VM had before, and nothing else.
+A leader of a hundred VMs receives some two hundred reports a second and
+responds to each with the other VMs' counts at hundreds of targets. Adding up
+all reports for every response took most of its processor time. Here a report
+only replaces its VM's former counts in the sums.
 """
 
 from collections.abc import Container
@@ -15,20 +15,20 @@
 
 from mimosastile_core.gateway import directory
 
-_ENTER_SHARE = 1.0
-"""Requests at a target, under way and wanted, per slot, above which it gets a
-gate: from then on some of them wait."""
-_LEAVE_SHARE = 0.5
-"""The same below which it loses it."""
+_GATE_ABOVE_SHARE = 1.0
+"""A target gets an admission gate above this number of requests per slot, in
+progress and waiting: from then on some of them wait."""
+_GATE_BELOW_SHARE = 0.5
+"""The same below which a target loses its gate."""
 
 
-class _Share(msgspec.Struct):
-    """What one VM reported.
+class _Report(msgspec.Struct):
+    """The report of one VM.
 
     Attributes:
-        under_way: Requests under way by target.
-        wanted: These and the waiting ones.
-        at: When.
+        under_way: Requests in progress by target.
+        wanted: Requests in progress and waiting by target.
+        at: Time of the report.
     """
 
     under_way: dict[str, int]
@@ -39,129 +39,144 @@
 class Demand:
     """Sums over the last reports of all VMs."""
 
-    __slots__ = ("_contended", "_fresh", "_shares", "_totals", "_under_way")
+    __slots__ = (
+        "_contended",
+        "_reports",
+        "_under_way",
+        "_valid_seconds",
+        "_wanted",
+    )
 
-    def __init__(self, fresh: float) -> None:
-        """Makes an empty one.
+    def __init__(self, valid_seconds: float) -> None:
+        """Makes empty sums.
 
         Args:
-            fresh: Seconds for which a report counts.
+            valid_seconds: Seconds for which a report counts.
         """
-        self._fresh = fresh
-        self._shares: dict[str, _Share] = {}
+        self._valid_seconds = valid_seconds
+        self._reports: dict[str, _Report] = {}
         self._under_way: dict[str, int] = {}
         self._contended: set[str] = set()
-        self._totals: dict[str, int] = {}
+        self._wanted: dict[str, int] = {}
 
-    def take(
+    def record(
         self,
         vm: str,
         under_way: Mapping[str, int],
         waiting: Mapping[str, int],
         now: float,
     ) -> None:
-        """Takes a VM's report in place of its last one."""
+        """Replaces a VM's last report."""
         self._drop(vm)
         wanted = dict(under_way)
         for target, count in waiting.items():
             wanted[target] = wanted.get(target, 0) + count
-        self._shares[vm] = _Share(dict(under_way), wanted, now)
-        _add(self._under_way, under_way.items())
-        _add(self._totals, wanted.items())
-        self._forget_silent(now)
+        self._reports[vm] = _Report(dict(under_way), wanted, now)
+        _add_counts(self._under_way, under_way.items())
+        _add_counts(self._wanted, wanted.items())
+        self._drop_expired(now)
 
-    def busy(
-        self, vm: str, zone: str, known: directory.Directory
+    def busy_counts(
+        self, vm: str, zone: str, targets: directory.Directory
     ) -> dict[str, int]:
-        """Returns what other VMs have under way at targets that are busy.
+        """Returns the requests of other VMs at targets that are busy.
 
-        Below half of a target's slots it does not matter to anyone's choice;
-        in other zones, only whether a slot is free.
+        Targets of the VM's own zone count as busy from half of their slots on;
+        fewer requests do not influence the choice of a target. In other zones
+        all slots must be taken.
 
         Args:
-            vm: The VM that is told.
+            vm: The VM that receives the counts.
             zone: Its availability zone.
-            known: The targets.
+            targets: The targets.
         """
-        share = self._shares.get(vm)
-        own = share.under_way if share else {}
-        found = {}
+        report = self._reports.get(vm)
+        own = report.under_way if report else {}
+        counts = {}
         for name, total in self._under_way.items():
             count = total - own.get(name, 0)
-            entry = known.get(name)
+            entry = targets.get(name)
             if not count or entry is None or name in self._contended:
-                # Whoever wants a contended one asks its gate.
+                # VMs ask a contended target's gate and need no count.
                 continue
             factor = 2 if entry.target.zone == zone else 1
             if count * factor >= entry.target.slots:
-                found[name] = count
-        return found
+                counts[name] = count
+        return counts
 
     def gates(
         self,
         vms: Iterable[tuple[str, str]],
         regions: Mapping[str, str],
         keyed: Container[str],
-        known: directory.Directory,
+        targets: directory.Directory,
         bounded: Iterable[str] = (),
     ) -> dict[str, str]:
-        """Returns the VMs that admit requests to contended or bounded targets.
+        """Returns the admission gates of contended and rate-limited targets.
 
-        It stands as near to the target as there are VMs. A target stays
-        contended until much less is asked of it, so that VMs do not go back
-        and forth between asking a gate and sending by themselves.
+        A gate is a VM as near to the target as possible. A target stays
+        contended until its load is much lower. This keeps VMs from switching
+        back and forth between using a gate and sending directly.
 
         Args:
-            vms: Addresses of those that report, each with its zone.
+            vms: Addresses of the VMs that report, each with its zone.
             regions: Region of each zone.
-            keyed: Services that are divided by key. A request for another one
-                goes where there is room, and asks nobody.
-            known: The targets.
-            bounded: Targets whose rate is bounded over all VMs.
+            keyed: Services whose targets own ranges of keys. Requests of other
+                services go to any target with capacity and need no gate.
+            targets: The targets.
+            bounded: Targets with a limit on the rate of all VMs.
         """
-        able = list(vms)
+        candidates = list(vms)
         contended = set()
-        for name, total in self._totals.items():
-            entry = known.get(name)
+        for name, total in self._wanted.items():
+            entry = targets.get(name)
             if entry is None or entry.target.service not in keyed:
                 continue
-            share = _LEAVE_SHARE if name in self._contended else _ENTER_SHARE
+            share = (
+                _GATE_BELOW_SHARE
+                if name in self._contended
+                else _GATE_ABOVE_SHARE
+            )
             if total > entry.target.slots * share:
                 contended.add(name)
         self._contended = contended
-        found = {}
+        gates = {}
         for name in contended.union(bounded):
-            entry = known.get(name)
-            if entry is not None and able:
+            entry = targets.get(name)
+            if entry is not None and candidates:
                 zone = entry.target.zone
-                found[name] = min(
-                    able,
+                gates[name] = min(
+                    candidates,
                     key=lambda vm, zone=zone, name=name: (  # type: ignore[misc]
                         vm[1] != zone,
                         regions.get(vm[1]) != regions.get(zone),
                         zlib.crc32(f"{vm[0]}/{name}".encode()),
                     ),
                 )[0]
-        return found
+        return gates
 
-    def _forget_silent(self, now: float) -> None:
-        silent = [
+    def _drop_expired(self, now: float) -> None:
+        expired = [
             vm
-            for vm, share in self._shares.items()
-            if now - share.at >= self._fresh
+            for vm, report in self._reports.items()
+            if now - report.at >= self._valid_seconds
         ]
-        for vm in silent:
+        for vm in expired:
             self._drop(vm)
 
     def _drop(self, vm: str) -> None:
-        share = self._shares.pop(vm, None)
-        if share is None:
+        report = self._reports.pop(vm, None)
+        if report is None:
             return
-        _add(self._under_way, ((t, -c) for t, c in share.under_way.items()))
-        _add(self._totals, ((t, -c) for t, c in share.wanted.items()))
+        _add_counts(
+            self._under_way, ((t, -c) for t, c in report.under_way.items())
+        )
+        _add_counts(self._wanted, ((t, -c) for t, c in report.wanted.items()))
 
 
-def _add(sums: dict[str, int], counts: Iterable[tuple[str, int]]) -> None:
+def _add_counts(
+    sums: dict[str, int], counts: Iterable[tuple[str, int]]
+) -> None:
     for name, count in counts:
         total = sums.get(name, 0) + count
         if total:
--- a/packages/mimosastile-entry/src/mimosastile_entry/_calls.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_calls.py
@@ -108,7 +108,7 @@
     if failure.wait:
         headers.append(("retry-after", str(failure.wait)))
     return ports.Response(
-        failure.answer.status, tuple(headers), _single_chunk(body)
+        failure.response.status, tuple(headers), _single_chunk(body)
     )
 
 
--- a/packages/mimosastile-entry/src/mimosastile_entry/_gating.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_gating.py
@@ -81,7 +81,7 @@
             # Cancelled while sending; the target may still run it.
             admitted.leave(answered=False)
     if isinstance(sent, result.Err):
-        admitted.leave(sent.err_value.answer.ran is errors.Ran.NO)
+        admitted.leave(sent.err_value.response.ran is errors.Ran.NO)
         return sent
     sent.ok_value.body = admitted.relay_body(sent.ok_value.body)
     sent.ok_value.on_close(admitted.close)
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/daemon.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/daemon.py
@@ -238,7 +238,7 @@
         """Starts the listeners and the background services."""
         vm = self._settings.vm
         peers_address = await self._peer_server.listen(vm.peers)
-        self._membership.listens_on(peers_address)
+        self._membership.set_address(peers_address)
         try:
             await self._channel.open(peers_address, self._admission.receive)
         except OSError as error:
@@ -403,7 +403,7 @@
             self._pool.trim(_MAX_IDLE_SECONDS)
             self._order_pool.trim(_MAX_IDLE_SECONDS)
             targets = [entry.target.id for entry in self._cluster.directory]
-            self._balancer.forget_except(targets)
+            self._balancer.retain(targets)
 
     def _log_traffic(self) -> None:
         """Logs the bytes of the gateway's own calls since the start."""
@@ -451,7 +451,7 @@
             **{name: age for name, age in ages.items() if age is not None},
             "configuration_version": max(state.version, 0),
             "ready": self.ready,
-            "leading": self._leader_role.leading,
+            "leading": self._leader_role.is_leader,
             "store_reached": state.store_ok,
             "log_lines_dropped": self._events.dropped,
             "connections_opened": self._pool.opened,
@@ -485,7 +485,7 @@
     ) -> msgspec.Struct | None:
         if path == messages.REPORT_PATH:
             report = messages.decode(body, messages.Report)
-            return self._leader_role.take_report(report)
+            return self._leader_role.handle_report(report)
         if path == messages.ASSIGN_PATH:
             pushed = messages.decode(body, messages.ReportReply)
             self._membership.apply_push(pushed)
@@ -494,10 +494,10 @@
             return await self._membership.relay(
                 messages.decode(body, messages.Relay)
             )
-        if path == messages.HEARD_PATH:
+        if path == messages.LEADER_CONTACT_PATH:
             return self._membership.leader_contact()
         if path == messages.EXTEND_PATH:
-            return await self._leader_role.witness.answer(
+            return await self._leader_role.witness.handle_request(
                 messages.decode(body, messages.ExtensionRequest)
             )
         return None
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/forwarding.py
@@ -149,7 +149,9 @@
         """Returns the response to a caller's request."""
         classified = self._classify(incoming)
         if _is_unrouted(classified) and not self._configuration_is_current():
-            await self._membership.ask_leader(_LEADER_QUERY_TIMEOUT_SECONDS)
+            await self._membership.report_and_wait(
+                _LEADER_QUERY_TIMEOUT_SECONDS
+            )
             classified = self._classify(incoming)
             if (
                 _is_unrouted(classified)
@@ -240,13 +242,13 @@
             retry_age = self._retry_ages.setdefault(
                 route.name, caller_retries.RetryAge()
             )
-            call.prior_retry_seconds = retry_age.tried_for(
+            call.prior_retry_seconds = retry_age.estimate(
                 int(deadline_header) / 1000
             )
         key = incoming.header(names.key)
         if service.keyed and _is_key(key):
             call.key = int(key or b"0")
-            self._membership.asked(service.name, call.key)
+            self._membership.record_request(service.name, call.key)
         call.header_lines = [
             name + b": " + value
             for name, value in incoming.headers
@@ -300,7 +302,7 @@
     def _may_retry(self, call: pending.Call, failure: errors.Failure) -> bool:
         """Whether to send again after a failure; spends the retry budget."""
         now = self._clock.now()
-        maybe_ran = failure.answer.ran is not errors.Ran.NO
+        maybe_ran = failure.response.ran is not errors.Ran.NO
         call.maybe_ran = call.maybe_ran or maybe_ran
         if call.incoming.disconnected:
             # The request was not cancelled, as it may have run. Its caller has
@@ -566,7 +568,7 @@
         load = self._balancer.load(target.id)
         if isinstance(sent, result.Ok):
             self._crashes.record_response(target.id)
-            self._membership.answered(target.id)
+            self._membership.record_response(target.id)
             response = sent.ok_value
             if response.status < 500 and response.body_stream is None:
                 self._balancer.answered(
@@ -583,7 +585,7 @@
             return
         failure = sent.err_value
         if failure.kind is errors.ErrorKind.TARGET_REPLACED:
-            self._membership.ended(target)
+            self._membership.record_end(target)
         elif failure.kind is errors.ErrorKind.WRONG_FENCE:
             call.reject_count += 1
             if call.key is not None:
@@ -645,7 +647,7 @@
         incoming: http_server.Request,
         failure: errors.Failure,
     ) -> http_server.Response:
-        if failure.answer.router_retries and not failure.retry_after:
+        if failure.response.router_retries and not failure.retry_after:
             failure = errors.Failure(
                 failure.kind,
                 failure.detail,
@@ -667,7 +669,7 @@
             path=incoming.target.decode("latin-1"),
             key=call.key if call else None,
             kind=kind,
-            status=failure.answer.status,
+            status=failure.response.status,
             why=failure.detail,
             sends=call.send_count if call else 0,
             took_ms=_to_milliseconds(elapsed),
@@ -680,10 +682,12 @@
         ]
         if attempt:
             headers.append((self._header_names.attempt, attempt))
-        if failure.answer.ran is errors.Ran.NO and failure.wait:
+        if failure.response.ran is errors.Ran.NO and failure.wait:
             headers.append((b"retry-after", b"%g" % failure.wait))
-        text = failure.answer.text.encode() + b"\n"
-        return http_server.Response(failure.answer.status, tuple(headers), text)
+        text = failure.response.text.encode() + b"\n"
+        return http_server.Response(
+            failure.response.status, tuple(headers), text
+        )
 
 
 def _final_failure(
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/load_probing.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/load_probing.py
@@ -129,7 +129,7 @@
     ) -> None:
         load = self._balancer.load(target.id)
         if failure.kind is errors.ErrorKind.ANSWER_LOST:
-            load.silent(self._clock.now())
+            load.load_report_missed(self._clock.now())
         else:
             load.unreachable(self._clock.now())
         self._events.write(
--- a/tests/entry/test_client.py
+++ b/tests/entry/test_client.py
@@ -81,7 +81,7 @@
 
         sent = asyncio.run(scenario())
         assert sent.err().kind is errors.ErrorKind.UNREACHABLE
-        assert sent.err().answer.ran is errors.Ran.NO
+        assert sent.err().response.ran is errors.Ran.NO
 
 
 class TestAddedHeaders:
--- a/tests/entry/test_connections.py
+++ b/tests/entry/test_connections.py
@@ -157,7 +157,7 @@
 
         failure, after, connections = asyncio.run(scenario())
         assert failure.kind is errors.ErrorKind.ANSWER_LOST
-        assert failure.answer.ran is errors.Ran.PERHAPS
+        assert failure.response.ran is errors.Ran.PERHAPS
         assert after == [b"ok"]
         assert connections == 3
 
@@ -244,7 +244,7 @@
 
         failure = asyncio.run(scenario()).err()
         assert failure.kind is errors.ErrorKind.DEADLINE
-        assert failure.answer.ran is errors.Ran.PERHAPS
+        assert failure.response.ran is errors.Ran.PERHAPS
 
     def test_expired_deadline_sends_nothing(self):
         """The error says that the request did not run."""
@@ -255,7 +255,7 @@
                 rig.sender(peer.port) as (made, vm),
             ):
                 sent = await rig.send(made, vm, seconds=0)
-                return sent.err().answer.ran, peer.connections
+                return sent.err().response.ran, peer.connections
 
         assert asyncio.run(scenario()) == (errors.Ran.NO, 0)
 
--- a/tests/entry/test_guard.py
+++ b/tests/entry/test_guard.py
@@ -127,7 +127,7 @@
                 request = ports.Request("POST", "/s/1", deadline=deadline)
                 return await peers.forward(vm, request)
 
-        assert runner.run(scenario()).err().answer.ran.value == "no"
+        assert runner.run(scenario()).err().response.ran.value == "no"
         assert len(app.reached) == before
 
     @pytest.mark.parametrize(
--- a/tests/gateway/fleet.py
+++ b/tests/gateway/fleet.py
@@ -1,7 +1,7 @@
-"""Whole VMs with a leader, targets and callers, under virtual time.
+"""Simulated fleet of VMs, targets and callers, under virtual time.
 
-Everything between sockets is real: forwarding, placing, admission, reports and
-the leader's decisions. Targets and the ways between VMs are fakes.
+All code between the sockets is real: forwarding, placement, admission, reports
+and the leader's decisions. Targets and the network between VMs are fakes.
 """
 
 import asyncio
@@ -34,12 +34,20 @@
 from tests.gateway import links
 
 KEYED, PLAIN = "s", "p"
-_WAY = 0.002
-"""Seconds between VMs, and between a VM and a target."""
+_DELAY_SECONDS = 0.002
+"""One-way delay between VMs, and between a VM and a target."""
 
 
 class Arrival(msgspec.Struct, frozen=True):
-    """A request that has reached a target."""
+    """A request that has arrived at a target.
+
+    Attributes:
+        at: Time of arrival in seconds.
+        vm: Name of the VM that forwarded it.
+        key: Its key, None without one.
+        path: Its path.
+        sent: Time at which the caller sent it, in seconds.
+    """
 
     at: float
     vm: str
@@ -49,17 +57,20 @@
 
 
 class Target:
-    """One target.
+    """A fake target.
 
     Attributes:
         id: Its identifier.
-        address: Where it registers itself, if that is in the store.
-        born: Its run.
-        says: Headers of all its answers.
-        rejects: Whether it rejects requests, without running them.
-        work: Seconds of a run.
-        arrivals: Requests that have reached it.
-        passed: When each VM got an answer, with what it said.
+        address: Its registered address, empty if it is not in the store.
+        service: Name of its service.
+        born: Start time that identifies its incarnation.
+        extra_headers: Headers that it adds to all its responses.
+        rejects: Whether it rejects requests without running them.
+        runs: Whether rejections lack the header that states this.
+        work: Duration of a request in seconds.
+        slots: Number of requests that it runs at a time.
+        arrivals: Requests that have arrived.
+        responses: Time, VM and headers of each response received by a VM.
     """
 
     def __init__(self, name, service, orders, *, work=0.05, slots=4):
@@ -67,25 +78,25 @@
         self.address = ""
         self.service = service
         self.born = 1
-        self.says = {}
+        self.extra_headers = {}
         self.rejects = False
         self.runs = True
         self.work = work
         self.slots = slots
         self.arrivals = []
-        self.passed = []
+        self.responses = []
         self._orders = orders
         self._running = asyncio.Semaphore(slots)
 
     @property
     def registration(self):
-        """How it registers itself."""
+        """Its registration, as decoded from the store."""
         return fakes.target(
             self.id, self.service, born=self.born, slots=self.slots
         )
 
     def record(self, *, leaving=False):
-        """Returns its registration as the store holds it."""
+        """Returns its registration as encoded in the store."""
         return msgspec.json.encode(
             {
                 "ServiceName": self.service,
@@ -98,22 +109,26 @@
         )
 
     async def handle(self, vm, path, key, sent):
-        """Answers a request; returns status and headers."""
-        said = [(n.encode(), v.encode()) for n, v in self.says.items()]
+        """Handles a request; returns status and headers."""
+        response_headers = [
+            (n.encode(), v.encode()) for n, v in self.extra_headers.items()
+        ]
         if path == "/health":
-            return 200, said
+            return 200, response_headers
         now = virtual.now()
         self.arrivals.append(Arrival(now, vm, key, path, sent))
         keyed = self.service == KEYED and key is not None
         if keyed and self.id not in self._orders.holders(key):
-            return 421, [*said, (b"x-not-executed", b"1")]
+            return 421, [*response_headers, (b"x-not-executed", b"1")]
         if self.rejects:
             not_run = [(b"x-not-executed", b"1")] if not self.runs else []
-            return 503, [*said, *not_run, (b"x-server-seal", b"s")]
+            return 503, [*response_headers, *not_run, (b"x-server-seal", b"s")]
         async with self._running:
             await asyncio.sleep(self.work)
-        said = [(n.encode(), v.encode()) for n, v in self.says.items()]
-        return 200, [*said, (b"x-server-seal", b"s")]
+        response_headers = [
+            (n.encode(), v.encode()) for n, v in self.extra_headers.items()
+        ]
+        return 200, [*response_headers, (b"x-server-seal", b"s")]
 
 
 class _Connection:
@@ -123,17 +138,17 @@
         self._fleet = fleet
         self._vm = vm
         self._target = target
-        self._answer = None
+        self._response_task = None
         self.reusable = True
 
     def start(self, data, echo=None, *, no_body=False):
         """Sends a request."""
         reply = http_client.IncomingResponse(reused=False)
         first, *lines = data.partition(b"\r\n\r\n")[0].decode().split("\r\n")
-        named = dict(line.lower().split(": ", 1) for line in lines)
-        key = named.get("x-shard-key")
-        sent = float(named.get("x-sent", 0.0))
-        self._answer = asyncio.create_task(
+        request_headers = dict(line.lower().split(": ", 1) for line in lines)
+        key = request_headers.get("x-shard-key")
+        sent = float(request_headers.get("x-sent", 0.0))
+        self._response_task = asyncio.create_task(
             self._exchange(
                 reply,
                 first.split(" ")[1],
@@ -144,28 +159,32 @@
         return reply
 
     async def _exchange(self, reply, path, key, sent):
-        await asyncio.sleep(_WAY)
-        status, said = await self._target.handle(self._vm, path, key, sent)
-        await asyncio.sleep(_WAY)
-        reply.status, reply.headers = status, said
+        await asyncio.sleep(_DELAY_SECONDS)
+        status, response_headers = await self._target.handle(
+            self._vm, path, key, sent
+        )
+        await asyncio.sleep(_DELAY_SECONDS)
+        reply.status, reply.headers = status, response_headers
         reply.complete = True
-        self._target.passed.append((virtual.now(), self._vm, dict(said)))
+        self._target.responses.append(
+            (virtual.now(), self._vm, dict(response_headers))
+        )
 
     async def wait_complete(self, reply, most):
-        """Waits for the answer."""
-        await self._answer
+        """Waits for the response."""
+        await self._response_task
 
     def abort(self):
-        """Ends it."""
-        if self._answer is not None:
-            self._answer.cancel()
+        """Cancels the request."""
+        if self._response_task is not None:
+            self._response_task.cancel()
 
     def close(self):
-        """Ends it."""
+        """Closes the connection."""
 
 
 class _Pool:
-    """One VM's connections."""
+    """One VM's pool of connections to targets."""
 
     def __init__(self, fleet, vm):
         self._fleet = fleet
@@ -179,11 +198,11 @@
         return _Connection(self._fleet, self._vm, target)
 
     def release(self, connection, address):
-        """Takes a connection back."""
+        """Returns a connection to the pool."""
 
 
 class _Channel:
-    """One VM's way to its peers."""
+    """One VM's connections to its peers."""
 
     def __init__(self, fleet, here):
         self._fleet = fleet
@@ -194,41 +213,43 @@
         vm = self._fleet.reaches(self._here, address)
         if vm is not None:
             loop = asyncio.get_running_loop()
-            loop.call_later(_WAY, vm.admission.receive, self._here, message)
+            loop.call_later(
+                _DELAY_SECONDS, vm.admission.receive, self._here, message
+            )
 
     async def call(self, address, path, body, timeout, *, fresh=False):
-        """Makes a call."""
+        """Calls a peer; returns its response, None after a timeout."""
         link = self._fleet.link
         if link is None or not self._fleet.apart(self._here, address):
-            await asyncio.sleep(_WAY)
+            await asyncio.sleep(_DELAY_SECONDS)
             vm = self._fleet.reaches(self._here, address)
             if vm is None:
                 await asyncio.sleep(timeout)
                 return None
-            answer = await vm.answer(path, body)
-            await asyncio.sleep(_WAY)
-            return answer
-        ways = ("back", "there")
+            response = await vm.answer(path, body)
+            await asyncio.sleep(_DELAY_SECONDS)
+            return response
+        directions = ("back", "there")
         if self._fleet.zone_of(self._here) != "z":
-            ways = ("there", "back")
+            directions = ("there", "back")
         try:
             async with asyncio.timeout(timeout):
-                await link.carry(len(body) + 250, path, ways[0])
+                await link.carry(len(body) + 250, path, directions[0])
                 vm = self._fleet.reaches(self._here, address)
                 while vm is None:
                     await asyncio.sleep(timeout)
-                answer = await vm.answer(path, body)
+                response = await vm.answer(path, body)
                 if path == messages.REPORT_PATH:
                     await asyncio.sleep(self._fleet.report_seconds)
-                size = len(answer or b"") + 150
-                await link.carry(size, f"{path} answered", ways[1])
-                return answer
+                size = len(response or b"") + 150
+                await link.carry(size, f"{path} answered", directions[1])
+                return response
         except TimeoutError:
             return None
 
 
 class Vm:
-    """One VM."""
+    """One VM with all parts of its daemon."""
 
     def __init__(self, fleet, name):
         base = fakes.configured(settle=0.1, settle_most=0.2)
@@ -244,7 +265,7 @@
                 region=place.region,
             ),
         )
-        timer, self.log = fleet.clock, fakes.Lines()
+        timer, self.log = fleet.clock, fakes.MemoryEvents()
         self.name = name
         self.zone = zone
         self.cluster = cluster_state.ClusterState(configured, timer, self.log)
@@ -256,14 +277,14 @@
         self.balancer = load_balancing.LoadBalancer(
             place, base.vm.regions, configured.rooms
         )
-        store = fakes.Cut(fleet.store)
+        store = fakes.FaultyProxy(fleet.store)
         if fleet.link is not None and zone != "z":
             store = links.FarStore(fleet.store, fleet.link)
         self.store = store
         channel = _Channel(fleet, name)
         boot = f"boot-{name}-{fleet.started}"
         fleet.started += 1
-        self.leading = leader_role.LeaderRole(
+        self.leader_role = leader_role.LeaderRole(
             configured,
             boot,
             store,
@@ -281,25 +302,25 @@
             timer,
             self.log,
         )
-        queues, crashes = (
+        queues, detector = (
             wait_queues.WaitQueues(),
             crash_detection.CrashDetector(),
         )
         self.admission = admission_service.AdmissionService(
             configured, channel, self.cluster, timer
         )
-        self.peers = membership.Membership(
+        self.membership = membership.Membership(
             configured,
             boot,
             store,
             channel,
             self.cluster,
             self.balancer,
-            self.leading,
+            self.leader_role,
             queues,
             self.admission,
             self.watcher,
-            crashes,
+            detector,
             timer,
             self.log,
         )
@@ -308,7 +329,7 @@
             configured,
             self.cluster,
             self.balancer,
-            self.peers,
+            self.membership,
             queues,
             self.admission,
             timer,
@@ -320,65 +341,68 @@
                 self.log,
             ),
         )
-        self.forwarding = forwarding.Forwarder(
+        self.forwarder = forwarding.Forwarder(
             configured,
             headers.NAMES,
             headers.read_target_feedback,
             pool,
             self.cluster,
             self.balancer,
-            self.peers,
+            self.membership,
             self.dispatcher,
-            crashes,
+            detector,
             metrics.Metrics({}),
             timer,
             self.log,
         )
-        self.peers.listens_on(name)
+        self.membership.set_address(name)
         if fleet.watched:
             self.watcher.start()
-        self.peers.start()
+        self.membership.start()
 
     async def answer(self, path, body):
-        """Answers a peer's call."""
+        """Handles a peer's call; returns the response."""
         if path == messages.ASSIGN_PATH:
-            self.peers.apply_push(messages.decode(body, messages.ReportReply))
+            self.membership.apply_push(
+                messages.decode(body, messages.ReportReply)
+            )
             return messages.encode(messages.UpdateAck())
         if path == messages.REPORT_PATH:
             report = messages.decode(body, messages.Report)
-            return messages.encode(self.leading.take_report(report))
-        if path == messages.HEARD_PATH:
-            return messages.encode(self.peers.leader_contact())
+            return messages.encode(self.leader_role.handle_report(report))
+        if path == messages.LEADER_CONTACT_PATH:
+            return messages.encode(self.membership.leader_contact())
         if path == messages.RELAY_PATH:
             relay = messages.decode(body, messages.Relay)
-            return messages.encode(await self.peers.relay(relay))
+            return messages.encode(await self.membership.relay(relay))
         if path == messages.EXTEND_PATH:
             request = messages.decode(body, messages.ExtensionRequest)
-            return messages.encode(await self.leading.witness.answer(request))
+            return messages.encode(
+                await self.leader_role.witness.handle_request(request)
+            )
         return None
 
     def end(self):
-        """Ends it as a kill would."""
-        self.leading.step_down("end")
+        """Stops the daemon as a kill would."""
+        self.leader_role.step_down("end")
         self.watcher.stop()
-        self.peers.abort()
+        self.membership.abort()
 
 
 class Fleet:
     """VMs, targets and callers.
 
     Attributes:
-        vms: By name, which is their address as well.
-        targets: By identifier.
+        vms: VMs by name, which is also their address.
+        targets: Targets by identifier.
         cut: Pairs of VMs that do not reach each other.
-        statuses: How many answers callers got, by status.
-        refusals: Retry-After of all refusals.
-        watched: Whether VMs learn configuration and targets from the store;
-            they know the first ones from the start otherwise.
-        report_seconds: Time that an answer to a report from beyond the link
-            takes.
-        link: The link between zone `z`, where the store is, and all others;
-            None for one without a bound.
+        statuses: Number of responses to callers, by status.
+        refusals: Retry-After values of all responses that refused a request.
+        watched: Whether VMs read the configuration and the targets from the
+            store; otherwise these are set when a VM starts.
+        report_seconds: Processing time of a report that arrives over the link.
+        link: The link between zone `z`, where the store is, and all other
+            zones; None for one of unlimited bandwidth.
     """
 
     def __init__(
@@ -404,13 +428,13 @@
         self.cut = set()
         self.statuses = collections.Counter()
         self.refusals = []
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.targets = {}
         for service, count in ((KEYED, keyed), (PLAIN, plain)):
             for number in range(count):
                 name = f"{service}{number}"
-                made = Target(name, service, self.orders, **target)
-                self.targets[name] = made
+                added = Target(name, service, self.orders, **target)
+                self.targets[name] = added
         self.configuration = _configuration()
         if watched:
             self.write_configuration(2)
@@ -430,7 +454,7 @@
         return self._zones[int(name.removeprefix("vm-")) % len(self._zones)]
 
     def apart(self, here, address):
-        """Whether a link lies between two VMs."""
+        """Whether the link is between two VMs."""
         return (self.zone_of(here) == "z") != (self.zone_of(address) == "z")
 
     def target_at(self, address):
@@ -441,12 +465,12 @@
         return None
 
     def write_configuration(self, version, extra=0):
-        """Has operators write a version; returns when.
+        """Writes a configuration as an operator would; returns when.
 
         Args:
-            version: The version.
-            extra: Number of routes besides those to the two services; all of
-                them are new with each version.
+            version: Version of the configuration.
+            extra: Number of routes in addition to those to the two services;
+                all of them are new in each version.
         """
         rules = [(name, name, f"/{name}/") for name in (KEYED, PLAIN)]
         rules += [
@@ -469,40 +493,40 @@
         return self.store.put("op/config", msgspec.json.encode(written))
 
     def leave(self, target):
-        """Has a target register that it leaves; returns when."""
+        """Registers a target as leaving; returns when."""
         return self.store.put(
             f"servers/{target.id}", target.record(leaving=True)
         )
 
     def reaches(self, here, address):
-        """Returns a VM if another one reaches it."""
+        """Returns the VM at an address, None if `here` does not reach it."""
         if (here, address) in self.cut or (address, here) in self.cut:
             return None
         return self.vms.get(address)
 
     def isolate(self, *names):
-        """Cuts VMs off from all others and from the store."""
+        """Partitions VMs from all other VMs and from the store."""
         for name in names:
             self.vms[name].store.failing = fakes.UNAVAILABLE
             self.cut.update((name, other) for other in self.vms)
 
     def rejoin(self, *names):
-        """Ends the isolation of VMs."""
+        """Ends the partition of VMs."""
         for name in names:
             self.vms[name].store.failing = None
             self.cut -= {(name, other) for other in self.vms}
 
     def apply_target(self, registration):
-        """Has all VMs hear of a registration."""
+        """Applies a registration on all VMs."""
         for vm in self.vms.values():
             vm.cluster.apply_target(registration)
 
     def leader(self):
         """Returns the VM that leads."""
-        return next(vm for vm in self.vms.values() if vm.leading.leading)
+        return next(vm for vm in self.vms.values() if vm.leader_role.is_leader)
 
     def end(self):
-        """Ends all VMs."""
+        """Stops all VMs."""
         for vm in self.vms.values():
             vm.end()
 
@@ -527,36 +551,39 @@
         """Has callers send requests at random times.
 
         Args:
-            seconds: For how long.
-            rate: Requests a second.
-            path: `/k` for keys, `/p` for others.
+            seconds: Duration.
+            rate: Requests per second.
+            path: `/s` for the sharded service, `/p` for the other one.
             key: Draws a key; None for requests without one.
-            vms: Names of the VMs that get them; all if empty.
+            vms: Names of the VMs that receive requests; all if empty.
+
+        Returns:
+            The tasks of all requests.
         """
-        ends = virtual.now() + seconds
-        asked = []
-        while (wait := self.chance.expovariate(rate)) + virtual.now() < ends:
+        deadline = virtual.now() + seconds
+        tasks = []
+        while (wait := self.rng.expovariate(rate)) + virtual.now() < deadline:
             await asyncio.sleep(wait)
-            name = self.chance.choice(sorted(vms or self.vms))
+            name = self.rng.choice(sorted(vms or self.vms))
             if name in self.vms:
-                drawn = key(self.chance) if key is not None else None
-                asked.append(asyncio.create_task(self.ask(name, path, drawn)))
-        await asyncio.sleep(max(ends - virtual.now(), 0.0))
-        return asked
+                drawn = key(self.rng) if key is not None else None
+                tasks.append(asyncio.create_task(self.ask(name, path, drawn)))
+        await asyncio.sleep(max(deadline - virtual.now(), 0.0))
+        return tasks
 
     async def ask(self, name, path, key=None, deadline_ms=2000):
-        """Makes one request."""
+        """Sends one request to a VM; returns its response."""
         now = virtual.now()
         incoming = http_server.Request("GET", f"{path}/".encode(), now)
         incoming.headers = [
             (b"host", b"h"),
-            (b"x-attempt-id", b"a%d" % self.chance.randrange(1 << 40)),
+            (b"x-attempt-id", b"a%d" % self.rng.randrange(1 << 40)),
             (b"x-deadline-ms", b"%d" % deadline_ms),
             (b"x-sent", b"%f" % now),
         ]
         if key is not None:
             incoming.headers.append((b"x-shard-key", b"%d" % key))
-        answer = await self.vms[name].forwarding.handle(incoming)
+        answer = await self.vms[name].forwarder.handle(incoming)
         self.statuses[answer.status] += 1
         named = dict(answer.headers)
         if answer.status == 503 and b"x-server-seal" not in named:
@@ -578,9 +605,9 @@
     }
 
 
-def any_key(chance):
-    """Draws any key."""
-    return chance.randrange(65536)
+def any_key(rng):
+    """Draws a uniformly distributed key."""
+    return rng.randrange(65536)
 
 
 def _configuration():
--- a/tests/gateway/test_admission_service.py
+++ b/tests/gateway/test_admission_service.py
@@ -32,10 +32,12 @@
 
     def join(self, address, slots=1, admitted=0):
         """Adds a VM whose cluster view holds one target."""
-        timer, log = fakes.VirtualClock(), fakes.Lines()
+        timer, log = fakes.VirtualClock(), fakes.MemoryEvents()
         gateway_settings = fakes.configured()
         gateway_settings.rooms = load_balancing.Policy(admitted=admitted)
-        cluster = fakes.known(timer, log, fakes.target("a", slots=slots))
+        cluster = fakes.new_cluster_state(
+            timer, log, fakes.target("a", slots=slots)
+        )
         service = admission_service.AdmissionService(
             gateway_settings, FakeChannel(self, address), cluster, timer
         )
--- a/tests/gateway/test_key_rates.py
+++ b/tests/gateway/test_key_rates.py
@@ -1,4 +1,4 @@
-"""Decaying counts of requests by key."""
+"""Tests of the decaying request counts."""
 
 import pytest
 
@@ -6,13 +6,13 @@
 
 
 class TestDecay:
-    """What is counted."""
+    """Decay of the counts."""
 
     @pytest.mark.parametrize(
         ("after", "left"), [(0.0, 1.0), (2.0, 0.3679), (20.0, 4.5e-5)]
     )
     def test_exponential(self, after, left):
-        """A count falls by the time constant."""
+        """A count decays by the time constant."""
         counts = key_rates.KeyRates(2.0, 0.0)
         counts.add([7], 0.0)
         found = counts.counts(after).get(7, 0.0)
@@ -25,14 +25,14 @@
             counts.add([3, 3], step / 100)
         assert counts.counts(40.0)[3] == pytest.approx(400, rel=0.02)
 
-    def test_long_run_stays_bounded(self):
+    def test_bounded_over_days(self):
         """After days without a restart neither numbers nor memory grow."""
         counts = key_rates.KeyRates(1.0, 0.0)
         for step in range(2000):
             counts.add([step], step * 10.0)
         assert len(counts.counts(20_000.0)) < 10
 
-    def test_clock_that_stands_still_or_goes_back(self):
+    def test_clock_that_stops_or_goes_back(self):
         """A late report does not make counts grow."""
         counts = key_rates.KeyRates(1.0, 10.0)
         counts.add([1], 9.0)
--- a/tests/gateway/test_reload.py
+++ b/tests/gateway/test_reload.py
@@ -31,7 +31,7 @@
         """
 
         async def main():
-            log = fakes.Lines()
+            log = fakes.MemoryEvents()
             gateway = _daemon(log)
             state = gateway._cluster
             new = fakes.configured()
@@ -51,7 +51,7 @@
         """A new store address is logged to apply at the next start."""
 
         async def main():
-            log = fakes.Lines()
+            log = fakes.MemoryEvents()
             gateway = _daemon(log)
             new = fakes.configured()
             new.store = msgspec.structs.replace(new.store, address="x:1")
--- a/tests/gateway/test_warmup.py
+++ b/tests/gateway/test_warmup.py
@@ -1,4 +1,4 @@
-"""The rate of cold targets."""
+"""Tests of the request rate of cold targets."""
 
 import itertools
 import math
@@ -29,7 +29,7 @@
 
 
 class TestSendRate:
-    """One VM that is the only sender."""
+    """The only sender of a cold target."""
 
     @pytest.mark.parametrize(
         ("rate", "sent", "now", "expected"),
@@ -43,35 +43,35 @@
         ],
     )
     def test_wait(self, rate, sent, now, expected):
-        """Guards against more in a second than a cold target tolerates."""
-        made = warmup.SendRate()
+        """Guards against a higher rate than a cold target tolerates."""
+        send_rate = warmup.SendRate()
         for at in sent:
-            made.note("t", at)
-        assert made.wait("t", rate, now) == pytest.approx(expected)
+            send_rate.record("t", at)
+        assert send_rate.wait("t", rate, now) == pytest.approx(expected)
 
-    def test_targets_that_are_warm_are_forgotten(self):
+    def test_warm_targets_are_dropped(self):
         """Memory does not grow with the targets that were ever cold."""
-        made = warmup.SendRate()
+        send_rate = warmup.SendRate()
         for number in range(10_000):
-            made.note(f"t{number}", number * 0.1)
-        assert len(made._sent) <= 128
+            send_rate.record(f"t{number}", number * 0.1)
+        assert len(send_rate._sent) <= 128
 
 
 class TestOnlySender:
-    """A leader names one VM for each cold target."""
+    """A leader names one sender for each cold target."""
 
     @pytest.mark.parametrize("vms", [12, 88, 600])
-    def test_one_vm_for_a_cold_target(self, vms):
+    def test_one_sender_for_a_cold_target(self, vms):
         """Guards against a rate that adds up over all VMs."""
-        known = directory.Directory(1.0, 0.3)
-        known.put(
+        targets = directory.Directory(1.0, 0.3)
+        targets.put(
             fakes.target("t"),
             0.0,
         )
-        able = [(f"vm-{n}", "z" if n % 4 else "y") for n in range(vms)]
-        named = demand.Demand(1.5).gates(able, {}, (), known, ["t"])
-        assert list(named) == ["t"]
-        assert named["t"] in {vm for vm, zone in able if zone == "z"}
+        candidates = [(f"vm-{n}", "z" if n % 4 else "y") for n in range(vms)]
+        gates = demand.Demand(1.5).gates(candidates, {}, (), targets, ["t"])
+        assert list(gates) == ["t"]
+        assert gates["t"] in {vm for vm, zone in candidates if zone == "z"}
 
     @hypothesis.settings(max_examples=200, deadline=None)
     @hypothesis.given(
@@ -88,29 +88,29 @@
         wanted=[(2.0, 0)] * 3 + [(1.5, 0), (1.5, 0), (1.5, 3)],
         replaced=[0.0, 2.0],
     )
-    def test_senders_that_are_replaced(self, wanted, replaced):
-        """Guards against two senders in one second exceeding the bound.
+    def test_replaced_senders(self, wanted, replaced):
+        """Guards against two senders that exceed the bound in one second.
 
-        A VM vanishes with sends on their way, or goes on for as long as what
-        it knows of its leader counts.
+        A VM fails with requests in transit, or continues as the sender until
+        its last update from the leader expires.
         """
         changes = sorted(replaced)
-        # A leader names another VM when reports of the one before are missing,
-        # which takes longer than a second.
+        # A leader replaces the sender when its reports are missing, which takes
+        # longer than a second.
         changes = [
             at
             for at, before in zip(changes, [-math.inf, *changes], strict=False)
             if at - before > 1.5
         ]
-        rates = [warmup.SendRate() for _ in range(len(changes) + 1)]
+        send_rates = [warmup.SendRate() for _ in range(len(changes) + 1)]
         sent = []
         for at, behind in sorted(wanted):
             present = sum(change <= at for change in changes)
-            # One that has not heard of the change yet sends as before.
+            # A VM that has not received the change yet sends as before.
             stale = max(present - (behind > 2), 0)
             for sender in {present, stale}:
-                if not rates[sender].wait("t", RATE, at):
-                    rates[sender].note("t", at)
+                if not send_rates[sender].wait("t", RATE, at):
+                    send_rates[sender].record("t", at)
                     sent.append((at, sender))
         assert _most_in_a_second([at for at, _ in sent]) <= BOUND
         for begin, _ in sent:
@@ -121,10 +121,10 @@
 
 
 class TestColdness:
-    """When a target counts as cold."""
+    """Whether a target is cold."""
 
     @pytest.mark.parametrize(
-        ("registered", "said", "zone", "now", "expected"),
+        ("registered", "reported", "zone", "now", "expected"),
         [
             (0.0, 0.0, 0.0, 1.0, 0.0),
             (4.0, 0.0, 0.0, 1.0, 3.0),
@@ -134,23 +134,25 @@
             (2.0, 3.0, 3.0, 4.0, 0.0),
         ],
     )
-    def test_latest_word_counts(self, registered, said, zone, now, expected):
-        """Guards against a cold target that one of its sources calls warm."""
-        known = directory.Directory(1.0, 0.3)
+    def test_latest_end_of_warm_up_applies(
+        self, registered, reported, zone, now, expected
+    ):
+        """Guards against a cold target that one of three sources calls warm."""
+        targets = directory.Directory(1.0, 0.3)
         target = fakes.target("t", warm_at=registered)
-        known.put(target, 0.0)
-        known.record_cold("t", said, 0.0)
-        known.mark_zone_cold("z", {"s": zone}, 0.0)
-        known.mark_zone_cold("y", {"s": 99.0}, 0.0)
-        known.mark_zone_cold("z", {"other": 99.0}, 0.0)
-        assert known.warm_in("t", now) == expected
-
-    def test_it_becomes_cold_again(self):
-        """Guards against a target that is cold again without a new start."""
-        known = directory.Directory(1.0, 0.3)
+        targets.put(target, 0.0)
+        targets.record_cold("t", reported, 0.0)
+        targets.mark_zone_cold("z", {"s": zone}, 0.0)
+        targets.mark_zone_cold("y", {"s": 99.0}, 0.0)
+        targets.mark_zone_cold("z", {"other": 99.0}, 0.0)
+        assert targets.warm_in("t", now) == expected
+
+    def test_cold_again_without_a_restart(self):
+        """Guards against a target that becomes cold without a restart."""
+        targets = directory.Directory(1.0, 0.3)
         for revision, warm_at in enumerate(itertools.chain([0.0], [9.0]), 1):
-            known.put(
+            targets.put(
                 fakes.target("t", warm_at=warm_at, revision=revision),
                 6.0,
             )
-        assert known.warm_in("t", 6.0) == 3.0
+        assert targets.warm_in("t", 6.0) == 3.0
