--- a/packages/mimosastile-entry/src/mimosastile_entry/_fleet.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_fleet.py
@@ -128,7 +128,9 @@
 
     def apply(self, listing: messages.Listing) -> bool:
         """Applies a peer's newer listing; returns whether the list changed."""
-        return self._notify_if(self._listings.receive(listing, self._clock.now()))
+        return self._notify_if(
+            self._listings.receive(listing, self._clock.now())
+        )
 
     def _notify_if(self, changed: bool) -> bool:
         if changed:
