--- a/packages/mimosastile-standins/src/mimosastile_standins/deployments.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/deployments.py
@@ -1,4 +1,4 @@
-"""Deployments that scenarios and measures run on, as data."""
+"""Definitions of the deployments that scenarios and measurements run on."""
 
 import itertools
 
@@ -10,13 +10,13 @@
 _HOST = "127.0.0.1"
 
 
-class Placed(msgspec.Struct, frozen=True):
-    """An availability zone and its entry VMs.
+class ZoneEntries(msgspec.Struct, frozen=True):
+    """An availability zone and the number of its entry VMs.
 
     Attributes:
         region: The region.
         zone: The zone.
-        entries: How many entry VMs stand there.
+        entries: Number of entry VMs in the zone.
     """
 
     region: str
@@ -28,7 +28,7 @@
     """A service and its targets.
 
     Attributes:
-        targets: How many targets it has, dealt out over the zones in turn.
+        targets: Number of targets, distributed round robin over the zones.
         service: Its configuration.
     """
 
@@ -37,18 +37,18 @@
 
 
 class Deployment(msgspec.Struct, frozen=True):
-    """A whole deployment.
+    """Zones, services and members of a deployment, with network latencies.
 
     Attributes:
-        zones: The zones; the platform stands in the first one's region.
+        zones: The zones; the platform is located in the first one's region.
         backends: The services by name.
         members: The members by name.
-        in_zone: Seconds one way within a zone.
-        between_zones: Seconds one way between zones of a region.
-        between_regions: Seconds one way between regions.
+        in_zone: One-way latency within a zone, in seconds.
+        between_zones: One-way latency between zones of a region, in seconds.
+        between_regions: One-way latency between regions, in seconds.
     """
 
-    zones: tuple[Placed, ...]
+    zones: tuple[ZoneEntries, ...]
     backends: dict[str, Backend]
     members: dict[str, config.Member]
     in_zone: float = 0.0002
@@ -56,12 +56,12 @@
     between_regions: float = 0.012
 
     def document(self) -> config.Document:
-        """Returns the configuration of all services and members."""
+        """Returns the configuration document of all services and members."""
         services = {n: b.service for n, b in self.backends.items()}
         return config.Document(services=services, members=self.members)
 
     def vms(self) -> list[fleet.Vm]:
-        """Returns all VMs, targets first."""
+        """Returns all VMs, targets before entry VMs."""
         targets = [
             fleet.Vm(
                 f"{name}-{i}",
@@ -111,8 +111,8 @@
 
 SMALL = Deployment(
     zones=(
-        Placed("kontinent", "zagreb-a", 2),
-        Placed("primorje", "split-a", 2),
+        ZoneEntries("kontinent", "zagreb-a", 2),
+        ZoneEntries("primorje", "split-a", 2),
     ),
     backends={
         "citaonica": Backend(4, _keyed(4, 120, 12)),
@@ -120,14 +120,14 @@
     },
     members={"vjesnik": config.Member(), "glas": config.Member()},
 )
-"""Two zones in two regions; enough for most faults and fast to run."""
+"""Two zones in two regions: enough for most faults, and fast."""
 
 UREDNISTVO = Deployment(
     zones=(
-        Placed("kontinent", "zagreb-a", 3),
-        Placed("kontinent", "osijek-a", 3),
-        Placed("primorje", "split-a", 3),
-        Placed("primorje", "rijeka-a", 2),
+        ZoneEntries("kontinent", "zagreb-a", 3),
+        ZoneEntries("kontinent", "osijek-a", 3),
+        ZoneEntries("primorje", "split-a", 3),
+        ZoneEntries("primorje", "rijeka-a", 2),
     ),
     backends={
         "citaonica": Backend(18, _keyed(4, 120, 144)),
@@ -136,14 +136,14 @@
     },
     members={"vjesnik": config.Member(), "glas": config.Member()},
 )
-"""The letters-to-the-editor desks at full size."""
+"""The deployment of the letters-to-the-editor desks at full size."""
 
 CONSORTIUM = Deployment(
     zones=(
-        Placed("khulna", "khulna-a", 3),
-        Placed("khulna", "khulna-b", 3),
-        Placed("chattogram", "ctg-a", 3),
-        Placed("chattogram", "ctg-b", 2),
+        ZoneEntries("khulna", "khulna-a", 3),
+        ZoneEntries("khulna", "khulna-b", 3),
+        ZoneEntries("chattogram", "ctg-a", 3),
+        ZoneEntries("chattogram", "ctg-b", 2),
     ),
     backends={
         "catchbook": Backend(20, _keyed(2, 130, 160)),
@@ -153,11 +153,11 @@
     members={"padma": config.Member(), "meghna": config.Member()},
     between_zones=0.001,
 )
-"""The exporters' label platform at full size."""
+"""The deployment of the exporters' label platform at full size."""
 
 DEPLOYMENTS = {
     "small": SMALL,
     "urednistvo": UREDNISTVO,
     "consortium": CONSORTIUM,
 }
-"""Deployments by the name that scenarios give."""
+"""Deployments by their name in scenario files."""
--- a/packages/mimosastile-standins/src/mimosastile_standins/loss_cases.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/loss_cases.py
@@ -1,4 +1,4 @@
-"""The losses that are measured, and the tables that are printed of them."""
+"""Defines the measured faults and prints tables of their results."""
 
 import asyncio
 from collections.abc import Iterator
@@ -14,80 +14,80 @@
 from mimosastile_standins import world
 
 _LISTED_SECONDS = 2.0
-"""How long the list goes on to name a lost VM in these cases."""
+"""How long the VM list still contains a crashed VM in these cases."""
 _FROZEN_SECONDS = 3.0
 _SLOW_STORE_SECONDS = 0.5
 
 
-async def crash_target(made: world.World, target: str) -> None:
-    """A target dies; later the list drops its VM."""
-    made.targets[target].crash()
+async def crash_target(simulation: world.World, target: str) -> None:
+    """Crashes a target; 2 s later the VM list drops its VM."""
+    simulation.targets[target].crash()
     await virtual.pause(_LISTED_SECONDS)
-    made.fleet.remove(target)
+    simulation.fleet.remove(target)
 
 
-async def freeze_target(made: world.World, target: str) -> None:
-    """A target freezes and later thaws as if nothing had happened."""
-    made.targets[target].freeze()
+async def freeze_target(simulation: world.World, target: str) -> None:
+    """Freezes a target and thaws it 3 s later with its state intact."""
+    simulation.targets[target].freeze()
     await virtual.pause(_FROZEN_SECONDS)
-    made.targets[target].thaw()
+    simulation.targets[target].thaw()
 
 
-async def cut_target(made: world.World, target: str) -> None:
-    """A target and its keeper lose each other; all else is well."""
-    made.network.cut({target}, {losses.keeper_of(made, target)})
+async def cut_target(simulation: world.World, target: str) -> None:
+    """Cuts only the connection between a target and its keeper."""
+    simulation.network.cut({target}, {losses.keeper_of(simulation, target)})
 
 
-async def restart_target(made: world.World, target: str) -> None:
-    """A target restarts and has forgotten everything."""
-    made.targets[target].restart()
+async def restart_target(simulation: world.World, target: str) -> None:
+    """Restarts a target, which loses all state."""
+    simulation.targets[target].restart()
     await asyncio.sleep(0)
 
 
-async def leave_target(made: world.World, target: str) -> None:
-    """A target is on the leaving list."""
-    made.fleet.leave(target)
+async def leave_target(simulation: world.World, target: str) -> None:
+    """Marks a target as leaving in the VM list."""
+    simulation.fleet.leave(target)
     await asyncio.sleep(0)
 
 
-async def lose_keeper(made: world.World, target: str) -> None:
-    """A target's keeper dies; later the list drops its VM."""
-    keeper = losses.keeper_of(made, target)
-    made.kill_daemon(keeper)
+async def lose_keeper(simulation: world.World, target: str) -> None:
+    """Crashes a target's keeper; 2 s later the VM list drops its VM."""
+    keeper = losses.keeper_of(simulation, target)
+    simulation.kill_daemon(keeper)
     await virtual.pause(_LISTED_SECONDS)
-    made.fleet.remove(keeper)
+    simulation.fleet.remove(keeper)
 
 
-async def stop_keeper(made: world.World, target: str) -> None:
-    """A target's keeper is stopped gracefully."""
-    keeper = losses.keeper_of(made, target)
-    await made.stop_daemon(keeper)
-    made.fleet.remove(keeper)
+async def stop_keeper(simulation: world.World, target: str) -> None:
+    """Stops a target's keeper gracefully."""
+    keeper = losses.keeper_of(simulation, target)
+    await simulation.stop_daemon(keeper)
+    simulation.fleet.remove(keeper)
 
 
-async def replace_entries(made: world.World, target: str) -> None:
-    """All entry VMs of the target's zone are replaced one after another."""
-    zone = _zone_of(made, target)
-    listed = made.fleet.read(virtual.now())
+async def replace_entries(simulation: world.World, target: str) -> None:
+    """Replaces all entry VMs of the target's zone, one after another."""
+    zone = _zone_of(simulation, target)
+    listed = simulation.fleet.read(virtual.now())
     old = [
         vm for vm in listed if vm.role is fleet.Role.ENTRY and vm.zone == zone
     ]
     for number, vm in enumerate(old):
-        await made.add_daemon(f"fresh-{number}", vm.region, zone)
+        await simulation.add_daemon(f"fresh-{number}", vm.region, zone)
         await virtual.pause(0.6)
-        made.fleet.leave(vm.id)
-        await made.stop_daemon(vm.id)
-        made.fleet.remove(vm.id)
+        simulation.fleet.leave(vm.id)
+        await simulation.stop_daemon(vm.id)
+        simulation.fleet.remove(vm.id)
 
 
-async def slow_store(made: world.World, target: str) -> None:
-    """Each call of the store takes long, and a target dies."""
-    made.store.latency = _SLOW_STORE_SECONDS
-    await crash_target(made, target)
+async def slow_store(simulation: world.World, target: str) -> None:
+    """Slows every store call to 0.5 s and crashes a target."""
+    simulation.store.latency = _SLOW_STORE_SECONDS
+    await crash_target(simulation, target)
 
 
-def _zone_of(made: world.World, name: str) -> str:
-    listed = made.fleet.read(virtual.now())
+def _zone_of(simulation: world.World, name: str) -> str:
+    listed = simulation.fleet.read(virtual.now())
     return next(vm.zone for vm in listed if vm.id == name)
 
 
@@ -106,14 +106,14 @@
     grants.Timing(ttl=1.2, renew=0.3, timeout=0.6),
     grants.Timing(ttl=2.4, renew=0.6, timeout=1.2),
 )
-_PAUSES = (0.2, 0.4, 0.8)
-_MOVED_KEYS = 3
-"""Few enough that the slots of the targets that are left suffice."""
+_PAUSE_SECONDS = (0.2, 0.4, 0.8)
+_MOVED_KEY_COUNT = 3
+"""Few enough for the concurrency slots of the remaining targets."""
 
 
 def _paused(seconds: float) -> losses.Fault:
-    async def pause(made: world.World, target: str) -> None:
-        process = made.process(losses.keeper_of(made, target))
+    async def pause(simulation: world.World, target: str) -> None:
+        process = simulation.process(losses.keeper_of(simulation, target))
         process.pause()
         await virtual.pause(seconds)
         process.resume()
@@ -122,15 +122,17 @@
 
 
 def report_abilities(seed: int) -> None:
-    """Prints what each loss costs by the targets' abilities."""
-    say = _printing.say
-    say("longest time without service of a key / requests refused / sent")
+    """Prints unavailability and refusals by fault and target ability."""
+    print_line = _printing.say
+    print_line(
+        "longest time without service of a key / requests refused / sent"
+    )
     names = " | ".join(name for name, _, _ in _ABILITIES)
-    say(f"| loss | {names} |")
-    say("|---|" + "---|" * len(_ABILITIES))
+    print_line(f"| loss | {names} |")
+    print_line("|---|" + "---|" * len(_ABILITIES))
     for fault in (*_PLANNED, *_UNPLANNED, *_KEEPERS):
         cells = " | ".join(_cells(fault, seed))
-        say(f"| {fault.__name__.replace('_', ' ')} | {cells} |")
+        print_line(f"| {fault.__name__.replace('_', ' ')} | {cells} |")
 
 
 def _cells(fault: losses.Fault, seed: int) -> Iterator[str]:
@@ -152,45 +154,50 @@
 
 
 def report_timings(seed: int) -> None:
-    """Prints the trade of time to live, renewal, drift and pauses."""
-    say = _printing.say
-    say("longest time without service of a key")
-    pauses = " | ".join(f"keeper paused {p} s" for p in _PAUSES)
-    say(f"| ttl, renew, drift | target frozen | {pauses} | renewals/s |")
-    say("|---|---|" + "---|" * (len(_PAUSES) + 1))
+    """Prints unavailability by time to live, renewal, drift and pause."""
+    print_line = _printing.say
+    print_line("longest time without service of a key")
+    pauses = " | ".join(f"keeper paused {p} s" for p in _PAUSE_SECONDS)
+    print_line(f"| ttl, renew, drift | target frozen | {pauses} | renewals/s |")
+    print_line("|---|---|" + "---|" * (len(_PAUSE_SECONDS) + 1))
     for timing in _TIMINGS:
-        faults = (freeze_target, *map(_paused, _PAUSES))
+        faults = (freeze_target, *map(_paused, _PAUSE_SECONDS))
         setting = losses.Setting(timing=timing, seconds=5.0)
         cells = " | ".join(
             f"{losses.run(fault, setting, seed).longest:.2f} s"
             for fault in faults
         )
-        say(
+        print_line(
             f"| {timing.ttl} s, {timing.renew} s, {timing.drift} | {cells}"
             f" | {1 / timing.renew:.1f} |"
         )
 
 
 def report_moves(seeds: int) -> None:
-    """Prints how long callers wait for a key during a planned move."""
-    setting = losses.Setting(patient=True, seconds=2.0, keys=_MOVED_KEYS)
+    """Prints callers' response times during planned moves."""
+    setting = losses.Setting(patient=True, seconds=2.0, keys=_MOVED_KEY_COUNT)
     runs = [losses.run(leave_target, setting, seed) for seed in range(seeds)]
     waits = sorted(itertools.chain.from_iterable(r.waited for r in runs))
     _printing.say(
         f"planned move, {len(waits)} keys in {seeds} runs, longest wait of a"
-        f" caller for an answer: p50 {_share(waits, 0.5):.3f} s,"
-        f" p99 {_share(waits, 0.99):.3f} s, max {waits[-1]:.3f} s;"
+        f" caller for an answer: p50 {_percentile(waits, 0.5):.3f} s,"
+        f" p99 {_percentile(waits, 0.99):.3f} s, max {waits[-1]:.3f} s;"
         f" refused {sum(r.refused for r in runs)}"
         f" of {sum(r.sent for r in runs)}"
     )
 
 
-def _share(ranked: list[float], share: float) -> float:
+def _percentile(ranked: list[float], share: float) -> float:
     return ranked[min(len(ranked) - 1, int(share * len(ranked)))]
 
 
 class Report(msgspec.Struct, frozen=True):
-    """Which seeds a report runs with."""
+    """Prints all tables for given seeds.
+
+    Attributes:
+        seed: Seed of the fault and timing tables.
+        move_seeds: Number of runs of the planned move, seeded from 0.
+    """
 
     seed: int = 0
     move_seeds: int = 12
--- a/packages/mimosastile-standins/src/mimosastile_standins/losses.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/losses.py
@@ -1,8 +1,8 @@
-"""Losses in virtual time: how long a key is not served, and by how many.
+"""Measures key unavailability after faults, in virtual time.
 
-Each case starts a small deployment, sends requests for a few keys all the
-time, breaks something and notes for each key the longest time between two
-sends that were answered. The oracle beside it watches every run on a target.
+Each case starts a small deployment, sends requests for a few keys continuously,
+injects a fault and records for each key the longest interval between two
+successful requests. An ownership check observes every execution on a target.
 """
 
 import asyncio
@@ -21,24 +21,24 @@
 from mimosastile_standins import world
 
 KEYED = "citaonica"
-"""The service that cases are run on."""
+"""The service, divided by key, that the cases run on."""
 
 _OK = 200
-_SEND_SECONDS = 0.02
-_PATIENT_SECONDS = 10.0
-_QUICK_SECONDS = 0.2
-_SETTLED_SECONDS = 1.0
+_SEND_INTERVAL_SECONDS = 0.02
+_LONG_TIMEOUT_SECONDS = 10.0
+_SHORT_TIMEOUT_SECONDS = 0.2
+_SETTLE_SECONDS = 1.0
 
 
-class Order:
-    """Watches that a key's runs never go back to a former owner.
+class OwnershipChecker:
+    """Checks that a key's executions never return to a former owner.
 
-    Fences rise with each change of owner. A run under a lower fence than an
-    earlier run of the same key, or on another target under the same fence,
-    means that two targets took themselves for the owner.
+    Fences rise with each change of owner. An execution under a lower fence than
+    an earlier one of the same key, or on another target under the same fence,
+    means that two targets acted as the owner (split brain).
 
     Attributes:
-        violations: One sentence for each.
+        violations: One sentence for each violation.
     """
 
     __slots__ = ("_last", "violations")
@@ -47,8 +47,8 @@
         self._last: dict[int, target.Execution] = {}
         self.violations: list[str] = []
 
-    def note(self, run: target.Execution) -> None:
-        """Takes one run as it begins."""
+    def observe(self, run: target.Execution) -> None:
+        """Checks one execution as it begins."""
         if run.position is None:
             return
         last = self._last.get(run.position, run)
@@ -62,78 +62,81 @@
 
 
 class Probe:
-    """Sends requests for one key at an interval and notes the answers.
+    """Sends requests for one key at an interval and records the responses.
 
     Attributes:
-        answers: When each request was sent, and the status of its answer.
-        longest_wait: Seconds that the slowest whole answer took.
+        answers: Send time and response status of each request.
+        longest_wait: Latency of the slowest complete response, in seconds.
     """
 
     __slots__ = (
-        "_made",
+        "_simulation",
         "_path",
-        "_patience",
+        "_timeout",
         "_pending",
         "answers",
         "longest_wait",
     )
 
-    def __init__(self, made: world.World, key: str, patience: float) -> None:
-        """Makes a probe.
+    def __init__(
+        self, simulation: world.World, key: str, timeout: float
+    ) -> None:
+        """Creates a probe.
 
         Args:
-            made: The deployment.
+            simulation: The simulated deployment.
             key: The key.
-            patience: Seconds that a caller waits for its answer.
+            timeout: Seconds until a request times out.
         """
-        self._made = made
+        self._simulation = simulation
         self._path = f"/{KEYED}/{key}"
-        self._patience = patience
+        self._timeout = timeout
         self._pending: set[asyncio.Task[None]] = set()
         self.answers: list[tuple[float, int]] = []
         self.longest_wait = 0.0
 
     @property
     def refused(self) -> int:
-        """How many requests got no whole answer."""
+        """Number of requests without a complete response."""
         return sum(status != _OK for _, status in self.answers)
 
     async def run(self, seconds: float) -> None:
-        """Sends for some time through the VMs that run, in turn."""
+        """Sends for `seconds` through the running entry VMs in turn."""
         end = virtual.now() + seconds
         for number in itertools.count():
             if virtual.now() >= end:
                 break
             entry = self._entry(number)
             if entry is not None:
-                one = asyncio.create_task(self._send(entry, number))
-                self._pending.add(one)
-                one.add_done_callback(self._pending.discard)
-            await virtual.pause(_SEND_SECONDS)
+                task = asyncio.create_task(self._send(entry, number))
+                self._pending.add(task)
+                task.add_done_callback(self._pending.discard)
+            await virtual.pause(_SEND_INTERVAL_SECONDS)
         await asyncio.gather(*self._pending)
 
     def unavailable(self) -> float:
-        """Returns the longest time between two answered sends, in seconds."""
+        """Returns the longest interval between successes, in seconds."""
         answered = sorted(at for at, status in self.answers if status == _OK)
         if not answered:
             return float("inf")
         ends = (*answered, max(at for at, _ in self.answers))
         pairs = zip(ends, ends[1:], strict=False)
         longest = max((b - a for a, b in pairs), default=0.0)
-        return max(0.0, longest - _SEND_SECONDS)
+        return max(0.0, longest - _SEND_INTERVAL_SECONDS)
 
     def _entry(self, number: int) -> str | None:
-        # The platform's balancer knows which VMs take connections.
-        up = sorted(self._made.daemons)
-        return up[number % len(up)] if up else None
+        # The platform's load balancer sends only to VMs that accept
+        # connections.
+        entries = sorted(self._simulation.daemons)
+        return entries[number % len(entries)] if entries else None
 
     async def _send(self, entry: str, number: int) -> None:
         began = virtual.now()
-        # No two requests are the same: those that are lost with a target
-        # again and again are held back, and that is not what is measured.
+        # Each request has its own path: requests that repeatedly fail with
+        # crashes of a target are quarantined, which is not measured here.
         path = f"{self._path}/{number}"
-        status, _ = await self._made.call(
-            entry, "GET", path, seconds=self._patience
+        status, _ = await self._simulation.call(
+            entry, "GET", path, seconds=self._timeout
         )
         self.answers.append((began, status))
         if status == _OK:
@@ -141,15 +144,16 @@
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """What a case cost.
+    """Measurements of one case.
 
     Attributes:
-        unavailable: Seconds without service by key, most first.
+        unavailable: Unavailable seconds of each key, in descending order.
         sent: Requests sent.
-        refused: Requests without a whole answer.
-        violations: Runs that show two owners; must be empty.
-        store_calls: Calls of the store during the case.
-        waited: Longest wait for a whole answer by key, longest first.
+        refused: Requests without a complete response.
+        violations: Executions that show two owners; must be empty.
+        store_calls: Store calls during the case.
+        waited: Longest response time of each key in seconds, in descending
+            order.
     """
 
     unavailable: tuple[float, ...]
@@ -161,21 +165,21 @@
 
     @property
     def longest(self) -> float:
-        """Seconds without service of the key that had it worst."""
+        """Maximum unavailable seconds over all keys."""
         return self.unavailable[0]
 
 
 class Setting(msgspec.Struct, frozen=True):
-    """What a case runs on.
+    """Parameters of a case.
 
     Attributes:
-        timing: Times of the grant protocol.
-        checks_orders: Ability of the targets.
-        checks_expiry: Ability of the targets.
-        keys: How many keys are probed.
-        patient: Whether callers wait for seconds, as they do for a planned
-            stop; otherwise they give up soon, to show when service is back.
-        seconds: How long the case lasts after the fault began.
+        timing: Timing of the grant protocol.
+        checks_orders: Whether targets refuse requests without a valid grant.
+        checks_expiry: Whether targets refuse requests after a grant expires.
+        keys: Number of probed keys.
+        patient: Whether requests time out after 10 s, for planned stops;
+            otherwise after 0.2 s, to show when service resumes.
+        seconds: How long probes send, in seconds.
     """
 
     timing: grants.Timing = grants.Timing()
@@ -187,11 +191,11 @@
 
 
 Fault = Callable[[world.World, str], Awaitable[None]]
-"""Breaks something; gets the deployment and the target of the first key."""
+"""Injects a fault, given the deployment and the first key's owner."""
 
 
 def deployment(setting: Setting) -> deployments.Deployment:
-    """Returns the small deployment with a setting's service."""
+    """Returns the small deployment with the setting applied to `KEYED`."""
     small = deployments.SMALL
     backend = small.backends[KEYED]
     service = msgspec.structs.replace(
@@ -207,72 +211,80 @@
 
 
 async def start(setting: Setting, seed: int = 0) -> world.World:
-    """Starts the deployment and waits until it serves."""
-    made = world.World(seed)
+    """Starts the deployment and waits one second for it to settle."""
+    simulation = world.World(seed)
     planned = deployment(setting)
     if setting.checks_orders:
-        await made.deploy(planned)
+        await simulation.deploy(planned)
     else:
-        await _deploy_gated(made, planned)
-    for run in made.targets.values():
+        await _deploy_gated(simulation, planned)
+    for run in simulation.targets.values():
         run.checks_orders = setting.checks_orders
         run.checks_expiry = setting.checks_expiry
-    await virtual.pause(_SETTLED_SECONDS)
-    return made
+    await virtual.pause(_SETTLE_SECONDS)
+    return simulation
 
 
 async def _deploy_gated(
-    made: world.World, planned: deployments.Deployment
+    simulation: world.World, planned: deployments.Deployment
 ) -> None:
-    """Starts targets that hold no grants; they need no settling."""
-    await made.configure(planned.document())
+    """Starts targets that hold no grants, without waiting for ownership."""
+    await simulation.configure(planned.document())
     for vm in planned.vms():
         if vm.service:
-            made.add_target(vm.id, vm.service, vm.region, vm.zone)
+            simulation.add_target(vm.id, vm.service, vm.region, vm.zone)
     for vm in planned.vms():
         if not vm.service:
-            await made.add_daemon(vm.id, vm.region, vm.zone)
+            await simulation.add_daemon(vm.id, vm.region, vm.zone)
 
 
-def owner_of(made: world.World, key: str) -> str:
-    """Returns a key's owner as the store has it."""
+def owner_of(simulation: world.World, key: str) -> str:
+    """Returns the target that owns a key, from the stored table."""
     position = keys.key_hash(key)
     return next(
-        piece.owner
-        for block in made.blocks(KEYED)
-        for piece in block.slices
-        if piece.first <= position <= piece.last
+        slice_.owner
+        for block in simulation.blocks(KEYED)
+        for slice_ in block.slices
+        if slice_.first <= position <= slice_.last
     )
 
 
-def keeper_of(made: world.World, name: str) -> str:
-    """Returns the VM that keeps a target as the store has it."""
+def keeper_of(simulation: world.World, name: str) -> str:
+    """Returns a target's keeper, from the stored table.
+
+    The keeper is the entry VM through which alone a target gets requests and
+    grants.
+    """
     return next(
         block.keepers[name].vm
-        for block in made.blocks(KEYED)
+        for block in simulation.blocks(KEYED)
         if name in block.keepers
     )
 
 
 async def _case(fault: Fault, setting: Setting, seed: int) -> Outcome:
-    made = await start(setting, seed)
-    order = Order()
-    for run in made.targets.values():
-        run.observer = order.note
-    patience = _PATIENT_SECONDS if setting.patient else _QUICK_SECONDS
+    simulation = await start(setting, seed)
+    checker = OwnershipChecker()
+    for run in simulation.targets.values():
+        run.observer = checker.observe
+    timeout = (
+        _LONG_TIMEOUT_SECONDS if setting.patient else _SHORT_TIMEOUT_SECONDS
+    )
     names = [f"k{i}" for i in range(setting.keys)]
-    probes = [Probe(made, name, patience) for name in names]
-    before = sum(made.store.calls.values())
+    probes = [Probe(simulation, name, timeout) for name in names]
+    before = sum(simulation.store.calls.values())
     running = [asyncio.create_task(p.run(setting.seconds)) for p in probes]
-    await virtual.pause(5 * _SEND_SECONDS)
-    breaking = asyncio.ensure_future(fault(made, owner_of(made, names[0])))
-    await asyncio.gather(breaking, *running)
+    await virtual.pause(5 * _SEND_INTERVAL_SECONDS)
+    injecting = asyncio.ensure_future(
+        fault(simulation, owner_of(simulation, names[0]))
+    )
+    await asyncio.gather(injecting, *running)
     return Outcome(
         tuple(sorted((p.unavailable() for p in probes), reverse=True)),
         sum(len(p.answers) for p in probes),
         sum(p.refused for p in probes),
-        tuple(order.violations),
-        sum(made.store.calls.values()) - before,
+        tuple(checker.violations),
+        sum(simulation.store.calls.values()) - before,
         tuple(sorted((p.longest_wait for p in probes), reverse=True)),
     )
 
@@ -281,14 +293,14 @@
     """Runs one case in virtual time.
 
     Args:
-        fault: What breaks.
-        setting: What it breaks on.
+        fault: Injects the fault.
+        setting: Parameters of the case.
         seed: Seed of identifiers and jitter.
     """
     return virtual.run(_case(fault, setting, seed))
 
 
 def served_by(body: bytes) -> str:
-    """Returns the target that an answer names."""
+    """Returns the target named in a response body."""
     named: str = json.loads(body)["target"]
     return named
--- a/packages/mimosastile-standins/src/mimosastile_standins/mutations.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/mutations.py
@@ -1,7 +1,7 @@
-"""Takes one safety rule away at a time and sees whether the oracle notices.
+"""Mutation tests of the safety oracle.
 
-An oracle that never speaks proves nothing. Each mutation here replaces one
-guard of the core by none; scenarios and then the fuzz must find it.
+An oracle that never reports a violation proves nothing. Each mutation disables
+one safety check of the core; the scenarios or the fuzzer must detect it.
 """
 
 from collections.abc import Callable
@@ -31,20 +31,20 @@
 from mimosastile_standins import runner
 from mimosastile_standins import scenario
 
-_SLOW = ("consortium", "urednistvo", "store-down", "regions-apart")
+_SLOW_PREFIXES = ("consortium", "urednistvo", "store-down", "regions-apart")
 _FIRST_SEED = 0
 
 
 class Mutation(msgspec.Struct, frozen=True):
-    """One guard taken away.
+    """Replacement that disables one safety check.
 
     Attributes:
-        name: Name, as the report prints it.
-        rule: The safety rule that the guard keeps.
-        owner: Class or module that holds the guard.
-        attribute: Name of the guard.
-        replacement: What stands in its place.
-        first: Scenarios that are tried before all others.
+        name: Name of the mutation in the report.
+        rule: Safety rule that the check enforces.
+        owner: Class or module that defines the check.
+        attribute: Name of the check in `owner`.
+        replacement: Object that replaces the check.
+        first: Scenarios that are run before all others.
     """
 
     name: str
@@ -65,7 +65,7 @@
     return None if covered else errors.ErrorKind.WRONG_FENCE
 
 
-def _check_nothing(
+def _accept_all(
     self: holder.Holder, fence: holder.RequestFence, now: float
 ) -> None:
     del self, fence, now
@@ -82,14 +82,16 @@
 
 
 def _from_arrival(judge: Callable[..., Any]) -> Callable[..., Any]:
-    """Counts a grant's validity from its arrival."""
+    """Returns a `_judge` that counts a grant's validity from arrival."""
 
     def lenient(
         self: holder.Holder, holding: Any, grant: grants.Grant, now: float
     ) -> Any:
         status = judge(self, holding, grant, now)
-        late = status is grants.GrantStatus.EXPIRED and grant.quoted is not None
-        if late and grant.quoted is not None:
+        expired = (
+            status is grants.GrantStatus.EXPIRED and grant.quoted is not None
+        )
+        if expired and grant.quoted is not None:
             fresh = grants.Stamp(grant.quoted.incarnation, now)
             renewed = msgspec.structs.replace(grant, quoted=fresh)
             status = judge(self, holding, renewed, now)
@@ -103,7 +105,7 @@
     return lenient
 
 
-def _any_keeper(judge: Callable[..., Any]) -> Callable[..., Any]:
+def _accept_any_keeper(judge: Callable[..., Any]) -> Callable[..., Any]:
     def lenient(
         self: holder.Holder, holding: Any, grant: grants.Grant, now: float
     ) -> Any:
@@ -114,44 +116,50 @@
     return lenient
 
 
-def _offer_any_config(self: replica.Replica, version: config.Version) -> bool:
-    vars_changed = version.number != self.config.number
+def _accept_any_config(self: replica.Replica, version: config.Version) -> bool:
+    changed = version.number != self.config.number
     object.__setattr__(self, "_config", version)
-    return vars_changed
+    return changed
 
 
-def _says(value: object) -> Callable[..., Any]:
-    def answer(*args: object, **kwargs: object) -> Any:
+def _returning(value: object) -> Callable[..., Any]:
+    def constant(*args: object, **kwargs: object) -> Any:
         del args, kwargs
         return value
 
-    return answer
+    return constant
 
 
-def _is_property(value: object) -> property:
-    return property(_says(value))
+def _property_returning(value: object) -> property:
+    return property(_returning(value))
 
 
-def _confirmed_at_once(meet: Callable[..., Any]) -> Callable[..., Any]:
-    def trusting(
+def _confirmed_without_check(meet: Callable[..., Any]) -> Callable[..., Any]:
+    def lenient(
         self: grants.KeptTarget, stamp: grants.Stamp, now: float
     ) -> None:
         meet(self, stamp, now)
         self.confirm(now)
 
-    return trusting
+    return lenient
 
 
-def _released_at_once(self: grants.KeptTarget, piece: tables.Slice) -> bool:
-    return not self.replaced and bool(piece)
+def _released_without_acknowledgement(
+    self: grants.KeptTarget, slice_: tables.Slice
+) -> bool:
+    return not self.replaced and bool(slice_)
 
 
-def _lapsed_early(self: grants.KeptTarget, now: float) -> bool:
-    heard = self.last_reply_at
-    return not self.replaced and heard is not None and now > heard + 0.2
+def _expired_early(self: grants.KeptTarget, now: float) -> bool:
+    last_reply_at = self.last_reply_at
+    return (
+        not self.replaced
+        and last_reply_at is not None
+        and now > last_reply_at + 0.2
+    )
 
 
-def _resend_anything(self: retries.Attempts, kind: errors.ErrorKind) -> bool:
+def _resend_all(self: retries.Attempts, kind: errors.ErrorKind) -> bool:
     del self
     return kind in (
         errors.ErrorKind.ANSWER_LOST,
@@ -159,7 +167,9 @@
     )
 
 
-def _all_targets(self: fleet.Fleet, service: str) -> dict[str, fleet.Vm]:
+def _with_leaving_targets(
+    self: fleet.Fleet, service: str
+) -> dict[str, fleet.Vm]:
     return self.targets(service)
 
 
@@ -179,7 +189,7 @@
         "a target runs a request only while it holds a valid grant",
         holder.Holder,
         "check",
-        _check_nothing,
+        _accept_all,
         ("sole-owner",),
     ),
     Mutation(
@@ -203,7 +213,7 @@
         "a target refuses a keeper with a lower fence",
         holder.Holder,
         "_judge",
-        _any_keeper(_JUDGE),
+        _accept_any_keeper(_JUDGE),
         ("keeper-paused", "restarted-target-meets-old-keeper", "hidden-keeper"),
     ),
     Mutation(
@@ -211,7 +221,7 @@
         "released: the target acknowledged the set without the slice",
         grants.KeptTarget,
         "has_released",
-        _released_at_once,
+        _released_without_acknowledgement,
         ("frozen-while-leaving", "drain-and-crash"),
     ),
     Mutation(
@@ -219,7 +229,7 @@
         "lapsed: time to live and drift after the last quoted answer",
         grants.KeptTarget,
         "has_lapsed",
-        _lapsed_early,
+        _expired_early,
         ("short-freeze",),
     ),
     Mutation(
@@ -227,7 +237,7 @@
         "a new keeper's lapse waits until the former one is silent",
         grants.KeptTarget,
         "awaits_silence",
-        _is_property(False),
+        _property_returning(False),
         ("hidden-keeper",),
     ),
     Mutation(
@@ -235,7 +245,7 @@
         "a keeper that meets a new run of a target confirms its role",
         grants.KeptTarget,
         "_meet",
-        _confirmed_at_once(grants.KeptTarget.__dict__["_meet"]),
+        _confirmed_without_check(grants.KeptTarget.__dict__["_meet"]),
         ("restarted-target-meets-old-keeper",),
     ),
     Mutation(
@@ -251,7 +261,7 @@
         "a proof of a keeper that was replaced is void",
         moves,
         "_is_keeper",
-        _says(True),
+        _returning(True),
         ("replaced-keeper-and-slow-store", "keeper-sees-only-the-store"),
     ),
     Mutation(
@@ -259,7 +269,7 @@
         "slices of a write with unknown outcome are granted to nobody",
         writes.PendingWrites,
         "withholds",
-        _says(False),
+        _returning(False),
         ("late-write-in-a-cut-off-zone", "late-write"),
     ),
     Mutation(
@@ -267,7 +277,7 @@
         "a keeper that was paused catches up before it speaks",
         pauses.PauseGuard,
         "is_open",
-        _says(True),
+        _returning(True),
         ("keeper-paused", "paused-keeper-and-restarted-target"),
     ),
     Mutation(
@@ -275,7 +285,7 @@
         "a lower number is never taken",
         replica.Replica,
         "offer_config",
-        _offer_any_config,
+        _accept_any_config,
         ("config-forward", "start-without-store"),
     ),
     Mutation(
@@ -283,7 +293,7 @@
         "what is not idempotent is sent to one target once",
         retries.Attempts,
         "_may_resend",
-        _resend_anything,
+        _resend_all,
         ("crash-under-long-requests", "not-run"),
     ),
     Mutation(
@@ -291,7 +301,7 @@
         "a request that stopped two targets is refused",
         quarantine.CrashHistory,
         "held_for",
-        _says(0.0),
+        _returning(0.0),
         ("deadly-request",),
     ),
     Mutation(
@@ -299,16 +309,16 @@
         "a leaving target gets no new work",
         fleet.Fleet,
         "live_targets",
-        _all_targets,
+        _with_leaving_targets,
         ("leaving-target",),
     ),
 )
-"""One mutation for each safety rule."""
+"""Mutations, one for each tested safety rule."""
 
 
 @contextlib.contextmanager
 def applied(mutation: Mutation) -> Any:
-    """Takes a guard away for the length of a block."""
+    """Applies a mutation for the duration of a `with` block."""
     with mock.patch.object(
         mutation.owner, mutation.attribute, mutation.replacement
     ):
@@ -318,13 +328,13 @@
 def found_by(
     mutation: Mutation, files: list[pathlib.Path], seeds: int, examples: int
 ) -> str:
-    """Returns what finds a mutation, empty if nothing does.
+    """Returns what detects a mutation, or an empty string.
 
     Args:
         mutation: The mutation.
         files: Scenario files, tried first.
-        seeds: Seeds of the fuzz, tried next.
-        examples: Scenarios for each seed.
+        seeds: Number of fuzzer seeds, tried next.
+        examples: Scenarios per seed.
     """
     with applied(mutation):
         ordered = sorted(files, key=lambda p: p.stem not in mutation.first)
@@ -333,50 +343,50 @@
             _found_by_seed(seed, examples)
             for seed in range(_FIRST_SEED, _FIRST_SEED + seeds)
         )
-        both = itertools.chain(scenarios, searches)
-        return next((found for found in both if found), "")
+        attempts = itertools.chain(scenarios, searches)
+        return next((found for found in attempts if found), "")
 
 
 def report(only: str, folder: pathlib.Path, seeds: int, examples: int) -> int:
-    """Prints what finds each mutation.
+    """Prints what detects each mutation.
 
     Args:
-        only: Part of the names to try, empty for all.
+        only: Substring of the mutations' names, empty for all.
         folder: Folder of the scenario files.
-        seeds: Seeds of the fuzz for each mutation.
-        examples: Scenarios for each seed.
+        seeds: Number of fuzzer seeds for each mutation.
+        examples: Scenarios per seed.
 
     Returns:
-        Exit code: 1 if a mutation was not found.
+        Exit code: 1 if a mutation was not detected.
     """
     files = [
         path
         for path in sorted(folder.glob("*.toml"))
-        if not path.stem.startswith(_SLOW)
+        if not path.stem.startswith(_SLOW_PREFIXES)
     ]
-    chosen = [m for m in MUTATIONS if only in m.name]
-    missed = 0
-    for mutation in chosen:
+    selected = [m for m in MUTATIONS if only in m.name]
+    undetected = 0
+    for mutation in selected:
         found = found_by(mutation, files, seeds, examples)
-        missed += not found
+        undetected += not found
         _printing.say(f"{mutation.name}: {found or 'NOT FOUND'}")
-    _printing.say(f"{len(chosen) - missed} passed, {missed} failed")
-    return 1 if missed else 0
+    _printing.say(f"{len(selected) - undetected} passed, {undetected} failed")
+    return 1 if undetected else 0
 
 
 def _found_by_file(path: pathlib.Path) -> str:
     verdict = runner.run(scenario.load(path).unwrap())
     if verdict.violations:
-        broken = verdict.violations[0]
-        return f"{path.stem}: {broken.promise.value}: {broken.detail}"
+        violation = verdict.violations[0]
+        return f"{path.stem}: {violation.promise.value}: {violation.detail}"
     if verdict.missed:
         return f"{path.stem}: {verdict.missed[0]}"
     return ""
 
 
 def _found_by_seed(seed: int, examples: int) -> str:
-    story = fuzzing.find(seed, examples)
-    if story is None:
+    found = fuzzing.find(seed, examples)
+    if found is None:
         return ""
-    broken = runner.run(story).violations[0]
-    return f"fuzz seed {seed}: {broken.promise.value}: {broken.detail}"
+    violation = runner.run(found).violations[0]
+    return f"fuzz seed {seed}: {violation.promise.value}: {violation.detail}"
--- a/tests/entry/test_keeper.py
+++ b/tests/entry/test_keeper.py
@@ -14,9 +14,9 @@
 def _run(scenario, **options):
     async def run_scenario():
         made = await losses.start(losses.Setting(**options))
-        order = losses.Order()
+        order = losses.OwnershipChecker()
         for target in made.targets.values():
-            target.observer = order.note
+            target.observer = order.observe
         await scenario(made, losses.owner_of(made, KEY))
         assert order.violations == []
 
--- a/tests/standins/test_losses.py
+++ b/tests/standins/test_losses.py
@@ -1,4 +1,4 @@
-"""Tests of the loss cases, in virtual time."""
+"""Tests of the fault cases, in virtual time."""
 
 import pytest
 
@@ -10,15 +10,15 @@
 from mimosastile_standins import virtual
 from mimosastile_standins import world
 
-FEW = {"keys": 2, "seconds": 2.5}
+FEW_KEYS = {"keys": 2, "seconds": 2.5}
 
 
 def _execution(name, fence):
     return target.Execution(name, "", "GET", "/s/k", 5, fence, 0.0)
 
 
-class TestOrder:
-    """What shows that two targets took themselves for the owner."""
+class TestOwnershipChecker:
+    """Detection of two targets that act as the owner of one key."""
 
     @pytest.mark.parametrize(
         ("runs", "broken"),
@@ -29,18 +29,18 @@
             ([("a", 2), ("a", 1)], True),
         ],
     )
-    def test_fences_only_rise(self, runs, broken):
-        """A run under a former owner's fence is a violation."""
-        order = losses.Order()
+    def test_fences_must_rise(self, runs, broken):
+        """An execution under a former owner's fence is a violation."""
+        checker = losses.OwnershipChecker()
         for name, fence in runs:
-            order.note(_execution(name, fence))
-        assert bool(order.violations) is broken
+            checker.observe(_execution(name, fence))
+        assert bool(checker.violations) is broken
 
 
 class TestLostTarget:
-    """A target is lost in one of several ways.
+    """A target crashes, freezes, restarts or loses its connection.
 
-    Callers of its keys are refused until another target has them.
+    Callers of its keys get errors until another target owns the keys.
     """
 
     @pytest.mark.parametrize(
@@ -54,14 +54,14 @@
         ids=lambda f: f.__name__,
     )
     def test_keys_are_served_again_within_a_second(self, fault):
-        """Where targets check orders and expiry."""
-        outcome = losses.run(fault, losses.Setting(**FEW))
+        """Holds if the targets check grants and their expiry."""
+        outcome = losses.run(fault, losses.Setting(**FEW_KEYS))
         assert outcome.violations == ()
         assert outcome.longest < 1.0
 
     @pytest.mark.parametrize("fault", [loss_cases.freeze_target])
-    def test_no_other_target_gets_them_without_a_proof(self, fault):
-        """Where targets check no expiry, nobody can know."""
+    def test_no_other_target_gets_keys_without_proof_of_release(self, fault):
+        """Without expiry checks, silence does not prove that it released."""
         setting = losses.Setting(checks_expiry=False, keys=2, seconds=4.0)
         outcome = losses.run(fault, setting)
         assert outcome.violations == ()
@@ -69,18 +69,18 @@
 
 
 class TestPlannedMove:
-    """A target leaves while callers send.
+    """A target leaves while callers send requests.
 
-    They see neither a refusal nor a noticeable wait.
+    No request is refused, and none waits for half a second.
     """
 
     @pytest.mark.parametrize(
         ("orders", "expiry"), [(True, True), (True, False), (False, False)]
     )
     def test_no_request_is_refused(self, orders, expiry):
-        """Whatever the targets can do."""
+        """Holds for targets with and without checks of grants and expiry."""
         setting = losses.Setting(
-            checks_orders=orders, checks_expiry=expiry, patient=True, **FEW
+            checks_orders=orders, checks_expiry=expiry, patient=True, **FEW_KEYS
         )
         outcome = losses.run(loss_cases.leave_target, setting)
         assert outcome.violations == ()
@@ -89,52 +89,56 @@
 
 
 class TestLeavingTargetWithoutKeys:
-    """A target of a service that is not divided by key is to leave."""
+    """A leaving target of a service that is not divided by key."""
 
     def test_gets_no_new_work_after_three_seconds(self):
-        """From when the list says so."""
+        """The time counts from its VM being listed as leaving."""
 
-        async def story():
-            made = world.World()
-            await made.deploy(deployments.SMALL)
+        async def scenario():
+            simulation = world.World()
+            await simulation.deploy(deployments.SMALL)
             leaving = "prijemnica-0"
-            made.fleet.leave(leaving)
-            state = made.fleet.read(virtual.now())
+            simulation.fleet.leave(leaving)
+            state = simulation.fleet.read(virtual.now())
             assert any(v.state is fleet.VmState.LEAVING for v in state)
             await virtual.pause(3.0)
-            run = made.targets[leaving]
+            run = simulation.targets[leaving]
             before = len(run.executions)
             for number in range(20):
-                vm = sorted(made.daemons)[number % len(made.daemons)]
+                vm = sorted(simulation.daemons)[
+                    number % len(simulation.daemons)
+                ]
                 path = f"/prijemnica/{number}"
-                status, _ = await made.call(vm, "GET", path)
+                status, _ = await simulation.call(vm, "GET", path)
                 assert status == 200
             assert len(run.executions) == before
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
 class TestCutOffZone:
-    """A zone is cut off from everything and comes back.
+    """A zone is isolated from the rest of the network.
 
-    Inside it, the keys that it owned are served on; outside, they wait.
+    Inside the zone the keys of its targets are still served; outside, their
+    callers wait.
     """
 
-    def test_serves_what_it_owned(self):
-        """Nobody outside takes its keys meanwhile."""
+    def test_serves_the_keys_of_its_targets(self):
+        """The owner stays the same: no target outside takes its keys."""
 
-        async def story():
-            made = await losses.start(losses.Setting())
-            owner = losses.owner_of(made, "k0")
-            zone = made.daemons[losses.keeper_of(made, owner)]
-            inside = made.network.named(zone.find("keeper")._zone)
-            made.network.isolate(inside)
+        async def scenario():
+            simulation = await losses.start(losses.Setting())
+            owner = losses.owner_of(simulation, "k0")
+            zone = simulation.daemons[losses.keeper_of(simulation, owner)]
+            inside = simulation.network.named(zone.find("keeper")._zone)
+            simulation.network.isolate(inside)
             await virtual.pause(10.0)
-            vms = sorted(inside & set(made.daemons))
+            vms = sorted(inside & set(simulation.daemons))
             answers = [
-                await made.call(vm, "GET", f"/{losses.KEYED}/k0") for vm in vms
+                await simulation.call(vm, "GET", f"/{losses.KEYED}/k0")
+                for vm in vms
             ]
             assert {status for status, _ in answers} == {200}
-            assert losses.owner_of(made, "k0") == owner
+            assert losses.owner_of(simulation, "k0") == owner
 
-        virtual.run(story())
+        virtual.run(scenario())
