--- a/packages/mimosastile-standins/src/mimosastile_standins/__init__.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/__init__.py
@@ -1,5 +1,5 @@
-"""Stand-ins for everything outside mimosastile, and tools built on them.
+"""Stand-ins for the systems around mimosastile, and tools built on them.
 
-They are small on purpose: each does what the platform or a back end promises,
-and can be told to misbehave. None of them models a cluster.
+The stand-ins are deliberately small: each implements the contract of the
+platform or of a target, and supports fault injection. None models a cluster.
 """
--- a/packages/mimosastile-standins/src/mimosastile_standins/__main__.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/__main__.py
@@ -1,4 +1,4 @@
-"""Command line of the stand-ins: `python -m mimosastile_standins demo`."""
+"""Command line of the stand-ins, `python -m mimosastile_standins`."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -30,23 +30,24 @@
 _HOST = "127.0.0.1"
 
 
-def _until_interrupted(work: Coroutine[Any, Any, None]) -> None:
+def _run_until_interrupted(work: Coroutine[Any, Any, None]) -> None:
     with contextlib.suppress(KeyboardInterrupt):
         asyncio.run(work)
 
 
 class Commands:
-    """Stand-ins, demo and tools of mimosastile."""
+    """Stand-ins, demo and test tools of mimosastile."""
 
     def demo(
         self, keep: bool = False, platform: bool = False, **options: float
     ) -> None:
-        """Runs the whole path in one process and prints what happened.
+        """Runs the whole request path in one process and prints a summary.
 
         Args:
-            keep: Goes on until Ctrl-C, for play with curl and mimosactl.
-            platform: Shows the gateway on the users' platform instead.
-            **options: `--for SECONDS`: how long callers send requests.
+            keep: Keeps running until Ctrl-C, for manual use with curl and
+                mimosactl.
+            platform: Runs the gateway on the users' platform instead.
+            **options: `--for SECONDS`: how long callers send requests (6 s).
         """
         seconds = options.pop("for", _DEMO_SECONDS)
         if options:
@@ -61,18 +62,18 @@
     def measure(
         self, only: str = "", out: str = "measurements", plots: bool = False
     ) -> None:
-        """Measures imbalance, churn and unavailable time with baselines.
+        """Measures imbalance, churn and unavailability against baselines.
 
         Args:
             only: `balance`, `outages`, `propagation` or empty for all.
             out: Folder for the results.
-            plots: Draws them too, if matplotlib is installed.
+            plots: Also plots the results; requires matplotlib.
         """
         logging.set_verbosity(logging.ERROR)
         _measuring.run(only, pathlib.Path(out), plots)
 
     def slopes(self, out: str = "measurements") -> None:
-        """Measures costs by size on this machine.
+        """Measures how costs grow with size on this machine.
 
         Args:
             out: Folder for the results.
@@ -87,12 +88,12 @@
         seconds: float = 0.5,
         out: str = "measurements",
     ) -> None:
-        """Runs one role of the cost bench; `make bench` starts all of them.
+        """Runs one role of the cost benchmark; `make bench` starts all roles.
 
         Args:
             role: target, bare, entry or load.
-            at: Directory in which the roles meet; must not exist yet.
-            seconds: How long each round of a cell takes.
+            at: Directory through which the roles coordinate; must not exist.
+            seconds: Duration of each round of a cell.
             out: Directory of the results.
         """
         logging.set_verbosity(logging.ERROR)
@@ -103,11 +104,11 @@
         )
 
     def compare(self, former: str, latter: str = "measurements") -> None:
-        """Prints which figures changed by more than a tenth.
+        """Prints the figures that changed by more than 10 %.
 
         Args:
             former: Folder of an earlier commit's results.
-            latter: Folder of the later ones.
+            latter: Folder of the later results.
         """
         for line in comparing.differences(
             pathlib.Path(former), pathlib.Path(latter)
@@ -117,36 +118,36 @@
     def store(
         self, port: int = 7001, host: str = _HOST, document: str = ""
     ) -> None:
-        """Serves a key-value service as a process of its own.
+        """Serves an in-memory key-value service in its own process.
 
         Args:
             port: Port, 0 for any free one.
-            host: IP number to listen on.
-            document: Configuration document to begin with.
+            host: IP address to listen on.
+            document: Path of the initial configuration document.
         """
-        _until_interrupted(processes.serve_store(host, port, document))
+        _run_until_interrupted(processes.serve_store(host, port, document))
 
     def fleet(
         self, port: int = 7002, host: str = _HOST, file: str = ""
     ) -> None:
-        """Serves a list of VMs as a process of its own.
+        """Serves a VM list in its own process.
 
         Args:
             port: Port, 0 for any free one.
-            host: IP number to listen on.
-            file: JSON file with the VMs to begin with.
+            host: IP address to listen on.
+            file: JSON file with the initial VMs.
         """
-        _until_interrupted(processes.serve_fleet(host, port, file))
+        _run_until_interrupted(processes.serve_fleet(host, port, file))
 
     def target(self, vm: str, port: int = 0, host: str = _HOST) -> None:
-        """Serves a target as a process of its own.
+        """Serves a target in its own process.
 
         Args:
-            vm: Identifier of its VM.
+            vm: Identifier of the target's VM.
             port: Port, 0 for any free one.
-            host: IP number to listen on.
+            host: IP address to listen on.
         """
-        _until_interrupted(processes.serve_target(host, port, vm))
+        _run_until_interrupted(processes.serve_target(host, port, vm))
 
     def scenario(
         self, *files: str, seed: int | None = None, trace: bool = False
@@ -155,8 +156,8 @@
 
         Args:
             *files: Scenario files.
-            seed: Replaces the scenarios' own seeds.
-            trace: Prints what was done, step by step.
+            seed: Overrides the seeds of the scenario files.
+            trace: Prints each step.
         """
         logging.set_verbosity(logging.ERROR)
         sys.exit(_scenarios.report(files, seed, trace))
@@ -168,12 +169,12 @@
         examples: int = 20,
         out: str = "scenarios/found",
     ) -> None:
-        """Looks for scenarios that break a promise and shrinks them.
+        """Searches for scenarios that violate a promise and shrinks them.
 
         Args:
-            seeds: How many seeds to try.
+            seeds: Number of seeds to try.
             first: The first seed.
-            examples: Scenarios tried for each seed.
+            examples: Number of scenarios to try for each seed.
             out: Folder for the scenarios found.
         """
         logging.set_verbosity(logging.ERROR)
@@ -182,10 +183,10 @@
     def policy(
         self, *cases: str, deployment: str = "urednistvo", out: str = ""
     ) -> None:
-        """Measures policy in virtual time, with baselines.
+        """Measures the load-balancing policy in virtual time, with baselines.
 
         Args:
-            *cases: Cases to play, none for all.
+            *cases: Cases to run, none for all.
             deployment: Name of the deployment.
             out: Folder for the results, empty to print only.
         """
@@ -201,15 +202,15 @@
         callers: int = 24,
         out: str = "out/soak",
     ) -> None:
-        """Runs real daemons under faults from outside and checks promises.
+        """Runs real daemons under injected faults and checks safety promises.
 
         Args:
-            seed: Of the first round; each further one takes the next.
-            rounds: How many to play.
-            seconds: For which faults come in each.
-            vms: Daemons, each a process.
-            targets: Targets of each of the two services.
-            callers: Callers.
+            seed: Seed of the first round; each further round adds one.
+            rounds: Number of rounds.
+            seconds: How long faults are injected in each round.
+            vms: Number of daemons, each in its own process.
+            targets: Number of targets of each of the two services.
+            callers: Number of callers.
             out: Folder for settings, logs and verdicts.
         """
         wrong = 0
@@ -239,7 +240,9 @@
         sys.exit(min(wrong, 1))
 
     def losses(self, seed: int = 0) -> None:
-        """Measures in virtual time what losses and planned stops cost.
+        """Measures unavailability after faults and planned stops.
+
+        Runs in virtual time.
 
         Args:
             seed: Seed of identifiers and jitter.
@@ -252,14 +255,14 @@
         results: str = "measurements",
         page: str = "docs/CAPACITY.md",
     ) -> None:
-        """Writes the page on capacity from committed results.
+        """Writes the capacity page from committed results.
 
         Args:
             results: Folder of the results.
-            page: The page.
+            page: Path of the page to write.
         """
-        found = capacity.Results(pathlib.Path(results))
-        text = capacity.page(found)
+        loaded_results = capacity.Results(pathlib.Path(results))
+        text = capacity.page(loaded_results)
         pathlib.Path(page).write_text(text, encoding="utf-8")
 
     def mutations(
@@ -269,13 +272,13 @@
         seeds: int = 2,
         examples: int = 40,
     ) -> None:
-        """Takes one safety rule away at a time and prints what notices.
+        """Disables one safety rule at a time and prints what detects it.
 
         Args:
-            only: Part of the names to try, empty for all.
+            only: Substring of the mutations' names, empty for all.
             folder: Folder of the scenario files.
-            seeds: Seeds of the fuzz for each mutation.
-            examples: Scenarios for each seed.
+            seeds: Number of fuzzer seeds for each mutation.
+            examples: Number of scenarios for each seed.
         """
         logging.set_verbosity(logging.FATAL)
         path = pathlib.Path(folder)
--- a/packages/mimosastile-standins/src/mimosastile_standins/_printing.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/_printing.py
@@ -1,6 +1,6 @@
-"""What the tools print for people."""
+"""Prints the output of the command-line tools."""
 
 
 def say(line: str) -> None:
-    """Prints a line at once, also through a pipe."""
+    """Prints a line and flushes, so that pipes get it at once."""
     print(line, flush=True)
--- a/packages/mimosastile-standins/src/mimosastile_standins/callers.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/callers.py
@@ -1,4 +1,4 @@
-"""Callers that send requests over HTTP and note what they noticed."""
+"""HTTP load generator that records statuses, latencies and targets."""
 
 import asyncio
 import collections
@@ -8,15 +8,15 @@
 import msgspec
 
 
-class Notes(msgspec.Struct):
-    """What the callers noticed.
+class Statistics(msgspec.Struct):
+    """Results that the callers recorded.
 
     Attributes:
         sent: Requests sent.
-        answers: Answers by status; 0 for a broken connection.
-        seconds: Time to the whole answer of each request.
-        first_answer: Loop time of the first good answer, 0 before it.
-        served_by: Good answers by target.
+        answers: Responses by status; 0 for a failed connection.
+        seconds: Time to the complete response of each request, in seconds.
+        first_answer: Loop time of the first successful response, 0 before it.
+        served_by: Successful responses by target.
     """
 
     sent: int = 0
@@ -30,7 +30,7 @@
     )
 
     def percentile(self, share: float) -> float:
-        """Returns a percentile of the answer times in seconds."""
+        """Returns the percentile `share` (0 to 1) of response seconds."""
         ordered = sorted(self.seconds)
         if not ordered:
             return 0.0
@@ -44,50 +44,53 @@
     token: str,
     workers: int,
     seed: int,
-) -> Notes:
-    """Sends requests for some time, each worker one after another.
+) -> Statistics:
+    """Sends requests from concurrent workers for a given time.
 
     Args:
-        seconds: How long.
-        addresses: Base addresses of the entry VMs, used in turn.
-        paths: Paths to ask for.
+        seconds: Duration in seconds.
+        addresses: Base URLs of the entry VMs, chosen at random.
+        paths: Request paths, chosen at random.
         token: Bearer token of the member.
-        workers: How many requests are under way at a time.
-        seed: Seed of the order.
+        workers: Number of concurrent requests.
+        seed: Seed of the random choices.
 
     Returns:
-        What the callers noticed.
+        The recorded results.
     """
-    notes = Notes()
-    chance = random.Random(seed)
+    statistics = Statistics()
+    generator = random.Random(seed)
     loop = asyncio.get_running_loop()
     end = loop.time() + seconds
     headers = {"authorization": f"Bearer {token}"}
 
     async def work(session: aiohttp.ClientSession) -> None:
         while loop.time() < end:
-            url = chance.choice(addresses) + chance.choice(paths)
-            method = chance.choice(("GET", "GET", "POST"))
-            await _call(session, method, url, notes)
+            url = generator.choice(addresses) + generator.choice(paths)
+            method = generator.choice(("GET", "GET", "POST"))
+            await _call(session, method, url, statistics)
 
     async with aiohttp.ClientSession(headers=headers) as session:
         await asyncio.gather(*(work(session) for _ in range(workers)))
-    return notes
+    return statistics
 
 
 async def _call(
-    session: aiohttp.ClientSession, method: str, url: str, notes: Notes
+    session: aiohttp.ClientSession,
+    method: str,
+    url: str,
+    statistics: Statistics,
 ) -> None:
     loop = asyncio.get_running_loop()
     began = loop.time()
-    notes.sent += 1
+    statistics.sent += 1
     try:
         async with session.request(method, url) as response:
             body = await response.read()
-            notes.answers[response.status] += 1
+            statistics.answers[response.status] += 1
             if response.ok:
-                notes.first_answer = notes.first_answer or loop.time()
-                notes.served_by[msgspec.json.decode(body)["target"]] += 1
+                statistics.first_answer = statistics.first_answer or loop.time()
+                statistics.served_by[msgspec.json.decode(body)["target"]] += 1
     except aiohttp.ClientError:
-        notes.answers[0] += 1
-    notes.seconds.append(loop.time() - began)
+        statistics.answers[0] += 1
+    statistics.seconds.append(loop.time() - began)
--- a/packages/mimosastile-standins/src/mimosastile_standins/demo.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/demo.py
@@ -1,7 +1,7 @@
-"""The demo: the whole path in one process, with one target stopped on the way.
+"""Demo: runs the whole request path in one process and drains one target.
 
-Store, targets, list of VMs and callers are stand-ins; the three daemons are
-the product, and everything between them is HTTP over loopback.
+The store, the targets, the VM list and the callers are stand-ins. The three
+daemons are the product. All parts communicate over HTTP on loopback.
 """
 
 import asyncio
@@ -33,17 +33,17 @@
 KEYED = "citaonica"
 PLAIN = "prijemnica"
 _ZONES = (("kontinent", "zagreb-a"), ("primorje", "split-a"))
-_KEYED_TARGETS = 6
-_PLAIN_TARGETS = 2
-_ENTRIES = 3
-_LETTERS = 200
-_WAIT_SECONDS = 10.0
+_KEYED_TARGET_COUNT = 6
+_PLAIN_TARGET_COUNT = 2
+_ENTRY_COUNT = 3
+_LETTER_COUNT = 200
+_START_TIMEOUT_SECONDS = 10.0
 _CALLER_SEED = 1
 _PEER_SECRET = "demo-secret-shared-by-the-entry-vms"
 
 
 def document() -> config.Document:
-    """Returns the demo's configuration: one service of each sort."""
+    """Returns a configuration with one keyed and one plain service."""
     letters = config.Service(
         key=config.KeySource(config.KeyPlace.PATH, segment=1),
         slices=24,
@@ -65,12 +65,12 @@
 
 
 class Demo:
-    """The running parts.
+    """Owns the running parts of the demo.
 
     Attributes:
         started: Loop time at which the parts began to start.
         store: The key-value service.
-        fleet: The list of VMs.
+        fleet: The VM list.
         targets: The targets by VM.
         daemons: The daemons by VM.
     """
@@ -86,113 +86,120 @@
         self.daemons: dict[str, kernel.Kernel] = {}
 
     async def start(self) -> None:
-        """Starts everything and waits until all keys have owners."""
+        """Starts all parts and waits until targets hold all their grants.
+
+        Raises:
+            TimeoutError: The grants were not complete within 10 s.
+        """
         serve = self._stack.enter_async_context
         store_port = await serve(serving.serving(serving.store_app(self.store)))
         fleet_port = await serve(serving.serving(serving.fleet_app(self.fleet)))
-        # Waiting watches end before the server that holds them stops.
+        # Ends pending watches before their server stops.
         self._stack.callback(self.store.go_down)
         version = config.Version(1, document())
         await self.store.compare_and_swap(
             "config/current", msgspec.json.encode(version), 0
         )
-        for i in range(_KEYED_TARGETS):
+        for i in range(_KEYED_TARGET_COUNT):
             await self._start_target(f"{KEYED}-{i}", KEYED, i)
-        for i in range(_PLAIN_TARGETS):
+        for i in range(_PLAIN_TARGET_COUNT):
             await self._start_target(f"{PLAIN}-{i}", PLAIN, i)
         platform = settings.PlatformSettings(
             f"http://{HOST}:{store_port}", f"http://{HOST}:{fleet_port}"
         )
-        for i in range(_ENTRIES):
+        for i in range(_ENTRY_COUNT):
             await self._start_daemon(f"entry-{i}", i, platform)
-        async with asyncio.timeout(_WAIT_SECONDS):
-            while not self._settled():
+        async with asyncio.timeout(_START_TIMEOUT_SECONDS):
+            while not self._grants_complete():
                 await asyncio.sleep(0.05)
 
-    async def _start_target(self, name: str, service: str, place: int) -> None:
+    async def _start_target(
+        self, name: str, service: str, zone_index: int
+    ) -> None:
         run = target.Target(name)
         port = await self._stack.enter_async_context(
             serving.serving(serving.target_app(run))
         )
         self.targets[name] = run
-        region, zone = _ZONES[place % len(_ZONES)]
+        region, zone = _ZONES[zone_index % len(_ZONES)]
         self.fleet.put(
             fleet.Vm(name, fleet.Role.TARGET, region, zone, HOST, port, service)
         )
 
     async def _start_daemon(
-        self, name: str, place: int, platform: settings.PlatformSettings
+        self, name: str, zone_index: int, platform: settings.PlatformSettings
     ) -> None:
-        region, zone = _ZONES[place % len(_ZONES)]
+        region, zone = _ZONES[zone_index % len(_ZONES)]
         vm = settings.VmSettings(name, region, zone, HOST, 0, 0)
         limits = settings.LimitSettings(shutdown_seconds=2, notice_seconds=0)
         peers = settings.PeerSettings({"demo": _PEER_SECRET}, "demo")
-        made = daemon.assemble(
+        kernel_ = daemon.assemble(
             settings.Settings(vm, platform, limits=limits, peers=peers)
         )
-        await made.start()
-        self._stack.push_async_callback(made.stop)
-        self.daemons[name] = made
-        port = made.find("listeners").ports["peers"]
+        await kernel_.start()
+        self._stack.push_async_callback(kernel_.stop)
+        self.daemons[name] = kernel_
+        port = kernel_.find("listeners").ports["peers"]
         self.fleet.put(
             fleet.Vm(name, fleet.Role.ENTRY, region, zone, HOST, port)
         )
 
     def addresses(self) -> list[str]:
-        """Returns the callers' addresses of all entry VMs."""
+        """Returns the base URLs for callers of all entry VMs."""
         return [
-            f"http://{HOST}:{made.find('listeners').ports['callers']}"
-            for made in self.daemons.values()
+            f"http://{HOST}:{kernel_.find('listeners').ports['callers']}"
+            for kernel_ in self.daemons.values()
         ]
 
     def table(self) -> tables.Table | None:
-        """Returns the keyed service's table as the first entry VM has it."""
+        """Returns the first entry VM's table of the keyed service, if any."""
         first = next(iter(self.daemons.values()))
         found: tables.Table | None = first.find("state").replica.table(KEYED)
         return found
 
     def owners(self) -> collections.Counter[str]:
-        """Returns how many slices each target owns."""
+        """Returns the number of slices per owner."""
         table = self.table()
         blocks = table.blocks.values() if table else ()
         return collections.Counter(s.owner for b in blocks for s in b.slices)
 
-    def _settled(self) -> bool:
+    def _grants_complete(self) -> bool:
         owners = self.owners()
-        held = {
+        held_slices = {
             name: len(run.holder.owned(run.now()))
             for name, run in self.targets.items()
         }
         return bool(owners) and all(
-            owner and held[owner] == count for owner, count in owners.items()
+            owner and held_slices[owner] == count
+            for owner, count in owners.items()
         )
 
 
 @contextlib.asynccontextmanager
 async def running() -> AsyncIterator[Demo]:
-    """Runs the demo's parts for the length of a block."""
+    """Runs the demo's parts for the duration of a `with` block."""
     async with contextlib.AsyncExitStack() as stack:
-        made = Demo(stack)
-        await made.start()
-        yield made
+        demo = Demo(stack)
+        await demo.start()
+        yield demo
 
 
 async def run(seconds: float, keep: bool) -> None:
-    """Runs the demo and prints what happened.
+    """Runs the demo and prints a summary.
 
     Args:
-        seconds: How long callers send requests.
-        keep: Whether to go on until interrupted, for play.
+        seconds: How long callers send requests, in seconds.
+        keep: Whether to keep running until interrupted, for manual use.
     """
     began = time.monotonic()
-    async with running() as made:
+    async with running() as demo:
         _printing.say(f"up after {time.monotonic() - began:.2f} s")
-        before = made.owners()
-        letters = [f"/{KEYED}/letters/{i}" for i in range(_LETTERS)]
+        before = demo.owners()
+        letters = [f"/{KEYED}/letters/{i}" for i in range(_LETTER_COUNT)]
         load = asyncio.create_task(
             callers.call_for(
                 seconds,
-                made.addresses(),
+                demo.addresses(),
                 [*letters, f"/{PLAIN}/inbox"],
                 TOKEN,
                 8,
@@ -201,55 +208,64 @@
         )
         await asyncio.sleep(seconds / 3)
         stopped = before.most_common(1)[0][0]
-        made.fleet.leave(stopped)
-        notes = await load
-        _report(made, before, stopped, notes)
+        demo.fleet.leave(stopped)
+        statistics = await load
+        _report(demo, before, stopped, statistics)
         if keep:
-            _invite(made)
+            _print_commands(demo)
             await asyncio.Event().wait()
 
 
 def _report(
-    made: Demo,
+    demo: Demo,
     before: collections.Counter[str],
     stopped: str,
-    notes: callers.Notes,
+    statistics: callers.Statistics,
 ) -> None:
-    after = made.owners()
-    say = _printing.say
-    say(f"slices of {KEYED} by owner; {stopped} was stopped on the way:")
+    after = demo.owners()
+    print_line = _printing.say
+    print_line(f"slices of {KEYED} by owner; {stopped} was stopped on the way:")
     for name in sorted(before | after):
-        say(f"  {name:14} {before[name]:3} -> {after[name]:3}")
+        print_line(f"  {name:14} {before[name]:3} -> {after[name]:3}")
     moved = before[stopped] - after[stopped]
     mean = sum(after.values()) / max(1, len(+after))
-    served = ", ".join(f"{t} {n}" for t, n in sorted(notes.served_by.items()))
-    refused = {s: n for s, n in notes.answers.items() if s != 200}
-    first = notes.first_answer - made.started
-    say(f"requests: {notes.sent}, not answered with 200: {refused or 0}")
-    say(f"served by: {served}")
-    say(f"first answer {first:.2f} s after the start of the first part")
-    say(
-        f"time to the whole answer: p50 {notes.percentile(0.5) * 1000:.1f} ms,"
-        f" p99 {notes.percentile(0.99) * 1000:.1f} ms,"
-        f" longest {max(notes.seconds) * 1000:.1f} ms"
+    served = ", ".join(
+        f"{t} {n}" for t, n in sorted(statistics.served_by.items())
+    )
+    refused = {s: n for s, n in statistics.answers.items() if s != 200}
+    first = statistics.first_answer - demo.started
+    print_line(
+        f"requests: {statistics.sent}, not answered with 200: {refused or 0}"
     )
-    say(
+    print_line(f"served by: {served}")
+    print_line(f"first answer {first:.2f} s after the start of the first part")
+    print_line(
+        "time to the whole answer:"
+        f" p50 {statistics.percentile(0.5) * 1000:.1f} ms,"
+        f" p99 {statistics.percentile(0.99) * 1000:.1f} ms,"
+        f" longest {max(statistics.seconds) * 1000:.1f} ms"
+    )
+    print_line(
         f"churn: {moved} of {sum(after.values())} slices moved; imbalance:"
         f" {max(after.values()) / mean:.2f} (most to mean)"
     )
-    say(f"store calls: {dict(made.store.calls)}")
+    print_line(f"store calls: {dict(demo.store.calls)}")
 
 
-def _invite(made: Demo) -> None:
-    say = _printing.say
-    address = made.addresses()[0]
-    inner = next(iter(made.daemons.values())).find("listeners").ports["peers"]
-    letter = next(str(i) for i in range(_LETTERS) if keys.key_hash(str(i)))
-    say("running on; stop with Ctrl-C. Try:")
-    say(
+def _print_commands(demo: Demo) -> None:
+    print_line = _printing.say
+    address = demo.addresses()[0]
+    peer_port = (
+        next(iter(demo.daemons.values())).find("listeners").ports["peers"]
+    )
+    letter = next(str(i) for i in range(_LETTER_COUNT) if keys.key_hash(str(i)))
+    print_line("running on; stop with Ctrl-C. Try:")
+    print_line(
         f"  curl -H 'Authorization: Bearer {TOKEN}'"
         f" {address}/{KEYED}/letters/{letter}"
     )
-    say(f"  export MIMOSACTL_TOKEN={OPERATOR}")
-    say(f"  mimosactl --at http://{HOST}:{inner} table {KEYED}")
-    say(f"  mimosactl --at http://{HOST}:{inner} owner {KEYED} {letter}")
+    print_line(f"  export MIMOSACTL_TOKEN={OPERATOR}")
+    print_line(f"  mimosactl --at http://{HOST}:{peer_port} table {KEYED}")
+    print_line(
+        f"  mimosactl --at http://{HOST}:{peer_port} owner {KEYED} {letter}"
+    )
--- a/packages/mimosastile-standins/src/mimosastile_standins/processes.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/processes.py
@@ -1,4 +1,4 @@
-"""Stand-ins as processes of their own, for daemons run by hand."""
+"""Runs stand-ins as separate processes, for daemons started by hand."""
 
 import asyncio
 import pathlib
@@ -17,47 +17,47 @@
 
 
 async def serve_store(host: str, port: int, document: str) -> None:
-    """Serves a key-value service until interrupted.
+    """Serves an in-memory key-value service until interrupted.
 
     Args:
-        host: IP number to listen on.
+        host: IP address to listen on.
         port: Port, 0 for any free one.
-        document: Path of a configuration document to begin with, or empty.
+        document: Path of the initial configuration document, or empty.
     """
-    kept = store.MemoryStore()
+    memory_store = store.MemoryStore()
     if document:
         raw = pathlib.Path(document).read_bytes()
         first = config.Version(1, config.decode_document(raw).unwrap())
         value = msgspec.json.encode(first)
-        await kept.compare_and_swap(_CONFIG_KEY, value, 0)
-    await _serve("store", serving.store_app(kept), host, port)
+        await memory_store.compare_and_swap(_CONFIG_KEY, value, 0)
+    await _serve("store", serving.store_app(memory_store), host, port)
 
 
 async def serve_fleet(host: str, port: int, file: str) -> None:
-    """Serves a list of VMs until interrupted.
+    """Serves a VM list until interrupted.
 
     Args:
-        host: IP number to listen on.
+        host: IP address to listen on.
         port: Port, 0 for any free one.
-        file: Path of a JSON file with the VMs, or empty.
+        file: Path of a JSON file with the initial VMs, or empty.
     """
-    listed = vms.MemoryFleet()
+    memory_fleet = vms.MemoryFleet()
     raw = pathlib.Path(file).read_bytes() if file else b"[]"
     for vm in msgspec.json.decode(raw, type=list[fleet.Vm]):
-        listed.put(vm)
-    await _serve("fleet", serving.fleet_app(listed), host, port)
+        memory_fleet.put(vm)
+    await _serve("fleet", serving.fleet_app(memory_fleet), host, port)
 
 
 async def serve_target(host: str, port: int, vm: str) -> None:
     """Serves a target until interrupted.
 
     Args:
-        host: IP number to listen on.
+        host: IP address to listen on.
         port: Port, 0 for any free one.
-        vm: Identifier of its VM.
+        vm: Identifier of the target's VM.
     """
-    run = target.Target(vm)
-    await _serve(vm, serving.target_app(run), host, port)
+    target_ = target.Target(vm)
+    await _serve(vm, serving.target_app(target_), host, port)
 
 
 async def _serve(name: str, app: serving.App, host: str, port: int) -> None:
--- a/packages/mimosastile-standins/src/mimosastile_standins/serving.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/serving.py
@@ -1,4 +1,4 @@
-"""The stand-ins as HTTP servers, in this process or in one of their own."""
+"""HTTP applications for the stand-ins, and a server to run them."""
 
 from collections.abc import AsyncIterator
 import contextlib
@@ -19,7 +19,7 @@
 from mimosastile_standins import target
 from mimosastile_standins import vms
 
-_PREFIX = "x-mimosastile-"
+_HEADER_PREFIX = "x-mimosastile-"
 
 App = applications.Starlette
 
@@ -30,13 +30,13 @@
     )
 
 
-def store_app(kept: store.MemoryStore) -> applications.Starlette:
-    """Returns the key-value service as an application."""
+def store_app(memory_store: store.MemoryStore) -> applications.Starlette:
+    """Returns an HTTP application for the key-value service."""
 
-    async def one(request: requests.Request) -> responses.Response:
+    async def read_or_write(request: requests.Request) -> responses.Response:
         key = request.path_params["key"]
         if request.method == "GET":
-            read = await kept.get(key)
+            read = await memory_store.get(key)
             if read.is_err():
                 return responses.Response(status_code=503)
             found = read.ok()
@@ -44,49 +44,53 @@
                 _json(found) if found else responses.Response(status_code=404)
             )
         revision = int(request.query_params["revision"])
-        wrote = await kept.compare_and_swap(key, await request.body(), revision)
-        if wrote.is_ok():
-            return _json(kept.entries[key])
-        if isinstance(wrote.err(), ports.Conflict):
-            return _json(wrote.err(), 409)
+        written = await memory_store.compare_and_swap(
+            key, await request.body(), revision
+        )
+        if written.is_ok():
+            return _json(memory_store.entries[key])
+        if isinstance(written.err(), ports.Conflict):
+            return _json(written.err(), 409)
         return responses.Response(status_code=503)
 
     async def listing(request: requests.Request) -> responses.Response:
-        batch = await kept.list(request.query_params["prefix"])
-        return _json(batch.ok()) if batch.is_ok() else _down()
+        batch = await memory_store.list(request.query_params["prefix"])
+        return _json(batch.ok()) if batch.is_ok() else _unavailable()
 
     async def watch(request: requests.Request) -> responses.Response:
-        batch = await kept.watch(
+        batch = await memory_store.watch(
             request.query_params["prefix"],
             int(request.query_params["revision"]),
             float(request.query_params["wait"]),
         )
-        return _json(batch.ok()) if batch.is_ok() else _down()
+        return _json(batch.ok()) if batch.is_ok() else _unavailable()
 
     return applications.Starlette(
         routes=[
-            routing.Route("/kv/{key:path}", one, methods=["GET", "PUT"]),
+            routing.Route(
+                "/kv/{key:path}", read_or_write, methods=["GET", "PUT"]
+            ),
             routing.Route("/kv", listing),
             routing.Route("/watch", watch),
         ]
     )
 
 
-def _down() -> responses.Response:
+def _unavailable() -> responses.Response:
     return responses.Response(status_code=503)
 
 
-def fleet_app(listed: vms.MemoryFleet) -> applications.Starlette:
-    """Returns the list of VMs as an application."""
+def fleet_app(memory_fleet: vms.MemoryFleet) -> applications.Starlette:
+    """Returns an HTTP application for the VM list."""
 
     async def read(request: requests.Request) -> responses.Response:
         del request
-        listing = await listed.vms()
-        return _json(listing.ok()) if listing.is_ok() else _down()
+        listing = await memory_fleet.vms()
+        return _json(listing.ok()) if listing.is_ok() else _unavailable()
 
     async def put(request: requests.Request) -> responses.Response:
         vm = msgspec.json.decode(await request.body(), type=fleet.Vm)
-        listed.put(vm)
+        memory_fleet.put(vm)
         return _json(vm)
 
     return applications.Starlette(
@@ -97,25 +101,25 @@
     )
 
 
-def target_app(run: target.Target) -> applications.Starlette:
-    """Returns a target as an application."""
+def target_app(target_: target.Target) -> applications.Starlette:
+    """Returns an HTTP application for a target."""
 
     async def grant(request: requests.Request) -> responses.Response:
         message = msgspec.json.decode(await request.body(), type=grants.Grant)
-        return _json(await run.grant(message))
+        return _json(await target_.grant(message))
 
-    async def work(request: requests.Request) -> responses.Response:
+    async def handle_request(request: requests.Request) -> responses.Response:
         await request.body()
-        outcome = await run.handle(
+        outcome = await target_.handle(
             request.method,
             request.url.path,
-            request.headers.get(_PREFIX + "request-id", ""),
+            request.headers.get(_HEADER_PREFIX + "request-id", ""),
             _fence(request),
         )
         if outcome.refused is not None:
             return responses.Response(
                 status_code=503,
-                headers={_PREFIX + "error": outcome.refused.value},
+                headers={_HEADER_PREFIX + "error": outcome.refused.value},
             )
         return responses.Response(outcome.body, media_type="application/json")
 
@@ -123,20 +127,20 @@
     return applications.Starlette(
         routes=[
             routing.Route("/-/grant", grant, methods=["POST"]),
-            routing.Route("/{path:path}", work, methods=methods),
+            routing.Route("/{path:path}", handle_request, methods=methods),
         ]
     )
 
 
 def _fence(request: requests.Request) -> holder.RequestFence | None:
-    block = request.headers.get(_PREFIX + "block")
+    block = request.headers.get(_HEADER_PREFIX + "block")
     if block is None:
         return None
     service, _, index = block.rpartition("/")
     return holder.RequestFence(
         tables.BlockId(service, int(index)),
-        int(request.headers[_PREFIX + "position"]),
-        int(request.headers[_PREFIX + "fence"]),
+        int(request.headers[_HEADER_PREFIX + "position"]),
+        int(request.headers[_HEADER_PREFIX + "fence"]),
     )
 
 
@@ -144,11 +148,11 @@
 async def serving(
     app: applications.Starlette, host: str = "127.0.0.1", port: int = 0
 ) -> AsyncIterator[int]:
-    """Serves an application for the length of a block.
+    """Serves an application for the duration of a `with` block.
 
     Args:
         app: The application.
-        host: IP number to listen on.
+        host: IP address to listen on.
         port: Port, 0 for any free one.
 
     Yields:
--- a/packages/mimosastile-standins/src/mimosastile_standins/store.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's key-value service."""
+"""An in-memory stand-in for the platform's key-value service."""
 
 import asyncio
 import collections
@@ -14,17 +14,20 @@
 
 
 class MemoryStore(kernel.Passive):
-    """Compare-and-swap, listing and watches in memory.
+    """In-memory key-value store with compare-and-swap, lists and watches.
+
+    Faults are injected through its attributes.
 
     Attributes:
-        latency: Seconds that each call takes.
+        latency: Latency of each call in seconds.
         down: Whether every call fails without effect.
-        lost_answers: How many of the next writes take effect although the
-            caller is told nothing.
-        late_writes: How many of the next writes are told nothing of and take
-            effect `late_seconds` later, if the revision still fits then.
-        late_seconds: How much later.
-        calls: Calls by kind; a waiting watch counts as one.
+        lost_answers: Number of next successful writes whose response is lost:
+            they take effect, and the caller gets `STORE_UNKNOWN`.
+        late_writes: Number of next writes that are delayed: the caller gets
+            `STORE_UNKNOWN`, and the write takes effect after `late_seconds` if
+            its revision still matches.
+        late_seconds: Delay of late writes in seconds.
+        calls: Number of calls by kind; a pending watch counts as one.
     """
 
     __slots__ = (
@@ -53,30 +56,33 @@
 
     @property
     def entries(self) -> dict[str, ports.Entry]:
-        """Everything stored, for checks."""
+        """All stored entries by key, for checks."""
         return self._entries
 
     async def get(
         self, key: str
     ) -> result.Result[ports.Entry | None, errors.Failure]:
-        """Reads one key."""
-        if not await self._answers("get"):
+        """Reads one key; returns None if it is missing."""
+        if not await self._is_available("get"):
             return result.Err(_UNAVAILABLE)
         return result.Ok(self._entries.get(key))
 
     async def list(
         self, prefix: str
     ) -> result.Result[ports.WatchBatch, errors.Failure]:
-        """Reads all keys with a prefix."""
-        if not await self._answers("list"):
+        """Reads all entries whose keys have a prefix."""
+        if not await self._is_available("list"):
             return result.Err(_UNAVAILABLE)
-        return result.Ok(self._since(prefix, 0))
+        return result.Ok(self._entries_since(prefix, 0))
 
     async def compare_and_swap(
         self, key: str, value: bytes, revision: int
     ) -> result.Result[int, errors.Failure | ports.Conflict]:
-        """Writes a key if its revision is the expected one."""
-        if not await self._answers("compare_and_swap"):
+        """Writes a key if its current revision equals `revision`.
+
+        Revision 0 means that the key is missing. Returns the new revision.
+        """
+        if not await self._is_available("compare_and_swap"):
             return result.Err(_UNAVAILABLE)
         if self.late_writes > 0:
             self.late_writes -= 1
@@ -93,31 +99,34 @@
     async def watch(
         self, prefix: str, revision: int, wait: float
     ) -> result.Result[ports.WatchBatch, errors.Failure]:
-        """Waits for a change under a prefix after a revision."""
-        if not await self._answers("watch"):
+        """Waits up to `wait` seconds for changes under a prefix.
+
+        Returns the entries newer than `revision`, none after a timeout.
+        """
+        if not await self._is_available("watch"):
             return result.Err(_UNAVAILABLE)
         end = asyncio.get_running_loop().time() + wait
-        while not (batch := self._since(prefix, revision)).entries:
-            left = end - asyncio.get_running_loop().time()
-            if left <= 0 or self.down:
+        while not (batch := self._entries_since(prefix, revision)).entries:
+            remaining = end - asyncio.get_running_loop().time()
+            if remaining <= 0 or self.down:
                 break
-            # Not `wait_for`: in Python 3.11 it loses a cancellation that comes
-            # in the moment of a change, and the watcher then never ends.
+            # Not `wait_for`: in Python 3.11 it loses a cancellation that
+            # coincides with a change, and the watcher then never ends.
             try:
-                async with asyncio.timeout(left):
+                async with asyncio.timeout(remaining):
                     await self._changed.wait()
             except TimeoutError:
                 break
         return result.Err(_UNAVAILABLE) if self.down else result.Ok(batch)
 
     def go_down(self) -> None:
-        """Fails all calls from now on, waiting watches included."""
+        """Makes all calls fail, including pending watches."""
         self.down = True
         self._changed.set()
         self._changed = asyncio.Event()
 
     def come_back(self) -> None:
-        """Answers again, with everything that was stored."""
+        """Serves calls again with all stored entries."""
         self.down = False
 
     def _swap(
@@ -132,7 +141,7 @@
         self._changed = asyncio.Event()
         return result.Ok(self._revision)
 
-    def _since(self, prefix: str, revision: int) -> ports.WatchBatch:
+    def _entries_since(self, prefix: str, revision: int) -> ports.WatchBatch:
         newer = tuple(
             e
             for e in self._entries.values()
@@ -140,7 +149,7 @@
         )
         return ports.WatchBatch(newer, self._revision)
 
-    async def _answers(self, call: str) -> bool:
+    async def _is_available(self, call: str) -> bool:
         self.calls[call] += 1
         if self.latency:
             await asyncio.sleep(self.latency)
--- a/packages/mimosastile-standins/src/mimosastile_standins/target.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/target.py
@@ -1,4 +1,4 @@
-"""A stand-in for a back end that runs requests and accepts fenced grants."""
+"""A stand-in for a target that executes requests and accepts grants."""
 
 import asyncio
 import collections
@@ -14,16 +14,16 @@
 
 
 class Execution(msgspec.Struct, frozen=True):
-    """One run of a request on a target.
+    """One execution of a request on a target.
 
     Attributes:
         target: The target.
-        request_id: The router's identifier of the request.
+        request_id: Request identifier set by the router.
         method: HTTP method.
         path: Path of the request.
-        position: Hash of its key, None if it came without an order.
-        fence: Fence under which it came, 0 without an order.
-        began: Loop time at which the run began.
+        position: Hash of its key, None if the request carried no fence.
+        fence: Fence of the request, 0 if it carried none.
+        began: Loop time at which the execution began.
     """
 
     target: str
@@ -36,40 +36,45 @@
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """What a target answers: a refusal that did not run, or a result."""
+    """Response of a target.
+
+    Attributes:
+        refused: Reason why the request was not executed, None if it was.
+        body: Body of the response.
+    """
 
     refused: errors.ErrorKind | None
     body: bytes = b""
 
 
-# The property `holder` hides the module of that name inside the class.
+# Inside the class, the property `holder` shadows the module `holder`.
 RequestFence = holder.RequestFence
 HeldSlice = grants.HeldSlice
-_NEVER_EXPIRED = 0.0
+_TIME_BEFORE_EXPIRY = 0.0
 DEADLY = "/deadly"
-"""End of the path of a request that crashes each target that runs it."""
+"""Path suffix of requests that crash each target that executes them."""
 
 
 class CrashedError(Exception):
-    """The target died; whoever waits for its answer gets none."""
+    """The target crashed before it responded."""
 
 
 class Target:
-    """One run of a back end.
+    """A target that can be crashed, restarted, frozen and thawed.
 
     Attributes:
         id: The VM's identifier.
-        service_time: Seconds that a request takes.
-        draining: Whether it refuses new work.
+        service_time: Execution time of a request in seconds.
+        draining: Whether it refuses new requests.
         checks_orders: Whether it refuses requests without a valid grant.
-        checks_expiry: Whether it refuses requests once its grant has run out.
-        deaths: How often a deadly request has crashed it.
-        executions: Every run, in order.
-        observer: Told of every run as it begins, None for nobody.
+        checks_expiry: Whether it refuses requests after its grant expired.
+        deaths: Number of crashes caused by deadly requests.
+        executions: All executions in the order of their start.
+        observer: Called with each execution as it begins, or None.
     """
 
     __slots__ = (
-        "_alive",
+        "_thawed",
         "_clock_offset",
         "_counts",
         "_crashed",
@@ -92,14 +97,14 @@
         checks_orders: bool = True,
         clock_offset: float = 1000.0,
     ) -> None:
-        """Starts a target that holds no grant.
+        """Starts the target's first incarnation, which holds no grants.
 
         Args:
             id: The VM's identifier.
-            service_time: Seconds that a request takes.
+            service_time: Execution time of a request in seconds.
             checks_orders: Whether it refuses requests without a valid grant.
-            clock_offset: How far its clock is from the loop's, to show that
-                nothing compares the two.
+            clock_offset: Seconds by which its clock is ahead of the loop's, so
+                that code that compares the two clocks fails.
         """
         self.id = id
         self.service_time = service_time
@@ -112,18 +117,18 @@
         self._clock_offset = clock_offset
         self._incarnations = 0
         self._counts: collections.Counter[str] = collections.Counter()
-        self._alive = asyncio.Event()
+        self._thawed = asyncio.Event()
         self._crashed = False
         self.restart()
 
     @property
     def holder(self) -> holder.Holder:
-        """The grants that this run holds."""
+        """The grants that the current incarnation holds."""
         return self._holder
 
     @property
     def crashed(self) -> bool:
-        """Whether the target is dead."""
+        """Whether the target has crashed and not been restarted."""
         return self._crashed
 
     def now(self) -> float:
@@ -131,33 +136,33 @@
         return asyncio.get_running_loop().time() + self._clock_offset
 
     def restart(self) -> None:
-        """Begins a new run that has forgotten everything."""
+        """Starts a new incarnation without grants or other state."""
         self._incarnations += 1
         self._holder = holder.Holder(f"{self.id}-{self._incarnations}")
         self._counts.clear()
         self._crashed = False
-        self._alive.set()
+        self._thawed.set()
 
     def crash(self) -> None:
-        """Dies; requests under way get no answer."""
+        """Crashes; pending requests get no response."""
         self._crashed = True
-        self._alive.set()
+        self._thawed.set()
 
     def freeze(self) -> None:
-        """Stops doing anything; what arrives waits in buffers."""
-        self._alive.clear()
+        """Suspends all work; incoming requests and grants wait."""
+        self._thawed.clear()
 
     def thaw(self) -> None:
-        """Goes on as if nothing had happened."""
-        self._alive.set()
+        """Resumes work with its state intact."""
+        self._thawed.set()
 
     async def grant(self, message: grants.Grant) -> grants.GrantReply:
-        """Takes a grant.
+        """Receives a grant and returns the reply.
 
         Raises:
-            CrashedError: The target is dead.
+            CrashedError: The target has crashed.
         """
-        await self._run(self._incarnations)
+        await self._wait_while_frozen(self._incarnations)
         return self._holder.receive(message, self.now())
 
     async def handle(
@@ -167,31 +172,33 @@
         request_id: str,
         fence: RequestFence | None,
     ) -> Outcome:
-        """Runs a request, or refuses it.
+        """Executes or refuses a request.
 
         Raises:
-            CrashedError: The target died before it answered.
+            CrashedError: The target crashed before it responded.
         """
-        await self._run(self._incarnations)
+        await self._wait_while_frozen(self._incarnations)
         if self.draining:
             return Outcome(errors.ErrorKind.DRAINING)
-        began, held = self._incarnations, self._holder
+        began, grants_held = self._incarnations, self._holder
         deadly = path.endswith(DEADLY)
-        checked = fence if self.checks_orders else None
-        if checked is not None:
-            refused = held.check(checked, self._checked_at())
+        checked_fence = fence if self.checks_orders else None
+        if checked_fence is not None:
+            refused = grants_held.check(
+                checked_fence, self._expiry_check_time()
+            )
             if refused is not None:
                 return Outcome(refused)
-            held.begin(checked)
+            grants_held.begin(checked_fence)
         try:
             if deadly:
                 self.deaths += 1
                 self.crash()
-                await self._run(began)
+                await self._wait_while_frozen(began)
             return await self._execute(method, path, request_id, fence)
         finally:
-            if checked is not None:
-                held.end(checked)
+            if checked_fence is not None:
+                grants_held.end(checked_fence)
 
     async def _execute(
         self,
@@ -202,7 +209,7 @@
     ) -> Outcome:
         incarnation = self._incarnations
         began = asyncio.get_running_loop().time()
-        run = Execution(
+        execution = Execution(
             target=self.id,
             request_id=request_id,
             method=method,
@@ -211,32 +218,37 @@
             fence=fence.fence if fence else 0,
             began=began,
         )
-        self.executions.append(run)
+        self.executions.append(execution)
         if self.observer is not None:
-            self.observer(run)
+            self.observer(execution)
         self._counts[path] += method != "GET"
         await asyncio.sleep(self.service_time)
-        await self._run(incarnation)
-        answer: dict[str, Any] = {
+        await self._wait_while_frozen(incarnation)
+        response: dict[str, Any] = {
             "target": self.id,
             "path": path,
             "writes": self._counts[path],
             "request_id": request_id,
         }
-        return Outcome(None, json.dumps(answer).encode())
+        return Outcome(None, json.dumps(response).encode())
 
     def served(self) -> list[HeldSlice]:
-        """Returns the slices whose requests this target would run now."""
+        """Returns the slices whose requests the target accepts now."""
         if self._crashed or not self.checks_orders:
             return []
-        return [s for _, s in self._holder.owned(self._checked_at())]
+        return [s for _, s in self._holder.owned(self._expiry_check_time())]
 
-    def _checked_at(self) -> float:
-        # A target that does not check the expiry believes its grant for ever.
-        return self.now() if self.checks_expiry else _NEVER_EXPIRED
+    def _expiry_check_time(self) -> float:
+        # Without expiry checks, grants are valid forever: time 0 precedes
+        # every expiry.
+        return self.now() if self.checks_expiry else _TIME_BEFORE_EXPIRY
 
-    async def _run(self, incarnation: int) -> None:
-        """Waits while frozen; a run that began before a crash is over."""
-        await self._alive.wait()
+    async def _wait_while_frozen(self, incarnation: int) -> None:
+        """Waits while the target is frozen.
+
+        Raises:
+            CrashedError: The target has crashed or restarted since.
+        """
+        await self._thawed.wait()
         if self._crashed or self._incarnations != incarnation:
             raise CrashedError(self.id)
--- a/packages/mimosastile-standins/src/mimosastile_standins/traces.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/traces.py
@@ -1,4 +1,4 @@
-"""Event traces: keys with Zipf loads, and placement driven by events alone."""
+"""Key traces with Zipf loads, and event-driven placement without time."""
 
 import bisect
 from collections.abc import Mapping
@@ -15,26 +15,28 @@
 from mimosastile_core import tables
 from mimosastile_standins import baselines
 
-HOTTEST = 520
-"""Keys that change places when hot keys move."""
+HOT_KEY_COUNT = 520
+"""Number of hot keys that swap loads with cold keys in `move_hottest`."""
 
-_ROUNDS = 60
-_RAMP_ROUNDS = 15
+_MAX_ROUNDS = 60
+_SLOW_START_ROUNDS = 15
 
 
 def zipf(count: int, exponent: float, seed: int) -> list[baselines.Key]:
-    """Returns keys whose loads follow Zipf's law, by position.
+    """Returns keys with Zipf-distributed loads, ordered by position.
+
+    The loads add up to 1.
 
     Args:
-        count: How many keys.
-        exponent: Exponent of the law.
-        seed: Says which keys are hot.
+        count: Number of keys.
+        exponent: Exponent of the distribution.
+        seed: Seed that selects the hot keys.
     """
-    drawn = random.Random(seed)
+    generator = random.Random(seed)
     loads = [rank**-exponent for rank in range(1, count + 1)]
     total = sum(loads)
     positions = [keys.key_hash(f"k{i}") for i in range(count)]
-    drawn.shuffle(positions)
+    generator.shuffle(positions)
     pairs = zip(positions, loads, strict=True)
     return sorted(
         (baselines.Key(p, load / total) for p, load in pairs),
@@ -45,12 +47,12 @@
 def move_hottest(
     trace: Sequence[baselines.Key], seed: int
 ) -> list[baselines.Key]:
-    """Returns the trace with its hottest keys in other places."""
-    drawn = random.Random(seed)
+    """Returns the trace with the hottest keys at other positions."""
+    generator = random.Random(seed)
     order = sorted(range(len(trace)), key=lambda i: -trace[i].load)
-    hot, cold = order[:HOTTEST], order[HOTTEST:]
+    hot, cold = order[:HOT_KEY_COUNT], order[HOT_KEY_COUNT:]
     loads = [key.load for key in trace]
-    for a, b in zip(hot, drawn.sample(cold, HOTTEST), strict=True):
+    for a, b in zip(hot, generator.sample(cold, HOT_KEY_COUNT), strict=True):
         loads[a], loads[b] = loads[b], loads[a]
     return [
         baselines.Key(key.position, load)
@@ -63,7 +65,7 @@
     owners: Sequence[str],
     targets: Sequence[str],
 ) -> dict[str, float]:
-    """Returns the load of each target."""
+    """Returns the total load of each target."""
     held = dict.fromkeys(targets, 0.0)
     for key, owner in zip(trace, owners, strict=True):
         if owner in held:
@@ -74,14 +76,14 @@
 class Placement:
     """The product's placement of one service, driven by events.
 
-    Every change goes through the core's own functions and the checks of a
-    block's successor; a target's acknowledgement is taken as given.
+    Every change uses the core's own functions and passes the check of a block's
+    successor. Targets are assumed to acknowledge every release.
 
     Attributes:
-        moved: Moves made.
+        moved: Number of slices moved by acknowledged releases.
     """
 
-    __slots__ = ("_block", "_cold", "_places", "_weights", "moved")
+    __slots__ = ("_block", "_locations", "_warmup_rounds", "_weights", "moved")
 
     def __init__(
         self,
@@ -92,30 +94,30 @@
         """Assigns all slices.
 
         Args:
-            targets: Target to region and zone.
-            slices: Slices at the start.
-            weights: Weights and bounds.
+            targets: Region and zone of each target.
+            slices: Initial number of slices.
+            weights: Weights and bounds of placement.
         """
-        self._places = dict(targets)
+        self._locations = dict(targets)
         self._weights = weights
-        self._cold: dict[str, int] = {}
+        self._warmup_rounds: dict[str, int] = {}
         self.moved = 0
         self._block = tables.empty_block("trace", 0, slices, 1)
-        self._keep()
-        self._change(
+        self._update_keepers()
+        self._replace_block(
             moves.start_moves(
-                self._block, placement.plan_owners(self._block, self._places)
+                self._block, placement.plan_owners(self._block, self._locations)
             ).unwrap()
         )
 
     @property
     def block(self) -> tables.Block:
-        """The table as it is."""
+        """The current block."""
         return self._block
 
     def owners(self, trace: Sequence[baselines.Key]) -> list[str]:
         """Returns the owner of each key."""
-        firsts = [piece.first for piece in self._block.slices]
+        firsts = [slice_.first for slice_ in self._block.slices]
         return [
             self._block.slices[
                 bisect.bisect_right(firsts, k.position) - 1
@@ -123,51 +125,61 @@
             for k in trace
         ]
 
-    def join(self, target: str, place: tuple[str, str]) -> None:
-        """Adds a target, which is cold."""
-        self._places[target] = place
-        self._cold[target] = 0
-        self._keep()
+    def join(self, target: str, location: tuple[str, str]) -> None:
+        """Adds a target that starts cold (slow start)."""
+        self._locations[target] = location
+        self._warmup_rounds[target] = 0
+        self._update_keepers()
 
     def lose(self, target: str) -> None:
-        """A target's grants lapse; its keeper names new owners."""
-        self._places.pop(target)
+        """Removes a target whose grants expired, and assigns new owners."""
+        self._locations.pop(target)
         proof = moves.Lapsed(target, self._block.keepers[target].fence)
-        chosen = placement.owner_chooser(self._block, list(self._places))
-        self._change(moves.finish_moves(self._block, proof, chosen).unwrap())
+        choose_owner = placement.owner_chooser(
+            self._block, list(self._locations)
+        )
+        self._replace_block(
+            moves.finish_moves(self._block, proof, choose_owner).unwrap()
+        )
 
     def leave(self, target: str, trace: Sequence[baselines.Key]) -> None:
-        """A target is drained: moves are planned, acknowledged, finished."""
-        self._places.pop(target)
+        """Drains a target: plans its moves and finishes them."""
+        self._locations.pop(target)
         plan = balance_plan.reassign(
             self._block.slices,
             slice_loads(self._block, trace),
             self._candidates(),
             {s.first for s in self._block.slices if s.owner == target},
         )
-        self._change(moves.start_moves(self._block, plan).unwrap())
+        self._replace_block(moves.start_moves(self._block, plan).unwrap())
         self._finish()
 
     def settle(self, trace: Sequence[baselines.Key]) -> int:
-        """Plans with the measured load until nothing changes.
+        """Balances by load until a plan is empty and all targets are warm.
 
         Returns:
-            Rounds that it took.
+            Number of planning rounds, at most 60.
         """
-        for number in range(_ROUNDS):
+        for number in range(_MAX_ROUNDS):
             plan = self._plan(trace)
-            self._cold = {t: n + 1 for t, n in self._cold.items()}
-            warm = all(n >= _RAMP_ROUNDS for n in self._cold.values())
+            self._warmup_rounds = {
+                t: n + 1 for t, n in self._warmup_rounds.items()
+            }
+            warm = all(
+                n >= _SLOW_START_ROUNDS for n in self._warmup_rounds.values()
+            )
             if not plan.moves and not plan.splits and warm:
                 return number
             if plan.splits:
-                self._change(splits.split(self._block, plan.splits).unwrap())
+                self._replace_block(
+                    splits.split(self._block, plan.splits).unwrap()
+                )
             if plan.moves:
-                self._change(
+                self._replace_block(
                     moves.start_moves(self._block, plan.moves).unwrap()
                 )
                 self._finish()
-        return _ROUNDS
+        return _MAX_ROUNDS
 
     def _candidates(self) -> list[balance_plan.Candidate]:
         return [
@@ -176,10 +188,10 @@
                 zone,
                 region,
                 balance_plan.slow_start_capacity(
-                    self._cold.get(target, 99), _RAMP_ROUNDS
+                    self._warmup_rounds.get(target, 99), _SLOW_START_ROUNDS
                 ),
             )
-            for target, (region, zone) in self._places.items()
+            for target, (region, zone) in self._locations.items()
         ]
 
     def _plan(self, trace: Sequence[baselines.Key]) -> balance_plan.Plan:
@@ -188,40 +200,40 @@
             self._block.slices, loads, self._candidates(), self._weights
         )
 
-    def _keep(self) -> None:
-        named = {t: (f"keeper-{t}", "run") for t in self._places}
-        changed = moves.set_keepers(self._block, named)
+    def _update_keepers(self) -> None:
+        keepers = {t: (f"keeper-{t}", "run") for t in self._locations}
+        changed = moves.set_keepers(self._block, keepers)
         if changed.is_ok():
-            self._change(changed.unwrap())
+            self._replace_block(changed.unwrap())
 
     def _finish(self) -> None:
         moving = [s for s in self._block.slices if s.next]
-        for owner, pieces in itertools.groupby(
+        for owner, slices_ in itertools.groupby(
             sorted(moving, key=lambda s: s.owner), key=lambda s: s.owner
         ):
-            firsts = frozenset(s.first for s in pieces)
+            firsts = frozenset(s.first for s in slices_)
             proof = moves.Released(
                 owner, self._block.keepers[owner].fence, firsts
             )
             self.moved += len(firsts)
-            self._change(
+            self._replace_block(
                 moves.finish_moves(self._block, proof, lambda _: "").unwrap()
             )
 
-    def _change(self, block: tables.Block) -> None:
+    def _replace_block(self, block: tables.Block) -> None:
         self._block = tables.check_successor(self._block, block).unwrap()
 
 
 def slice_loads(
     block: tables.Block, trace: Sequence[baselines.Key]
 ) -> dict[int, balance_plan.SliceLoad]:
-    """Returns what keepers would report: load and hottest key by slice."""
+    """Returns the load report of keepers: load and hottest key by slice."""
     positions = [key.position for key in trace]
 
-    def load(piece: tables.Slice) -> balance_plan.SliceLoad:
+    def load(slice_: tables.Slice) -> balance_plan.SliceLoad:
         inside = trace[
-            bisect.bisect_left(positions, piece.first) : bisect.bisect_right(
-                positions, piece.last
+            bisect.bisect_left(positions, slice_.first) : bisect.bisect_right(
+                positions, slice_.last
             )
         ]
         hottest = max(inside, key=lambda k: k.load, default=None)
@@ -231,4 +243,4 @@
             hottest.load if hottest else 0.0,
         )
 
-    return {piece.first: load(piece) for piece in block.slices}
+    return {slice_.first: load(slice_) for slice_ in block.slices}
--- a/packages/mimosastile-standins/src/mimosastile_standins/vms.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/vms.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's list of VMs, which lags."""
+"""An in-memory stand-in for the platform's VM list, with a lag."""
 
 import asyncio
 
@@ -13,28 +13,28 @@
 
 
 class MemoryFleet(kernel.Passive):
-    """A list of VMs whose readers see it as it was some time ago.
+    """A VM list whose readers see a delayed version.
 
     Attributes:
-        lag: Seconds by which readers are behind; what was read is never
-            taken back.
+        lag: Delay of readers in seconds. Raising it never makes readers go
+            back to an older version.
         down: Whether reading fails.
     """
 
-    __slots__ = ("_history", "_shown", "_vms", "down", "lag")
+    __slots__ = ("_history", "_visible_count", "_vms", "down", "lag")
 
     def __init__(self, lag: float = 0.0) -> None:
         super().__init__("fleet_port")
         self.lag = lag
         self.down = False
         self._vms: dict[str, fleet.Vm] = {}
-        self._shown = 0
+        self._visible_count = 0
         self._history: list[tuple[float, Listing]] = []
 
     def put(self, vm: fleet.Vm) -> None:
-        """Adds a VM or changes its entry."""
+        """Adds a VM or replaces its entry."""
         self._vms[vm.id] = vm
-        self._note()
+        self._record_version()
 
     def leave(self, vm: str) -> None:
         """Marks a VM as leaving."""
@@ -43,24 +43,28 @@
         )
 
     def remove(self, vm: str) -> None:
-        """Takes a VM off the list."""
+        """Removes a VM from the list."""
         del self._vms[vm]
-        self._note()
+        self._record_version()
 
     def read(self, now: float) -> Listing:
-        """Returns the list as readers see it at a time."""
-        seen = sum(at + self.lag <= now for at, _ in self._history)
-        self._shown = max(self._shown, seen)
-        return self._history[self._shown - 1][1] if self._shown else ()
+        """Returns the version that readers see at loop time `now`."""
+        visible = sum(at + self.lag <= now for at, _ in self._history)
+        self._visible_count = max(self._visible_count, visible)
+        return (
+            self._history[self._visible_count - 1][1]
+            if self._visible_count
+            else ()
+        )
 
     async def vms(self) -> result.Result[Listing, errors.Failure]:
-        """Reads the list."""
+        """Returns the delayed list, or a failure while `down` is set."""
         if self.down:
             return result.Err(
                 errors.Failure(errors.ErrorKind.STORE_UNAVAILABLE)
             )
         return result.Ok(self.read(asyncio.get_running_loop().time()))
 
-    def _note(self) -> None:
+    def _record_version(self) -> None:
         now = asyncio.get_running_loop().time()
         self._history.append((now, tuple(self._vms.values())))
--- a/tests/standins/test_demo.py
+++ b/tests/standins/test_demo.py
@@ -1,4 +1,4 @@
-"""Tests of the demo's parts: the whole path over HTTP on loopback."""
+"""Tests of the demo: the whole request path over HTTP on loopback."""
 
 import asyncio
 import json
@@ -12,34 +12,37 @@
 OPERATOR = {"authorization": f"Bearer {demo.OPERATOR}"}
 
 
-async def _ask(session, url, headers):
+async def _get(session, url, headers):
     async with session.get(url, headers=headers) as response:
         return response.status, await response.read()
 
 
 class TestPath:
-    """Requests over real sockets, each on a free port."""
+    """Requests over real sockets, each listener on a free port."""
 
-    def test_answers_and_refusals(self):
-        """A key has one owner on all VMs; refusals have one shape."""
+    def test_responses_and_errors(self):
+        """All entry VMs route a key to one target; errors share one format."""
 
-        async def story():
-            async with demo.running() as made, aiohttp.ClientSession() as s:
-                asked = [
-                    await _ask(s, f"{at}/{demo.KEYED}/letters/7", CREDENTIAL)
-                    for at in made.addresses()
+        async def scenario():
+            async with (
+                demo.running() as deployment,
+                aiohttp.ClientSession() as s,
+            ):
+                accepted = [
+                    await _get(s, f"{at}/{demo.KEYED}/letters/7", CREDENTIAL)
+                    for at in deployment.addresses()
                 ]
-                refused = await _ask(
-                    s, f"{made.addresses()[0]}/{demo.KEYED}/letters/7", {}
+                refused = await _get(
+                    s, f"{deployment.addresses()[0]}/{demo.KEYED}/letters/7", {}
                 )
-                unknown = await _ask(
-                    s, f"{made.addresses()[0]}/nothing", CREDENTIAL
+                unknown = await _get(
+                    s, f"{deployment.addresses()[0]}/nothing", CREDENTIAL
                 )
-                return asked, refused, unknown
+                return accepted, refused, unknown
 
-        asked, refused, unknown = asyncio.run(story())
-        assert {status for status, _ in asked} == {200}
-        assert len({json.loads(body)["target"] for _, body in asked}) == 1
+        accepted, refused, unknown = asyncio.run(scenario())
+        assert {status for status, _ in accepted} == {200}
+        assert len({json.loads(body)["target"] for _, body in accepted}) == 1
         for (status, body), expected, kind in (
             (refused, 401, "unauthenticated"),
             (unknown, 404, "unknown_service"),
@@ -49,20 +52,23 @@
             assert json.loads(body)["ran"] == "no"
 
     @pytest.mark.parametrize("path", ["/v1/dump", f"/v1/tables/{demo.KEYED}"])
-    def test_operators_views(self, path):
-        """The inner port shows the state as JSON."""
+    def test_operator_views(self, path):
+        """The peer port serves the state as JSON to operators only."""
 
-        async def story():
-            async with demo.running() as made, aiohttp.ClientSession() as s:
-                first = next(iter(made.daemons.values()))
+        async def scenario():
+            async with (
+                demo.running() as deployment,
+                aiohttp.ClientSession() as s,
+            ):
+                first = next(iter(deployment.daemons.values()))
                 port = first.find("listeners").ports["peers"]
                 url = f"http://{demo.HOST}:{port}{path}"
                 return [
-                    await _ask(s, url, headers)
+                    await _get(s, url, headers)
                     for headers in (OPERATOR, CREDENTIAL, {})
                 ]
 
-        (status, body), *refused = asyncio.run(story())
+        (status, body), *refused = asyncio.run(scenario())
         assert status == 200
         assert json.loads(body)
         assert [status for status, _ in refused] == [401, 401]
