--- a/packages/mimosastile-entry/src/mimosastile_entry/__init__.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/__init__.py
@@ -1,5 +1,5 @@
-"""The mimosastile daemon: a micro-kernel and the services it runs.
+"""The mimosastile daemon: a microkernel and its services.
 
-The public face is `daemon` (assembles and runs a daemon), `kernel`, `ports`
+The public modules are `daemon` (assembles and runs a daemon), `kernel`, `ports`
 (adapters to everything outside) and `settings`.
 """
--- a/packages/mimosastile-entry/src/mimosastile_entry/_access.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_access.py
@@ -1,4 +1,4 @@
-"""The access service: who calls the administration API."""
+"""Access service: authenticates callers of the administration API."""
 
 import result
 
@@ -11,15 +11,15 @@
 
 
 class AccessService(kernel.Passive):
-    """Tells operators by their tokens."""
+    """Identifies operators by their tokens."""
 
     __slots__ = ("_bootstrap", "_state")
 
     def __init__(self, bootstrap: str) -> None:
-        """Makes the service.
+        """Initializes the service.
 
         Args:
-            bootstrap: Digest of the token that counts while the configuration
+            bootstrap: Digest of the token accepted while the configuration
                 declares no operators; empty for none.
         """
         super().__init__("access", ("state",))
@@ -27,7 +27,7 @@
         self._state: _state.StateService
 
     async def start(self, kernel: kernel.Kernel) -> None:
-        """Finds the state."""
+        """Looks up the state service."""
         self._state = kernel.find("state")
 
     def identify(self, authorization: str) -> Identified:
--- a/packages/mimosastile-entry/src/mimosastile_entry/_admin.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_admin.py
@@ -1,4 +1,4 @@
-"""The administration API: HTTP with JSON under /v1 on the inner port."""
+"""Administration API: HTTP with JSON under /v1 on the internal port."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -27,16 +27,16 @@
 
 _MAX_LIMIT = 500
 _DEFAULT_LIMIT = 20
-_MAX_DIGITS = 15
+_MAX_NUMBER_DIGITS = 15
 
 Outcome = result.Result[Any, errors.Failure | administration.Rejected]
 
 
 class Call:
-    """One call of an operator.
+    """An operator's authenticated request.
 
     Attributes:
-        principal: Who calls.
+        principal: The operator and its permissions.
         request: The HTTP request.
     """
 
@@ -49,22 +49,24 @@
         self.request = request
 
     def text(self, name: str) -> str:
-        """Returns a part of the path, or a query parameter, or nothing."""
+        """Returns a path or query parameter; empty if it is missing."""
         found = self.request.path_params.get(name)
         return str(found or self.request.query_params.get(name, ""))
 
     def number(self, name: str, default: int) -> int:
-        """Returns a whole number from path or query."""
+        """Returns a whole number from path or query, else the default."""
         text = self.text(name)
-        # Python refuses to read a number of thousands of digits with an
-        # exception, which would be answered as an internal error.
-        if len(text) > _MAX_DIGITS or not (text.isascii() and text.isdecimal()):
+        # int() raises for thousands of digits, which would be returned as an
+        # internal error.
+        if len(text) > _MAX_NUMBER_DIGITS or not (
+            text.isascii() and text.isdecimal()
+        ):
             return default
         return int(text)
 
     @property
     def limit(self) -> int:
-        """How many items the caller wants."""
+        """Number of items to return, from 1 to `_MAX_LIMIT`."""
         return min(max(self.number("limit", _DEFAULT_LIMIT), 1), _MAX_LIMIT)
 
 
@@ -72,7 +74,7 @@
 
 
 class AdminApi:
-    """The routes of the administration API and what they do."""
+    """Routes and handlers of the administration API."""
 
     __slots__ = (
         "_access",
@@ -84,7 +86,7 @@
     )
 
     def __init__(self, kernel: kernel.Kernel) -> None:
-        """Makes the API.
+        """Initializes the API.
 
         Args:
             kernel: The daemon's kernel; its services have started.
@@ -116,13 +118,13 @@
             ("/v1/quarantine", self._quarantine),
             ("/v1/link", self._link),
             ("/v1/dump", self._dump),
-            ("/v1/audit", self._audited),
+            ("/v1/audit", self._audit_entries),
         )
         return [
-            *(self._route(path, "GET", read, made) for path, made in views),
+            *(self._route(path, "GET", read, view) for path, view in views),
             self._route("/v1/config/propose", "POST", propose, self._propose),
             routing.Route("/metrics", self._metrics, methods=["GET"]),
-            # Which role it takes depends on what the patch touches.
+            # The handler checks the role, as it depends on the changed paths.
             self._route("/v1/config/apply", "POST", read, self._apply),
         ]
 
@@ -130,33 +132,35 @@
         self, path: str, method: str, role: config.Role, handler: Handler
     ) -> routing.Route:
         async def endpoint(request: requests.Request) -> responses.Response:
-            shown = request.headers.get("authorization", "")
-            found = self._access.identify(shown)
+            authorization = request.headers.get("authorization", "")
+            found = self._access.identify(authorization)
             if isinstance(found, result.Err):
-                self._note("", request, found.err_value)
-                return _answer(found)
+                self._audit_failure("", request, found.err_value)
+                return _respond(found)
             principal = found.ok_value
             if not principal.has(role):
                 refused = errors.failed(
                     errors.ErrorKind.FORBIDDEN, f"Needs the role {role.value}."
                 )
-                self._note(principal.name, request, refused.err_value)
-                return _answer(refused)
+                self._audit_failure(principal.name, request, refused.err_value)
+                return _respond(refused)
             outcome = await handler(Call(principal, request))
             if isinstance(outcome, result.Err):
-                self._note_refused(principal.name, request, outcome.err_value)
-            return _answer(outcome)
+                self._audit_if_forbidden(
+                    principal.name, request, outcome.err_value
+                )
+            return _respond(outcome)
 
         return routing.Route(path, endpoint, methods=[method])
 
     async def _metrics(self, request: requests.Request) -> responses.Response:
-        # Members are named, so that is no page for everybody.
-        shown = request.headers.get("authorization", "")
-        found = self._access.identify(shown)
+        # The metrics name members, so they need a scope that covers all.
+        authorization = request.headers.get("authorization", "")
+        found = self._access.identify(authorization)
         if isinstance(found, result.Err):
-            return _answer(found)
+            return _respond(found)
         if not found.ok_value.covers_all:
-            return _answer(_everything())
+            return _respond(_scope_failure())
         page = self._kernel.find("metrics").exposition()
         return responses.Response(page, media_type=_metrics.CONTENT_TYPE)
 
@@ -191,11 +195,13 @@
     async def _history(self, call: Call) -> Outcome:
         before = call.number("before", 0)
         changes = await self._configuration.history(before, call.limit)
-        return _visible(call, changes)
+        return _visible_changes(call, changes)
 
     async def _blame(self, call: Call) -> Outcome:
         path = call.text("path")
-        return _visible(call, await self._configuration.blame(path, call.limit))
+        return _visible_changes(
+            call, await self._configuration.blame(path, call.limit)
+        )
 
     async def _change(self, call: Call) -> Outcome:
         change = await self._configuration.change(call.number("number", 0))
@@ -208,8 +214,8 @@
         change = await self._configuration.change(number)
         if isinstance(change, result.Err):
             return change
-        # The operations that undo a change tell what stood there before.
-        refused = _hidden(call.principal, change.ok_value)
+        # The operations that undo a change reveal the previous values.
+        refused = _hidden_change(call.principal, change.ok_value)
         if refused is not None:
             return result.Err(refused)
         return await self._configuration.revert(number)
@@ -220,29 +226,31 @@
         return result.Ok(await self._configuration.in_force(number))
 
     async def _propose(self, call: Call) -> Outcome:
-        patch = await _patch(call)
+        patch = await _read_patch(call)
         if isinstance(patch, result.Err):
             return patch
         preview = await self._configuration.preview(
-            patch.ok_value, _within(call.principal)
+            patch.ok_value, _scope_check(call.principal)
         )
         if isinstance(preview, result.Err):
             return preview
-        made = preview.ok_value
-        seen = access.visible(call.principal, made.document)
-        return result.Ok(msgspec.structs.replace(made, document=seen))
+        full = preview.ok_value
+        seen = access.visible(call.principal, full.document)
+        return result.Ok(msgspec.structs.replace(full, document=seen))
 
     async def _apply(self, call: Call) -> Outcome:
-        patch = await _patch(call)
+        patch = await _read_patch(call)
         if isinstance(patch, result.Err):
             return patch
         return await self._configuration.apply(
-            patch.ok_value, call.principal.name, _allowed(call.principal)
+            patch.ok_value,
+            call.principal.name,
+            _role_and_scope_check(call.principal),
         )
 
     async def _table(self, call: Call) -> Outcome:
         service = call.text("service")
-        refused = _outside(call.principal, service)
+        refused = _out_of_scope(call.principal, service)
         if refused is not None:
             return result.Err(refused)
         found = self._state.replica.table(service)
@@ -252,7 +260,7 @@
 
     async def _owner(self, call: Call) -> Outcome:
         service = call.text("service")
-        refused = _outside(call.principal, service)
+        refused = _out_of_scope(call.principal, service)
         if refused is not None:
             return result.Err(refused)
         found = self._state.replica.table(service)
@@ -266,7 +274,7 @@
 
     async def _explain(self, call: Call) -> Outcome:
         service = call.text("service")
-        refused = _outside(call.principal, service)
+        refused = _out_of_scope(call.principal, service)
         if refused is not None:
             return result.Err(refused)
         return _explain.explain(
@@ -287,46 +295,48 @@
         )
 
     async def _quarantine(self, call: Call) -> Outcome:
-        return self._part(call, "quarantine")
+        return self._service_dump(call, "quarantine")
 
     async def _link(self, call: Call) -> Outcome:
-        return self._part(call, "links")
+        return self._service_dump(call, "links")
 
     async def _dump(self, call: Call) -> Outcome:
         if not call.principal.covers_all:
-            return _everything()
+            return _scope_failure()
         return result.Ok(self._kernel.dump())
 
-    async def _audited(self, call: Call) -> Outcome:
+    async def _audit_entries(self, call: Call) -> Outcome:
         if not call.principal.covers_all:
-            return _everything()
+            return _scope_failure()
         entries = await self._audit.entries()
         return entries.map(lambda found: found[: call.limit])
 
-    def _part(self, call: Call, service: str) -> Outcome:
+    def _service_dump(self, call: Call, service: str) -> Outcome:
         if not call.principal.covers_all:
-            return _everything()
+            return _scope_failure()
         return result.Ok(self._kernel.dump().get(service, {}))
 
-    def _note(
-        self, who: str, request: requests.Request, failure: errors.Failure
+    def _audit_failure(
+        self, operator: str, request: requests.Request, failure: errors.Failure
     ) -> None:
         action = f"{request.method} {request.url.path}"
-        self._audit.note(who, action, failure.kind.value, failure.detail)
+        self._audit.note(operator, action, failure.kind.value, failure.detail)
 
-    def _note_refused(
+    def _audit_if_forbidden(
         self,
-        who: str,
+        operator: str,
         request: requests.Request,
         refused: errors.Failure | administration.Rejected,
     ) -> None:
         if isinstance(refused, administration.Rejected):
             refused = refused.failure
         if refused.kind is errors.ErrorKind.FORBIDDEN:
-            self._note(who, request, refused)
+            self._audit_failure(operator, request, refused)
 
 
-def _allowed(principal: access.Principal) -> _configuration.Allowed:
+def _role_and_scope_check(
+    principal: access.Principal,
+) -> _configuration.Allowed:
     def allowed(paths: tuple[str, ...]) -> errors.Failure | None:
         return access.refused_role(principal, paths) or access.refused_paths(
             principal, paths
@@ -335,14 +345,14 @@
     return allowed
 
 
-def _within(principal: access.Principal) -> _configuration.Allowed:
+def _scope_check(principal: access.Principal) -> _configuration.Allowed:
     def within(paths: tuple[str, ...]) -> errors.Failure | None:
         return access.refused_paths(principal, paths)
 
     return within
 
 
-async def _patch(
+async def _read_patch(
     call: Call,
 ) -> result.Result[patches.Patch, errors.Failure]:
     body = bytearray()
@@ -360,7 +370,7 @@
     return patch
 
 
-def _visible(
+def _visible_changes(
     call: Call, changes: result.Result[list[config.Change], errors.Failure]
 ) -> Outcome:
     return changes.map(
@@ -368,7 +378,7 @@
     )
 
 
-def _hidden(
+def _hidden_change(
     principal: access.Principal, change: config.Change
 ) -> errors.Failure | None:
     seen = access.visible_change(principal, change)
@@ -379,7 +389,7 @@
     return None
 
 
-def _outside(
+def _out_of_scope(
     principal: access.Principal, service: str
 ) -> errors.Failure | None:
     if principal.covers("services", service):
@@ -389,13 +399,13 @@
     )
 
 
-def _everything() -> result.Err[errors.Failure]:
+def _scope_failure() -> result.Err[errors.Failure]:
     return errors.failed(
         errors.ErrorKind.FORBIDDEN, "Needs all services and members in scope."
     )
 
 
-def _answer(outcome: Outcome) -> responses.Response:
+def _respond(outcome: Outcome) -> responses.Response:
     if isinstance(outcome, result.Ok):
         return _json(200, outcome.ok_value)
     refused = outcome.err_value
--- a/packages/mimosastile-entry/src/mimosastile_entry/_archive.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_archive.py
@@ -1,4 +1,4 @@
-"""The archive service: the configuration's history in the store."""
+"""Archive service: the configuration history in the store."""
 
 from collections.abc import AsyncIterator
 from typing import Any
@@ -13,13 +13,13 @@
 from mimosastile_entry import kernel
 from mimosastile_entry import ports
 
-_MAX_TRIES = 8
+_MAX_ATTEMPTS = 8
 
 Failed = result.Err[errors.Failure]
 
 
 class ArchiveService(kernel.Passive):
-    """Writes changes into the history and reads them back."""
+    """Writes configuration changes to the history and reads them."""
 
     __slots__ = ("_recorded", "_store")
 
@@ -29,21 +29,21 @@
         self._recorded = 0
 
     async def start(self, kernel: kernel.Kernel) -> None:
-        """Finds the store."""
+        """Looks up the store service."""
         self._store = kernel.find("store")
 
     def dump(self) -> dict[str, Any]:
-        """Returns the highest number that this VM has recorded."""
+        """Returns the highest number that this VM has archived."""
         return {"recorded": self._recorded}
 
     async def record(
         self, version: config.Version
     ) -> result.Result[history.Block, errors.Failure]:
-        """Makes sure that the change of a version is in the history.
+        """Ensures that the history contains the change of a version.
 
-        Called before the version's value is overwritten: a VM that dies in
-        between leaves the change twice, never nowhere. The block is written
-        last, so that whatever it refers to is there.
+        Called before the version is overwritten: a VM that crashes in between
+        leaves the change stored twice, but never loses it. The block is
+        written last, after every value that it refers to.
 
         Args:
             version: The version in force.
@@ -55,25 +55,25 @@
             return result.Ok(history.Block())
         change = history.change_of(version)
         key = history.block_key(history.block_of(version.number))
-        for _ in range(_MAX_TRIES):
-            read = await self._block(key)
+        for _ in range(_MAX_ATTEMPTS):
+            read = await self._read_block(key)
             if isinstance(read, result.Err):
                 return read
             block, revision = read.ok_value
             if block.last >= version.number:
                 self._recorded = max(self._recorded, version.number)
                 return result.Ok(block)
-            ready = await self._prepare(version, change)
-            if isinstance(ready, result.Err):
-                return ready
+            dependencies = await self._write_dependencies(version, change)
+            if isinstance(dependencies, result.Err):
+                return dependencies
             block = history.append(block, change)
             value = history.encode(block)
             wrote = await self._store.compare_and_swap(key, value, revision)
             if wrote.is_ok():
-                await self._thin(version.number)
+                await self._thin_snapshots(version.number)
                 self._recorded = max(self._recorded, version.number)
                 return result.Ok(block)
-            # After a lost race or a lost answer the next read tells.
+            # After a lost race or a lost response, the next read shows which.
         return errors.failed(
             errors.ErrorKind.STORE_UNKNOWN, "No write succeeded."
         )
@@ -82,12 +82,14 @@
         self, number: int
     ) -> result.Result[config.Change | None, errors.Failure]:
         """Reads one change with its operations; None if there is none."""
-        read = await self._block(history.block_key(history.block_of(number)))
+        read = await self._read_block(
+            history.block_key(history.block_of(number))
+        )
         if isinstance(read, result.Err):
             return read
         for change in read.ok_value[0].changes:
             if change.number == number:
-                return await self._whole(change)
+                return await self._with_operations(change)
         return result.Ok(None)
 
     async def changes(
@@ -95,11 +97,11 @@
     ) -> AsyncIterator[result.Result[config.Change, errors.Failure]]:
         """Yields changes with lower numbers, newest first.
 
-        Long operations are left out; `change` reads them. Ends after a
+        Long operations are omitted; `change` reads them. Stops after a
         failure.
         """
         for index in range(history.block_of(max(before - 1, 0)), -1, -1):
-            read = await self._block(history.block_key(index))
+            read = await self._read_block(history.block_key(index))
             if isinstance(read, result.Err):
                 yield read
                 return
@@ -115,8 +117,8 @@
         raw: Any = None
         for index in range(history.block_of(number), -1, -1):
             start = index * history.SPAN
-            read = await self._block(history.block_key(index))
-            snapshot = await self._snapshot(index)
+            read = await self._read_block(history.block_key(index))
+            snapshot = await self._read_snapshot(index)
             for outcome in (read, snapshot):
                 if isinstance(outcome, result.Err):
                     return outcome
@@ -141,7 +143,7 @@
     ) -> result.Result[config.Document, errors.Failure]:
         whole = []
         for change in found:
-            read = await self._whole(change)
+            read = await self._with_operations(change)
             if isinstance(read, result.Err):
                 return read
             whole.append(read.ok_value)
@@ -152,7 +154,7 @@
             return errors.failed(errors.ErrorKind.INTERNAL, replayed.err_value)
         return replayed
 
-    async def _whole(
+    async def _with_operations(
         self, change: config.Change
     ) -> result.Result[config.Change, errors.Failure]:
         if change.operations:
@@ -170,39 +172,39 @@
             msgspec.structs.replace(change, operations=decoded.ok_value)
         )
 
-    async def _prepare(
+    async def _write_dependencies(
         self, version: config.Version, change: config.Change
     ) -> result.Result[None, errors.Failure]:
-        """Writes what the block will refer to."""
+        """Writes the snapshot and operations that the block refers to."""
         if version.number % history.SPAN == 0:
             key = history.snapshot_key(history.block_of(version.number))
             raw = patches.to_raw(version.document)
-            wrote = await self._create(key, history.encode_json(raw))
+            wrote = await self._create_if_absent(key, history.encode_json(raw))
             if isinstance(wrote, result.Err):
                 return wrote
         if history.is_long(change):
             key = history.operations_key(change.number)
             value = history.encode_json(change.operations)
-            return await self._create(key, value)
+            return await self._create_if_absent(key, value)
         return result.Ok(None)
 
-    async def _create(
+    async def _create_if_absent(
         self, key: str, value: bytes
     ) -> result.Result[None, errors.Failure]:
-        """Writes a value that is the same whoever writes it."""
+        """Writes a value that is identical on every VM, unless it exists."""
         outcome = await self._store.compare_and_swap(key, value, 0)
         if isinstance(outcome, result.Err):
             failure = outcome.err_value
             if isinstance(failure, errors.Failure):
-                # An unknown outcome counts as a failure here: the block must
-                # not refer to a value that may be missing.
+                # An unknown outcome counts as a failure: the block must not
+                # refer to a value that may be missing.
                 return result.Err(failure)
         return result.Ok(None)
 
-    async def _thin(self, number: int) -> None:
-        """Empties a snapshot that others make up for.
+    async def _thin_snapshots(self, number: int) -> None:
+        """Empties a snapshot that can be rebuilt from the others.
 
-        Left undone by a crash it costs space and nothing else.
+        If a crash prevents this, the only cost is store space.
         """
         index = history.thinned_by(number)
         if index is None:
@@ -214,7 +216,7 @@
                 key, history.thinned(), read.ok_value.revision
             )
 
-    async def _block(
+    async def _read_block(
         self, key: str
     ) -> result.Result[tuple[history.Block, int], errors.Failure]:
         read = await self._store.get(key)
@@ -229,7 +231,9 @@
             )
         return result.Ok((decoded.ok_value, read.ok_value.revision))
 
-    async def _snapshot(self, index: int) -> result.Result[Any, errors.Failure]:
+    async def _read_snapshot(
+        self, index: int
+    ) -> result.Result[Any, errors.Failure]:
         key = history.snapshot_key(index)
         read = await self._store.get(key)
         if isinstance(read, result.Err):
--- a/packages/mimosastile-entry/src/mimosastile_entry/_audit.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_audit.py
@@ -1,7 +1,7 @@
-"""The audit service: who called the administration API, kept in the store.
+"""Audit service: records administration API calls in the store.
 
-Accepted patches are kept for good by the history. Here stand refusals and
-other calls that matter, the newest of each zone.
+The history keeps accepted patches permanently. The audit log keeps the most
+recent refusals and other notable calls of each zone.
 """
 
 import asyncio
@@ -18,21 +18,21 @@
 from mimosastile_entry import ports
 
 PREFIX = "audit/"
-KEPT = 500
-"""Entries that a zone keeps; well under a megabyte."""
+MAX_ENTRIES = 500
+"""Maximum number of entries per zone; well under a megabyte."""
 
 _PREFIX = "audit:"
-_FLUSH_SECONDS = 10.0
-"""Shortest time between two writes of a VM: guessing tokens must not become
-a load on the store."""
-_DETAIL_LENGTH = 300
+_FLUSH_INTERVAL_SECONDS = 10.0
+"""Shortest interval between two writes of a VM, so that callers who guess
+tokens cannot load the store."""
+_MAX_DETAIL_LENGTH = 300
 
 _ENTRIES = msgspec.json.Decoder(tuple[administration.AuditEntry, ...])
 Entries = tuple[administration.AuditEntry, ...]
 
 
 class AuditService:
-    """Collects entries and adds them to the zone's list in the store."""
+    """Buffers entries and appends them to the zone's list in the store."""
 
     __slots__ = (
         "_clock",
@@ -47,19 +47,19 @@
     )
 
     def __init__(self, vm: str, zone: str) -> None:
-        """Makes the service.
+        """Initializes the service.
 
         Args:
             vm: Identifier of this VM.
-            zone: Its availability zone; its VMs share one list, so that the
-                store does not keep one for each VM there ever was.
+            zone: Its availability zone. All VMs of a zone share one list, so
+                that the store does not keep a list for every replaced VM.
         """
         self.name = "audit"
         self.needs: tuple[str, ...] = ("store", "clock")
         self._vm = vm
         self._zone = zone
         self._pending: collections.deque[administration.AuditEntry] = (
-            collections.deque(maxlen=KEPT)
+            collections.deque(maxlen=MAX_ENTRIES)
         )
         self._dropped = 0
         self._store: ports.StorePort
@@ -67,34 +67,36 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self, kernel: kernel.Kernel) -> None:
-        """Begins to write at an interval."""
+        """Starts the periodic flush."""
         self._store = kernel.find("store")
         self._clock = kernel.find("clock")
-        self._task = asyncio.create_task(self._flush_always(), name="audit")
+        self._task = asyncio.create_task(
+            self._flush_periodically(), name="audit"
+        )
 
     async def stop(self) -> None:
-        """Writes what is left."""
+        """Stops the periodic flush and writes the buffered entries."""
         if self._task is not None:
             self._task.cancel()
         await self.flush()
 
     def dump(self) -> dict[str, Any]:
-        """Returns how many entries wait to be written."""
+        """Returns the counts of buffered and dropped entries."""
         return {"pending": len(self._pending), "dropped": self._dropped}
 
     def note(
         self, operator: str, action: str, outcome: str, detail: str = ""
     ) -> None:
-        """Keeps an entry, to be written soon."""
-        if len(self._pending) == KEPT:
+        """Buffers an entry for the next flush."""
+        if len(self._pending) == MAX_ENTRIES:
             self._dropped += 1
         entry = administration.AuditEntry(
             self._clock.wall(),
             self._vm,
             operator,
-            action[:_DETAIL_LENGTH],
+            action[:_MAX_DETAIL_LENGTH],
             outcome,
-            detail[:_DETAIL_LENGTH],
+            detail[:_MAX_DETAIL_LENGTH],
         )
         self._pending.append(entry)
         logging.info(
@@ -117,22 +119,22 @@
         return result.Ok(sorted(merged, key=lambda e: e.time, reverse=True))
 
     async def flush(self) -> None:
-        """Adds what waits to the zone's list; keeps it if that fails."""
+        """Writes buffered entries to the zone's list; keeps them on failure."""
         if not self._pending:
             return
         key = PREFIX + self._zone
         read = await self._store.get(key)
         if isinstance(read, result.Err):
             return
-        held = read.ok_value
+        stored = read.ok_value
         new = tuple(self._pending)
-        before = _decode(held.value) if held else ()
-        # After a lost answer the entries stand there already.
-        known = set(before)
-        added = (entry for entry in new if entry not in known)
-        value = msgspec.json.encode((*before, *added)[-KEPT:])
+        before = _decode(stored.value) if stored else ()
+        # After a lost response, the list may already contain the entries.
+        recorded = set(before)
+        added = (entry for entry in new if entry not in recorded)
+        value = msgspec.json.encode((*before, *added)[-MAX_ENTRIES:])
         wrote = await self._store.compare_and_swap(
-            key, value, held.revision if held else 0
+            key, value, stored.revision if stored else 0
         )
         if wrote.is_ok():
             written = set(new)
@@ -140,9 +142,9 @@
             self._pending.clear()
             self._pending.extend(left)
 
-    async def _flush_always(self) -> None:
+    async def _flush_periodically(self) -> None:
         while True:
-            await asyncio.sleep(_FLUSH_SECONDS)
+            await asyncio.sleep(_FLUSH_INTERVAL_SECONDS)
             await self.flush()
 
 
--- a/packages/mimosastile-entry/src/mimosastile_entry/_auth.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_auth.py
@@ -1,4 +1,4 @@
-"""Authentication between entry VMs: signed heads, fresh and used once."""
+"""Authentication between entry VMs: signed heads with replay protection."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -15,34 +15,34 @@
 Clock = Callable[[], float]
 
 STREAMED = "streamed"
-"""Stands for the digest of a body that is not whole when it is signed."""
+"""Replaces the digest of a body that is still streaming when signed."""
 
 _UNSIGNED = frozenset(
     {"host", "content-length", "transfer-encoding", "connection", _wire.AUTH}
 )
-_PARTS = 4
-_STAMPS = 1000
-"""Different stamps in a second."""
-_MAX_DIGITS = 15
+_AUTH_PARTS = 4
+_TICK_RATE = 1000
+"""Resolution of a time stamp: ticks per second."""
+_MAX_STAMP_DIGITS = 15
 
 
 class Signer:
-    """Signs what this VM sends and checks what peers send.
+    """Signs requests of this VM and verifies requests of peers.
 
-    A signature covers method, path, headers, digest of the body, receiver,
-    time and a number used once. Two keys are valid at a time while they are
-    rotated: every VM first learns the new one, then signs with it.
+    A signature covers method, path, headers, body digest, receiver, time
+    stamp and nonce. Two keys are valid during key rotation: every VM first
+    receives the new key, and only then signs with it.
     """
 
     __slots__ = (
+        "_counter",
+        "_incarnation",
         "_keys",
         "_nonces",
-        "_number",
-        "_run",
-        "_seen",
+        "_previous_nonces",
+        "_rotated_at",
         "_sign_with",
-        "_started",
-        "_turned",
+        "_started_at",
         "_vm",
         "_wall",
         "_window",
@@ -56,13 +56,13 @@
         window: float,
         wall: Clock = time.time,
     ) -> None:
-        """Makes a signer.
+        """Initializes the signer.
 
         Args:
             vm: Identifier of this VM.
-            keys: Secrets by key identifier; none turns the checks off.
+            keys: Secrets by key identifier; if empty, checks are disabled.
             sign_with: Identifier of the key to sign with.
-            window: Seconds by which a message may be old, or clocks differ.
+            window: Maximum age of a message and clock skew, in seconds.
             wall: Wall clock in seconds.
         """
         self._vm = vm
@@ -70,16 +70,16 @@
         self._sign_with = sign_with
         self._window = window
         self._wall = wall
-        self._run = secrets.token_hex(8)
-        self._number = itertools.count()
-        self._started = wall()
-        self._turned = self._started
+        self._incarnation = secrets.token_hex(8)
+        self._counter = itertools.count()
+        self._started_at = wall()
+        self._rotated_at = self._started_at
         self._nonces: set[str] = set()
-        self._seen: set[str] = set()
+        self._previous_nonces: set[str] = set()
 
     @property
     def enabled(self) -> bool:
-        """Whether peers must sign."""
+        """Whether peers must sign their requests."""
         return bool(self._keys)
 
     def sign(
@@ -102,12 +102,12 @@
         if not self._keys:
             return []
         digest = STREAMED if body is None else _digest(body)
-        # Rounded up: a stamp that lay before the start of a receiver that has
-        # just started would be taken for an old message.
-        stamp = f"{math.ceil(self._wall() * _STAMPS) / _STAMPS:.3f}"
-        nonce = f"{self._run}{next(self._number):x}"
+        # Rounded up: a receiver that has just started would reject a stamp
+        # before its start as an old message.
+        stamp = f"{math.ceil(self._wall() * _TICK_RATE) / _TICK_RATE:.3f}"
+        nonce = f"{self._incarnation}{next(self._counter):x}"
         signed = [(_wire.BODY_DIGEST, digest), *headers]
-        text = _text(to, method, path, stamp, nonce, signed)
+        text = _signed_text(to, method, path, stamp, nonce, signed)
         mac = _mac(self._keys[self._sign_with], text)
         value = f"{self._sign_with}:{stamp}:{nonce}:{mac}"
         return [(_wire.BODY_DIGEST, digest), (_wire.AUTH, value)]
@@ -115,38 +115,39 @@
     def check(
         self, method: str, path: str, headers: list[tuple[str, str]]
     ) -> bool:
-        """Whether a peer signed this head for this VM, just now, once."""
+        """Whether a peer signed this head for this VM, recently, no replay."""
         given = [value for name, value in headers if name == _wire.AUTH]
         parts = given[0].split(":") if len(given) == 1 else []
-        if len(parts) != _PARTS:
+        if len(parts) != _AUTH_PARTS:
             return False
         name, stamp, nonce, mac = parts
         key = self._keys.get(name)
         if key is None or not self._is_fresh(stamp):
             return False
-        text = _text(self._vm, method, path, stamp, nonce, headers)
+        text = _signed_text(self._vm, method, path, stamp, nonce, headers)
         good = hmac.compare_digest(_mac(key, text).encode(), mac.encode())
-        return good and self._is_first(nonce)
+        return good and self._is_new(nonce)
 
     def _is_fresh(self, stamp: str) -> bool:
         whole, _, part = stamp.partition(".")
-        if not (whole + part).isdecimal() or len(stamp) > _MAX_DIGITS:
+        if not (whole + part).isdecimal() or len(stamp) > _MAX_STAMP_DIGITS:
             return False
         sent = float(stamp)
-        # A restarted daemon has forgotten what it has seen, so nothing from
-        # before its start counts; a recorded move could be played again.
+        # A restarted daemon has lost its nonces, so it rejects messages from
+        # before its start: a recorded move could be replayed.
         return (
-            abs(self._wall() - sent) <= self._window and sent >= self._started
+            abs(self._wall() - sent) <= self._window
+            and sent >= self._started_at
         )
 
-    def _is_first(self, nonce: str) -> bool:
+    def _is_new(self, nonce: str) -> bool:
         now = self._wall()
-        # Two generations, each as long as a message can be valid, bound the
-        # memory without a timer for each number.
-        if now - self._turned > 2 * self._window:
-            self._seen, self._nonces = self._nonces, set()
-            self._turned = now
-        if nonce in self._nonces or nonce in self._seen:
+        # Two generations of nonces, each as long as a message can be valid,
+        # bound the memory without a timer per nonce.
+        if now - self._rotated_at > 2 * self._window:
+            self._previous_nonces, self._nonces = self._nonces, set()
+            self._rotated_at = now
+        if nonce in self._nonces or nonce in self._previous_nonces:
             return False
         self._nonces.add(nonce)
         return True
@@ -165,7 +166,7 @@
     return hmac.digest(key, text.encode("utf-8", "replace"), "sha256").hex()
 
 
-def _text(
+def _signed_text(
     to: str,
     method: str,
     path: str,
@@ -178,5 +179,5 @@
         for name, value in headers
         if name not in _UNSIGNED
     )
-    # Lengths cannot be confused: no part contains a line end.
+    # Unambiguous without length prefixes: no part contains a line break.
     return "\n".join((to, method, path, stamp, nonce, *lines))
--- a/packages/mimosastile-entry/src/mimosastile_entry/_background.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_background.py
@@ -1,4 +1,4 @@
-"""Work that a service starts and does not wait for."""
+"""Background tasks that a service starts without awaiting them."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -6,10 +6,10 @@
 
 
 class Background:
-    """Keeps tasks until they end.
+    """Holds strong references to tasks until they end.
 
-    The loop itself holds tasks weakly: one that nobody else holds may vanish
-    in the middle of its work, seen as a message that is never sent.
+    The event loop holds tasks weakly: a task without another reference may
+    be garbage collected while it runs, and its message is never sent.
     """
 
     __slots__ = ("_tasks",)
@@ -20,17 +20,17 @@
     def start(
         self, work: Coroutine[Any, Any, Any], name: str | None = None
     ) -> None:
-        """Starts work.
+        """Starts a task.
 
         Args:
-            work: The work.
-            name: Name of its task, for debugging.
+            work: Coroutine to run.
+            name: Name of the task, for debugging.
         """
         task = asyncio.create_task(work, name=name)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def cancel(self) -> None:
-        """Cancels whatever has not ended."""
+        """Cancels all unfinished tasks."""
         for task in self._tasks:
             task.cancel()
--- a/packages/mimosastile-entry/src/mimosastile_entry/_clock.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_clock.py
@@ -1,4 +1,4 @@
-"""Clock and identifiers of a running daemon."""
+"""Clock, identifiers and random numbers of a running daemon."""
 
 import asyncio
 import random
@@ -10,36 +10,37 @@
 
 
 class LoopClock(kernel.Passive):
-    """Takes time from the running loop, so that a virtual loop sets it."""
+    """Reads time from the running loop, so that tests can control it."""
 
     __slots__ = ("_random", "_seeded")
 
     def __init__(self, seed: int | None = None) -> None:
-        """Makes a clock.
+        """Initializes the clock.
 
         Args:
-            seed: Makes identifiers and jitter repeatable; None for real ones.
+            seed: Makes identifiers and jitter reproducible; None for random
+                ones.
         """
         super().__init__("clock")
         self._random = random.Random(seed)
         self._seeded = seed is not None
 
     def dump(self) -> dict[str, Any]:
-        """Returns the present loop time."""
+        """Returns the current loop time in seconds."""
         return {"now": self.now()}
 
     def now(self) -> float:
-        """Returns the loop's monotonic seconds."""
+        """Returns the loop's monotonic time in seconds."""
         return asyncio.get_running_loop().time()
 
     def wall(self) -> float:
-        """Returns seconds since 1970 UTC; loop time if seeded."""
+        """Returns the Unix time in seconds, or the loop time if seeded."""
         return self.now() if self._seeded else time.time()
 
     def new_id(self) -> str:
-        """Returns an identifier that is never used again."""
+        """Returns a unique identifier."""
         return uuid.UUID(int=self._random.getrandbits(128), version=4).hex
 
     def random(self) -> float:
-        """Returns a number from 0 to 1."""
+        """Returns a random number in [0, 1)."""
         return self._random.random()
--- a/packages/mimosastile-entry/src/mimosastile_entry/_configuration.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration service: takes patches and tells how they fared."""
+"""Configuration service: applies patches and reports their outcome."""
 
 import asyncio
 from collections.abc import Callable
@@ -22,28 +22,28 @@
 from mimosastile_entry import ports
 
 _PREFIX = "configuration:"
-_MAX_TRIES = 6
-_RETRY_SECONDS = 0.1
-_PEER_SECONDS = 0.5
-_MAX_MEANWHILE = 50
+_MAX_ATTEMPTS = 6
+_RETRY_BACKOFF_SECONDS = 0.1
+_PEER_TIMEOUT_SECONDS = 0.5
+_MAX_CONFLICTING_CHANGES = 50
 
 Allowed = Callable[[tuple[str, ...]], errors.Failure | None]
-"""Says why an operator may not change paths, None if it may."""
+"""Returns why an operator may not change paths, or None if permitted."""
 
 
-class _Held(msgspec.Struct, frozen=True):
-    """The version in the store and its revision there."""
+class _Stored(msgspec.Struct, frozen=True):
+    """The stored configuration version and its store revision."""
 
     version: config.Version
     revision: int
 
 
 Outcome = result.Result[administration.Accepted, administration.Rejected]
-_HeldResult = result.Result[_Held, errors.Failure]
+_StoredResult = result.Result[_Stored, errors.Failure]
 
 
 class ConfigurationService:
-    """Accepts patches by compare-and-swap and answers questions about them."""
+    """Applies patches by compare-and-swap and serves the change history."""
 
     __slots__ = (
         "_accepted",
@@ -60,7 +60,7 @@
     )
 
     def __init__(self, vm: str) -> None:
-        """Makes the service.
+        """Initializes the service.
 
         Args:
             vm: Identifier of this VM.
@@ -86,7 +86,7 @@
         self._clock: ports.ClockPort
 
     async def start(self, kernel: kernel.Kernel) -> None:
-        """Finds the services it needs and answers peers' questions."""
+        """Looks up its services and registers its peer message handler."""
         self._store = kernel.find("store")
         self._state = kernel.find("state")
         self._archive = kernel.find("archive")
@@ -94,15 +94,15 @@
         self._fleet = kernel.find("fleet")
         self._clock = kernel.find("clock")
         inbox: _inbox.InboxService = kernel.find("inbox")
-        inbox.handle(messages.NumberRequest, self._answer_number)
-        self._state.replica.subscribe(self._tell_drains)
-        self._tell_drains()
+        inbox.handle(messages.NumberRequest, self._handle_number_request)
+        self._state.replica.subscribe(self._update_drains)
+        self._update_drains()
 
     async def stop(self) -> None:
-        """Does nothing; what is under way settles by its patch's id."""
+        """Does nothing; a retry with the same id resolves open patches."""
 
     def dump(self) -> dict[str, Any]:
-        """Returns the number in force here and counts of patches."""
+        """Returns the number in force at this VM and the patch counts."""
         return {
             "number": self.current.number,
             "accepted": self._accepted,
@@ -119,10 +119,10 @@
         self, patch: patches.Patch, allowed: Allowed
     ) -> result.Result[administration.Preview, administration.Rejected]:
         """Checks a patch against the version in force without applying it."""
-        held = await self._read()
-        if isinstance(held, result.Err):
-            return result.Err(administration.Rejected(held.err_value))
-        version = held.ok_value.version
+        stored = await self._read()
+        if isinstance(stored, result.Err):
+            return result.Err(administration.Rejected(stored.err_value))
+        version = stored.ok_value.version
         if version.number != patch.base:
             return result.Err(await self._conflict(patch, version))
         proposal = _proposed(version, patch, allowed)
@@ -130,37 +130,39 @@
             return result.Err(
                 administration.Rejected(proposal.err_value, version.number)
             )
-        made = proposal.ok_value
+        proposed = proposal.ok_value
         return result.Ok(
-            administration.Preview(patch.base, made.paths, made.document)
+            administration.Preview(
+                patch.base, proposed.paths, proposed.document
+            )
         )
 
     async def apply(
         self, patch: patches.Patch, author: str, allowed: Allowed
     ) -> Outcome:
-        """Makes a patch the next number, or says why not.
+        """Applies a patch as the next number, or returns why it cannot.
 
-        A base is followed by one number only, so a patch can be accepted once
-        at most, under the number after its base. After a lost answer the
-        patch with that number tells whether it was this one. A write that may
-        still take effect late is raced with the same write: the revision lets
-        only one of them through.
+        Exactly one number follows a base, so a patch is accepted at most once,
+        under the number after its base. After a lost response, the patch
+        stored under that number shows whether it was this one. While a write
+        may still take effect late, the same write is repeated: the store
+        revision admits only one of the two.
 
         Args:
             patch: The patch.
             author: Operator who sent it.
-            allowed: Says whether the author may touch what the patch touches.
+            allowed: Checks whether the author may change the patch's paths.
 
         Returns:
             The new number, or why the patch was not accepted. The kind
-            `STORE_UNKNOWN` means that it may be accepted yet; sending it
-            again with the same identifier settles it.
+            `STORE_UNKNOWN` means that it may still be accepted; sending it
+            again with the same identifier resolves this.
         """
         outcome = await self._apply(patch, author, allowed)
         if isinstance(outcome, result.Ok):
             self._accepted += not outcome.ok_value.repeated
             logging.info(
-                "%s patch %s by %s is number %d.",
+                "%s patch %s by %s was accepted as number %d.",
                 _PREFIX,
                 patch.id,
                 author,
@@ -193,21 +195,21 @@
         self, number: int
     ) -> result.Result[config.Change, errors.Failure]:
         """Reads one change with its operations."""
-        held = await self._read()
-        if isinstance(held, result.Err):
-            return held
-        return await self._change(number, held.ok_value.version)
+        stored = await self._read()
+        if isinstance(stored, result.Err):
+            return stored
+        return await self._change(number, stored.ok_value.version)
 
     async def document(
         self, number: int
     ) -> result.Result[config.Document, errors.Failure]:
-        """Returns the document of a number, rebuilt if it is an old one."""
+        """Returns the document of a number; rebuilds an earlier one."""
         if number == self.current.number:
             return result.Ok(self.current.document)
-        held = await self._read()
-        if isinstance(held, result.Err):
-            return held
-        version = held.ok_value.version
+        stored = await self._read()
+        if isinstance(stored, result.Err):
+            return stored
+        version = stored.ok_value.version
         if number == version.number:
             return result.Ok(version.document)
         if number > version.number:
@@ -231,28 +233,30 @@
         )
 
     async def in_force(self, number: int) -> administration.InForce:
-        """Asks every listed entry VM which number is in force there."""
+        """Queries all listed entry VMs for their number in force."""
         peers = self._fleet.peers()
-        question = messages.NumberRequest(self._vm)
+        request = messages.NumberRequest(self._vm)
         replies = await asyncio.gather(
             *(
-                self._peers.call(vm, question, _PEER_SECONDS)
+                self._peers.call(vm, request, _PEER_TIMEOUT_SECONDS)
                 for vm in peers.values()
             )
         )
         numbers: dict[str, int | None] = {self._vm: self.current.number}
         for vm, reply in zip(peers, replies, strict=True):
-            told = reply.ok()
+            response = reply.ok()
             numbers[vm] = (
-                told.number if isinstance(told, messages.NumberReply) else None
+                response.number
+                if isinstance(response, messages.NumberReply)
+                else None
             )
         return administration.InForce(number, dict(sorted(numbers.items())))
 
-    def _tell_drains(self) -> None:
+    def _update_drains(self) -> None:
         services = self.current.document.services.values()
         self._fleet.drain(frozenset(vm for s in services for vm in s.drains))
 
-    def _answer_number(
+    def _handle_number_request(
         self, request: messages.NumberRequest
     ) -> messages.NumberReply:
         del request
@@ -261,39 +265,45 @@
     async def _apply(
         self, patch: patches.Patch, author: str, allowed: Allowed
     ) -> Outcome:
-        unsure = False
-        for attempt in range(_MAX_TRIES):
-            await asyncio.sleep(_RETRY_SECONDS * attempt)
-            tried = await self._try(patch, author, allowed)
-            if tried is None:
+        outcome_unknown = False
+        for attempt in range(_MAX_ATTEMPTS):
+            await asyncio.sleep(_RETRY_BACKOFF_SECONDS * attempt)
+            outcome = await self._attempt(patch, author, allowed)
+            if outcome is None:
                 continue
-            if isinstance(tried, result.Ok):
-                return tried
-            kind = tried.err_value.failure.kind
-            unsure = unsure or kind is errors.ErrorKind.STORE_UNKNOWN
-            # Once a write's fate is unknown, an outage tells nothing about
-            # it: saying "not accepted" could turn out wrong later.
-            if not (unsure and kind in _STORE_KINDS):
-                return tried
-        return result.Err(administration.Rejected(_UNSURE if unsure else _BUSY))
-
-    async def _try(
+            if isinstance(outcome, result.Ok):
+                return outcome
+            kind = outcome.err_value.failure.kind
+            outcome_unknown = (
+                outcome_unknown or kind is errors.ErrorKind.STORE_UNKNOWN
+            )
+            # Once the outcome of a write is unknown, a store outage does
+            # not resolve it: a rejection could turn out wrong later.
+            if not (outcome_unknown and kind in _STORE_KINDS):
+                return outcome
+        return result.Err(
+            administration.Rejected(
+                _OUTCOME_UNKNOWN if outcome_unknown else _LOST_RACES
+            )
+        )
+
+    async def _attempt(
         self, patch: patches.Patch, author: str, allowed: Allowed
     ) -> Outcome | None:
-        """Tries once; None if another write came first."""
-        held = await self._read()
-        if isinstance(held, result.Err):
-            return result.Err(administration.Rejected(held.err_value))
-        version = held.ok_value.version
+        """Makes one attempt; returns None if another write came first."""
+        stored = await self._read()
+        if isinstance(stored, result.Err):
+            return result.Err(administration.Rejected(stored.err_value))
+        version = stored.ok_value.version
         if version.number != patch.base:
-            return await self._settle(patch, author, version)
+            return await self._resolve_outcome(patch, author, version)
         proposal = _proposed(version, patch, allowed)
         if isinstance(proposal, result.Err):
             return result.Err(
                 administration.Rejected(proposal.err_value, version.number)
             )
         wrote = await self._write(
-            held.ok_value, patch, author, proposal.ok_value
+            stored.ok_value, patch, author, proposal.ok_value
         )
         if isinstance(wrote, result.Ok):
             return wrote
@@ -303,26 +313,26 @@
 
     async def _write(
         self,
-        held: _Held,
+        stored: _Stored,
         patch: patches.Patch,
         author: str,
         proposal: patches.Proposal,
     ) -> result.Result[administration.Accepted, errors.Failure]:
-        """Records the version in force, then puts the next in its place."""
-        recorded = await self._archive.record(held.version)
+        """Archives the version in force, then replaces it with the next."""
+        recorded = await self._archive.record(stored.version)
         if isinstance(recorded, result.Err):
-            # Nothing of this patch has been written yet.
+            # No part of this patch has been written yet.
             detail = recorded.err_value.detail
             return errors.failed(errors.ErrorKind.STORE_UNAVAILABLE, detail)
-        # A patch whose outcome was open, moved to a newer base under its old
-        # identifier, would be applied twice if the first try had succeeded.
-        for known in recorded.ok_value.changes:
-            if known.id == patch.id:
+        # A patch with an unknown outcome that is rebased under the same
+        # identifier would be applied twice if the first attempt succeeded.
+        for recorded_change in recorded.ok_value.changes:
+            if recorded_change.id == patch.id:
                 return errors.failed(
                     errors.ErrorKind.BAD_REQUEST,
-                    f"{patch.id} is number {known.number} already.",
+                    f"{patch.id} is number {recorded_change.number} already.",
                 )
-        number = held.version.number + 1
+        number = stored.version.number + 1
         change = config.Change(
             number=number,
             id=patch.id,
@@ -335,7 +345,7 @@
         )
         version = config.Version(number, proposal.document, change)
         wrote = await self._store.compare_and_swap(
-            _state.CONFIG_KEY, msgspec.json.encode(version), held.revision
+            _state.CONFIG_KEY, msgspec.json.encode(version), stored.revision
         )
         if isinstance(wrote, result.Ok):
             self._state.replica.offer_config(version)
@@ -344,16 +354,16 @@
             return errors.failed(errors.ErrorKind.CONFLICT, "")
         return result.Err(wrote.err_value)
 
-    async def _settle(
+    async def _resolve_outcome(
         self, patch: patches.Patch, author: str, version: config.Version
     ) -> Outcome:
-        """Says how a patch fared whose base is not the version in force."""
+        """Resolves a patch whose base is not the version in force."""
         if patch.base > version.number:
             return result.Err(await self._conflict(patch, version))
         follower = await self._change(patch.base + 1, version)
         if isinstance(follower, result.Err):
             if follower.err_value.kind is not errors.ErrorKind.NOT_FOUND:
-                return result.Err(administration.Rejected(_UNSURE))
+                return result.Err(administration.Rejected(_OUTCOME_UNKNOWN))
             return result.Err(await self._conflict(patch, version))
         change = follower.ok_value
         if change.id != patch.id:
@@ -377,13 +387,15 @@
     async def _conflict(
         self, patch: patches.Patch, version: config.Version
     ) -> administration.Rejected:
-        """Tells the loser of a race what was accepted meanwhile."""
+        """Returns a conflict with the changes accepted since the base."""
         detail = f"Base is {patch.base}, in force is {version.number}."
         failure = errors.Failure(errors.ErrorKind.CONFLICT, detail)
         since = version.number - patch.base
         if since <= 0:
             return administration.Rejected(failure, version.number)
-        newest = await self._collect(0, min(since, _MAX_MEANWHILE), "")
+        newest = await self._collect(
+            0, min(since, _MAX_CONFLICTING_CHANGES), ""
+        )
         changes = newest.unwrap_or([])
         return administration.Rejected(
             failure,
@@ -400,11 +412,11 @@
     async def _collect(
         self, before: int, limit: int, path: str
     ) -> result.Result[list[config.Change], errors.Failure]:
-        """Reads changes newest first; before 0 means from the newest on."""
-        held = await self._read()
-        if isinstance(held, result.Err):
-            return held
-        version = held.ok_value.version
+        """Reads changes newest first; 0 for `before` starts at the newest."""
+        stored = await self._read()
+        if isinstance(stored, result.Err):
+            return stored
+        version = stored.ok_value.version
         found: list[config.Change] = []
         if version.number and (not before or version.number < before):
             found.extend(history.blame([history.change_of(version)], path))
@@ -429,40 +441,40 @@
             return errors.failed(errors.ErrorKind.NOT_FOUND, f"number {number}")
         return result.Ok(read.ok_value)
 
-    async def _read(self) -> _HeldResult:
+    async def _read(self) -> _StoredResult:
         """Reads the version in force from the store."""
         read = await self._store.get(_state.CONFIG_KEY)
         if isinstance(read, result.Err):
             return read
-        held = _Held(config.Version(0, config.Document()), 0)
+        stored = _Stored(config.Version(0, config.Document()), 0)
         if read.ok_value is not None:
             decoded = config.decode_version(read.ok_value.value)
             if isinstance(decoded, result.Err):
                 return errors.failed(
                     errors.ErrorKind.INTERNAL, decoded.err_value
                 )
-            held = _Held(decoded.ok_value, read.ok_value.revision)
-        self._state.replica.offer_config(held.version)
-        if held.version.number < self.current.number:
-            # A lagging read, or a store restored from a backup. Accepting a
-            # patch on it would give a number that is taken to something
-            # else; VMs would then disagree about what that number says.
+            stored = _Stored(decoded.ok_value, read.ok_value.revision)
+        self._state.replica.offer_config(stored.version)
+        if stored.version.number < self.current.number:
+            # Either a stale read or a store restored from a backup. A patch
+            # accepted here would reuse a number that is already in force,
+            # and VMs would hold different documents under that number.
             return errors.failed(
                 errors.ErrorKind.STORE_UNAVAILABLE,
-                f"The store holds number {held.version.number}, but"
+                f"The store holds number {stored.version.number}, but"
                 f" {self.current.number} is in force.",
             )
-        return result.Ok(held)
+        return result.Ok(stored)
 
 
 _STORE_KINDS = frozenset(
     {errors.ErrorKind.STORE_UNKNOWN, errors.ErrorKind.STORE_UNAVAILABLE}
 )
-_UNSURE = errors.Failure(
+_OUTCOME_UNKNOWN = errors.Failure(
     errors.ErrorKind.STORE_UNKNOWN,
     "The patch may be accepted yet; send it again with the same id.",
 )
-_BUSY = errors.Failure(
+_LOST_RACES = errors.Failure(
     errors.ErrorKind.STORE_UNAVAILABLE,
     "Other patches came first each time; nothing was changed.",
 )
--- a/packages/mimosastile-entry/src/mimosastile_entry/_credentials.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_credentials.py
@@ -1,4 +1,4 @@
-"""Which member a caller's credential belongs to."""
+"""Maps callers' credentials to members."""
 
 import hashlib
 import hmac
@@ -7,29 +7,29 @@
 
 
 class Credentials:
-    """Members by the digest of their bearer tokens."""
+    """Index of members by the digest of their bearer tokens."""
 
     __slots__ = ("_members", "_state")
 
     def __init__(self, state: _state.StateService) -> None:
-        """Follows the configuration.
+        """Builds the index and rebuilds it on configuration changes.
 
         Args:
             state: The state service.
         """
         self._state = state
         self._members: dict[bytes, tuple[bytes, str]] = {}
-        state.replica.subscribe(self._index)
-        self._index()
+        state.replica.subscribe(self._rebuild_index)
+        self._rebuild_index()
 
     def member_of(self, authorization: bytes) -> str | None:
         """Returns the member that a credential belongs to, None if unknown.
 
-        Tokens are looked up by digest alone, so the time that it takes tells
-        nothing about how much of a guess is right.
+        The lookup uses the digest alone, so its timing does not reveal how
+        much of a guessed token is correct.
 
         Args:
-            authorization: The value of the header.
+            authorization: The value of the Authorization header.
         """
         scheme, _, token = authorization.partition(b" ")
         token = token.strip()
@@ -41,7 +41,7 @@
             return None
         return found[1]
 
-    def _index(self) -> None:
+    def _rebuild_index(self) -> None:
         members = self._state.replica.config.document.members
         self._members = {
             bytes.fromhex(text): (bytes.fromhex(text), name)
--- a/packages/mimosastile-entry/src/mimosastile_entry/_propagation.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_propagation.py
@@ -234,11 +234,11 @@
 
     def _apply_batch(self, batch: ports.WatchBatch) -> None:
         if not batch.entries:
-            self._state.take(batch)
+            self._state.apply_batch(batch)
             return
         replica = self._state.replica
         pull, former = replica.pull(self._vm), dict(replica.blocks)
-        self._state.take(batch)
+        self._state.apply_batch(batch)
         delta = replica.with_changes(replica.delta(self._vm, pull), former)
         if _versions(delta):
             self._sends.start(self._push_to_zone(delta))
@@ -293,7 +293,7 @@
     def _receive_push(self, push: messages.Push) -> messages.Ack:
         self._increment("push_taken")
         self._pushed.update(_versions(push.delta))
-        self._state.merge_told(push.delta)
+        self._state.merge_delta(push.delta)
         self._push(push)
         return messages.Ack(self._vm)
 
--- a/packages/mimosastile-entry/src/mimosastile_entry/_proving.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_proving.py
@@ -187,7 +187,7 @@
 
     async def _settle(self, kept: _kept.Kept, block_id: tables.BlockId) -> None:
         try:
-            if not await self._state.settle(block_id):
+            if not await self._state.resolve_pending_writes(block_id):
                 kept.retry_at = self._clock.now() + _RETRY_SECONDS
         finally:
             self._settling_blocks.discard(block_id)
--- a/packages/mimosastile-entry/src/mimosastile_entry/_router.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_router.py
@@ -294,7 +294,7 @@
             )
         sent = await self._sending.forward(call, hop, peer)
         if sent.is_err() and _knows_better(sent.err()):
-            await self._state.learn_from(peer)
+            await self._state.pull_from(peer)
         return sent
 
     def _ender(self, call: _calls.Call, hop: _calls.Hop) -> ports.Closer:
--- a/packages/mimosastile-entry/src/mimosastile_entry/_state.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_state.py
@@ -1,4 +1,4 @@
-"""The state service: this VM's replica and how it learns and changes it."""
+"""State service: keeps this VM's replica current and writes table blocks."""
 
 import asyncio
 from collections.abc import Callable
@@ -32,20 +32,20 @@
 """Prefix of the store keys of table blocks."""
 
 CONFIG_PREFIX = "config/"
-"""Prefix of the store keys that all daemons read of the configuration."""
+"""Prefix of the configuration keys that every daemon reads."""
 
 _PREFIX = "state:"
-_PEER_SECONDS = 0.5
-_ASK_SECONDS = 0.1
-"""Shortest time between two questions to the same peer."""
-_MAX_TRIES = 8
-_CATCH_UP_TRIES = 5
+_PEER_TIMEOUT_SECONDS = 0.5
+_PULL_INTERVAL_SECONDS = 0.1
+"""Shortest interval between two pulls from the same peer."""
+_MAX_ATTEMPTS = 8
+_CATCH_UP_ATTEMPTS = 5
 
 Change = Callable[[tables.Block], result.Result[tables.Block, str]]
 
 
 class _Stored(msgspec.Struct, frozen=True):
-    """A block as it was read, with its revision in the store."""
+    """A block as read from the store, with its store revision."""
 
     block: tables.Block
     revision: int
@@ -56,22 +56,22 @@
     return f"{TABLE_PREFIX}{block.service}/{block.index}"
 
 
-# The property `writes` hides the module of that name inside the class.
+# Inside the class, the property `writes` shadows the module `writes`.
 PendingWrites = writes.PendingWrites
 
 
 class StateService:
-    """Keeps the replica up to date and makes changes by compare-and-swap."""
+    """Keeps the replica current and changes blocks by compare-and-swap."""
 
     __slots__ = (
-        "_asked_at",
         "_fleet",
         "_peers",
+        "_pulled_at",
         "_replica",
         "_revision",
         "_store",
         "_synced",
-        "_tellings",
+        "_tasks",
         "_vm",
         "_writes",
         "name",
@@ -79,7 +79,7 @@
     )
 
     def __init__(self, vm: str) -> None:
-        """Makes the service.
+        """Initializes the service.
 
         Args:
             vm: Identifier of this VM.
@@ -89,15 +89,16 @@
         self._vm = vm
         self._replica = replica.Replica()
         self._writes = writes.PendingWrites()
-        # Before all other listeners, so that these find the doubts settled.
-        self._replica.subscribe(self._note_seen)
+        # Subscribed first, so that the other subscribers run after the outcome
+        # of pending writes has been resolved.
+        self._replica.subscribe(self._observe_blocks)
         self._store: ports.StorePort
         self._peers: ports.PeerPort
         self._fleet: _fleet.FleetService
         self._revision = 0
         self._synced = False
-        self._tellings = _background.Background()
-        self._asked_at: dict[str, float] = {}
+        self._tasks = _background.Background()
+        self._pulled_at: dict[str, float] = {}
 
     @property
     def replica(self) -> replica.Replica:
@@ -106,38 +107,38 @@
 
     @property
     def writes(self) -> PendingWrites:
-        """Writes of this VM whose outcome is not known."""
+        """This VM's writes whose outcome is unknown."""
         return self._writes
 
     @property
     def revision(self) -> int:
-        """Revision up to which the store's changes were taken."""
+        """Store revision up to which changes have been applied."""
         return self._revision
 
     @property
     def synced(self) -> bool:
-        """Whether the last reading of the whole store succeeded."""
+        """Whether the last full read of the store succeeded."""
         return self._synced
 
     async def start(self, kernel: kernel.Kernel) -> None:
-        """Reads the store and asks peers for what it did not show."""
+        """Reads the store, then pulls newer state from peers."""
         self._store = kernel.find("store")
         self._peers = kernel.find("peers")
         self._fleet = kernel.find("fleet")
         inbox: _inbox.InboxService = kernel.find("inbox")
-        inbox.handle(messages.Pull, self._answer_pull)
-        inbox.handle(messages.Delta, self._take_delta)
+        inbox.handle(messages.Pull, self._handle_pull)
+        inbox.handle(messages.Delta, self._handle_delta)
         await self._read_all()
-        # Even after a reading: it may lag behind what peers know already, and
-        # this VM would serve with an older number than it could learn.
+        # Needed even after a successful read: the read may lag behind the
+        # peers, and this VM would serve with an outdated configuration.
         await self.pull_from_peers()
 
     async def stop(self) -> None:
-        """Ends what is being told."""
-        self._tellings.cancel()
+        """Cancels updates and pulls in progress."""
+        self._tasks.cancel()
 
     def dump(self) -> dict[str, Any]:
-        """Returns numbers and versions."""
+        """Returns the configuration number and the block versions."""
         return {
             "config_number": self._replica.config.number,
             "store_revision": self._revision,
@@ -150,10 +151,10 @@
         }
 
     async def pull_from_peers(self) -> None:
-        """Asks some listed peers of each zone for anything newer, at once."""
+        """Pulls newer state from sampled peers of each zone, in parallel."""
         pull = self._replica.pull(self._vm)
         calls = (
-            self._peers.call(vm, pull, _PEER_SECONDS)
+            self._peers.call(vm, pull, _PEER_TIMEOUT_SECONDS)
             for vm in gossip.sample_each_zone(
                 self._vm, self._fleet.peers().values()
             )
@@ -164,7 +165,7 @@
                 self._replica.merge(delta)
 
     async def create(self, block: tables.Block) -> None:
-        """Writes a block that does not exist yet; losing a race is fine."""
+        """Writes a block unless it exists; another VM may create it first."""
         outcome = await self._store.compare_and_swap(
             block_key(block.id), tables.encode(block), 0
         )
@@ -176,43 +177,45 @@
     ) -> result.Result[tables.Block, errors.Failure]:
         """Changes a block by compare-and-swap.
 
-        The change is applied to what the store holds, never to a memory of
-        it, and reported as made only after a write or a read that shows it.
+        The change is applied to the block as read from the store, never to a
+        cached copy. Success is reported only after a write that succeeded or
+        a read that shows the change.
 
         Args:
             block: The block.
-            change: Returns the successor or why there is nothing to change.
+            change: Returns the successor, or the reason not to change it.
 
         Returns:
             The block as stored, or why it was not changed. `STORE_UNKNOWN`
-            says that it may still be changed later; `writes` knows of it.
+            means that the write may still take effect; `writes` tracks it.
         """
         proposed: tables.Block | None = None
-        for _ in range(_MAX_TRIES):
+        for _ in range(_MAX_ATTEMPTS):
             read = await self._read_block(block)
             if isinstance(read, result.Err):
-                return self._doubted(block, read.err_value)
+                return self._failure_of(block, read.err_value)
             stored = read.ok_value
             if stored.block == proposed:
                 return result.Ok(stored.block)
             successor = _successor(stored.block, change)
             if isinstance(successor, result.Err):
-                return self._doubted(block, successor.err_value)
+                return self._failure_of(block, successor.err_value)
             proposed = successor.ok_value
             if await self._write(stored, proposed):
-                self._tell(stored.block, proposed)
+                self._send_to_keepers(stored.block, proposed)
                 return successor
-            # A lost race or a lost answer: the next read tells which.
+            # The write lost a race or its response was lost; the next read
+            # shows which.
         return errors.failed(errors.ErrorKind.STORE_UNKNOWN, "no try succeeded")
 
-    async def settle(self, block: tables.BlockId) -> bool:
-        """Ends the doubt about a block's writes with a write of its own.
+    async def resolve_pending_writes(self, block: tables.BlockId) -> bool:
+        """Resolves a block's pending writes by writing a barrier version.
 
-        While the block stays at its version, a write whose answer was lost
-        can still take effect. A further version, whoever writes it, ends that.
+        While the block stays at its version, a write whose response was lost
+        can still take effect. Any later version, from any VM, rules it out.
 
         Returns:
-            Whether there is no doubt any more.
+            Whether the block has no pending write left.
         """
 
         def change(stored: tables.Block) -> result.Result[tables.Block, str]:
@@ -224,32 +227,37 @@
         return not self._writes.is_pending(block)
 
     async def refresh(self, block: tables.BlockId) -> bool:
-        """Reads one block anew; whether the store answered."""
+        """Rereads one block; returns whether the read succeeded."""
         return (await self._read_block(block)).is_ok()
 
     async def refresh_all(self) -> bool:
-        """Reads everything anew; whether the store answered."""
+        """Rereads tables and configuration; returns whether that succeeded."""
         return await self._read_all()
 
     async def refresh_from(self, peers: Iterable[fleet.Vm]) -> bool:
-        """Asks peers for anything newer; whether every one answered."""
+        """Pulls newer state from peers; returns whether all responded."""
         pull = self._replica.pull(self._vm)
-        calls = [self._peers.call(vm, pull, _PEER_SECONDS) for vm in peers]
+        calls = [
+            self._peers.call(vm, pull, _PEER_TIMEOUT_SECONDS) for vm in peers
+        ]
         deltas = [reply.ok() for reply in await asyncio.gather(*calls)]
-        heard = [d for d in deltas if isinstance(d, messages.Delta)]
-        for delta in heard:
+        received = [d for d in deltas if isinstance(d, messages.Delta)]
+        for delta in received:
             self._replica.merge(delta)
-        return len(heard) == len(calls)
+        return len(received) == len(calls)
 
-    async def learn_from(self, peer: fleet.Vm) -> None:
-        """Asks a peer for anything newer, unless it was asked just before.
+    async def pull_from(self, peer: fleet.Vm) -> None:
+        """Pulls newer state from a peer, rate-limited per peer.
 
-        For whoever meets a peer that knows better: a watch can stop without
-        a word, and this VM would go by its old tables until it runs out.
+        Called when a peer turns out to have newer state: a watch can stop
+        silently, and this VM would use outdated tables until it times out.
         """
         now = asyncio.get_running_loop().time()
-        if now - self._asked_at.get(peer.id, -_ASK_SECONDS) >= _ASK_SECONDS:
-            self._asked_at[peer.id] = now
+        if (
+            now - self._pulled_at.get(peer.id, -_PULL_INTERVAL_SECONDS)
+            >= _PULL_INTERVAL_SECONDS
+        ):
+            self._pulled_at[peer.id] = now
             await self.refresh_from((peer,))
 
     async def _read_block(
@@ -267,8 +275,8 @@
         return result.Ok(_Stored(decoded.ok_value, read.ok_value.revision))
 
     async def _write(self, stored: _Stored, proposed: tables.Block) -> bool:
-        # Noted before it is sent: a task that is cancelled while it waits
-        # for the answer leaves a write behind that may still take effect.
+        # Recorded before it is sent: a task that is cancelled while it waits
+        # for the response leaves a write that may still take effect.
         self._writes.sent(stored.block, proposed)
         wrote = await self._store.compare_and_swap(
             block_key(proposed.id), tables.encode(proposed), stored.revision
@@ -279,75 +287,78 @@
             self._writes.failed(proposed)
         return wrote.is_ok()
 
-    def _tell(self, former: tables.Block, block: tables.Block) -> None:
+    def _send_to_keepers(
+        self, former: tables.Block, block: tables.Block
+    ) -> None:
         """Sends a changed block to the keepers that it names.
 
-        A watch can stop without a word. A keeper that learned only by its
-        watch would grant what its target was given when the watch has run
-        out, and the keys would have no server for that long.
+        A keeper is the entry VM through which alone a target receives
+        requests and grants. A watch can stop silently. A keeper that relied
+        on its watch alone would issue grants only after the watch timed out,
+        and the keys would be unavailable until then.
         """
         change = differences.between(former, block)
         delta = messages.Delta(self._vm, changes=(change,))
         named = {keeper.vm for keeper in block.keepers.values()}
         for vm in self._fleet.peers().values():
             if vm.id in named:
-                call = self._peers.call(vm, delta, _PEER_SECONDS)
-                self._tellings.start(call)
+                call = self._peers.call(vm, delta, _PEER_TIMEOUT_SECONDS)
+                self._tasks.start(call)
 
-    def _doubted(
+    def _failure_of(
         self, block: tables.BlockId, failure: errors.Failure
     ) -> result.Err[errors.Failure]:
         if self._writes.is_pending(block):
             return errors.failed(errors.ErrorKind.STORE_UNKNOWN, failure.detail)
         return result.Err(failure)
 
-    def _note_seen(self) -> None:
+    def _observe_blocks(self) -> None:
         for at in self._writes.blocks():
             self._writes.observe(self._replica.blocks[at])
 
-    def _answer_pull(self, pull: messages.Pull) -> messages.Delta:
+    def _handle_pull(self, pull: messages.Pull) -> messages.Delta:
         return self._replica.delta(self._vm, pull)
 
-    def _take_delta(self, delta: messages.Delta) -> messages.Ack:
-        self.merge_told(delta)
+    def _handle_delta(self, delta: messages.Delta) -> messages.Ack:
+        self.merge_delta(delta)
         return messages.Ack(self._vm)
 
-    def merge_told(self, delta: messages.Delta) -> None:
-        """Takes what a peer tells, and asks it for what does not fit.
+    def merge_delta(self, delta: messages.Delta) -> None:
+        """Merges a peer's update and pulls any block it does not apply to.
 
-        A change fits one version only. Whoever missed the one before would
-        otherwise stay behind until the next digest.
+        A change applies to exactly one version. A VM that missed the previous
+        version would otherwise stay outdated until the next digest.
         """
         self._replica.merge(delta)
         sender = self._fleet.peers().get(delta.vm)
         if self._replica.misses_blocks(delta) and sender is not None:
-            self._tellings.start(self._catch_up(sender, delta))
+            self._tasks.start(self._catch_up(sender, delta))
 
     async def _catch_up(self, peer: fleet.Vm, delta: messages.Delta) -> None:
-        for _ in range(_CATCH_UP_TRIES):
-            await self.learn_from(peer)
+        for _ in range(_CATCH_UP_ATTEMPTS):
+            await self.pull_from(peer)
             if not self._replica.misses_blocks(delta):
                 return
-            await asyncio.sleep(_ASK_SECONDS)
+            await asyncio.sleep(_PULL_INTERVAL_SECONDS)
 
     async def _read_all(self) -> bool:
-        # Not everything: the history of years stands in the same store.
-        # Tables first, so that the watch goes on from the older reading.
+        # Reads only these prefixes: the store also holds years of history.
+        # Tables come first, so that the watch resumes from the older read.
         for prefix in (TABLE_PREFIX, CONFIG_PREFIX):
             batch = await self._store.list(prefix)
             if isinstance(batch, result.Err):
                 self._synced = False
                 return False
-            self.take(batch.ok_value, resume=prefix == TABLE_PREFIX)
+            self.apply_batch(batch.ok_value, resume=prefix == TABLE_PREFIX)
         self._synced = True
         return True
 
-    def take(self, batch: ports.WatchBatch, resume: bool = True) -> None:
-        """Takes what the store brought, forward only.
+    def apply_batch(self, batch: ports.WatchBatch, resume: bool = True) -> None:
+        """Applies a batch of store entries; never moves to older versions.
 
         Args:
-            batch: What it brought.
-            resume: Whether the next watch may continue from there.
+            batch: The entries, with the revision at which they were read.
+            resume: Whether the next watch may resume from that revision.
         """
         if resume:
             self._revision = max(self._revision, batch.revision)
@@ -361,7 +372,7 @@
                     blocks.append(decoded.ok_value)
                 else:
                     logging.error(
-                        "%s %s is damaged: %s.",
+                        "%s cannot decode block %s: %s.",
                         _PREFIX,
                         entry.key,
                         decoded.err_value,
@@ -372,7 +383,9 @@
         decoded = config.decode_version(value)
         if isinstance(decoded, result.Err):
             logging.error(
-                "%s configuration is damaged: %s.", _PREFIX, decoded.err_value
+                "%s cannot decode the configuration: %s.",
+                _PREFIX,
+                decoded.err_value,
             )
         elif self._replica.offer_config(decoded.ok_value):
             logging.info(
