--- a/packages/mimosastile-entry/src/mimosastile_entry/_alarms.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_alarms.py
@@ -1,19 +1,19 @@
-"""A timeout for the hot path, cheaper than the one of the library."""
+"""Low-overhead timeout for the hot path."""
 
 import asyncio
 
 
 class Alarm:
-    """Cancels the present task after some time.
+    """Cancels the current task after a timeout.
 
-    `asyncio.timeout` does the same with two coroutines and two objects more
-    for each request.
+    `asyncio.timeout` does the same, but needs two more coroutines and two
+    more objects per request.
     """
 
     __slots__ = ("_fired", "_handle", "_task")
 
     def __init__(self, seconds: float) -> None:
-        """Begins to wait.
+        """Starts the timer for the current task.
 
         Args:
             seconds: Time until the task is cancelled.
@@ -25,17 +25,17 @@
         self._handle = task.get_loop().call_later(seconds, self._fire)
 
     def stop(self) -> None:
-        """Waits no longer."""
+        """Stops the timer."""
         self._handle.cancel()
 
     def settle(self) -> None:
-        """Tells the alarm from a cancellation by others.
+        """Distinguishes the timeout from an external cancellation.
 
         Raises:
-            TimeoutError: The alarm alone cancelled the task.
+            TimeoutError: Only the timer cancelled the task.
         """
-        # Taken for a timeout, somebody else's cancellation would be lost, and
-        # a caller that has left would be served on.
+        # Treating an external cancellation as a timeout would drop it, and
+        # the VM would continue to serve a caller that has disconnected.
         if self._fired and self._task.uncancel() == 0:
             raise TimeoutError
 
--- a/packages/mimosastile-entry/src/mimosastile_entry/_asgi.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_asgi.py
@@ -1,4 +1,4 @@
-"""The callers' side and the forwarding side as raw ASGI applications."""
+"""Raw ASGI applications for callers' requests and forwarded requests."""
 
 import abc
 import asyncio
@@ -28,12 +28,12 @@
 Read = result.Result[ports.Request, errors.Failure]
 
 _PREFIX = "callers:"
-_NO_TEXT = "A header is not UTF-8."
+_NOT_UTF8 = "A header is not UTF-8."
 _CLOSE = (b"connection", b"close")
 
 
 class _ForwardingApp(abc.ABC):
-    """Base of both sides: reads a request, has it routed, passes it on."""
+    """Base application: reads a request, routes it, sends the response."""
 
     __slots__ = ("_clock", "_limits", "_router", "_stopping")
 
@@ -49,24 +49,24 @@
         self._stopping = False
 
     def begin_stop(self) -> None:
-        """Asks callers, with each answer, to open another connection."""
+        """Closes connections after each response from now on."""
         self._stopping = True
 
     @abc.abstractmethod
     def _request(self, scope: Scope, head: _heads.Head) -> Read:
-        """Returns the request that a head describes, or why it is refused."""
+        """Returns the request that a head describes, or the refusal."""
 
     async def _serve(self, scope: Scope, receive: Receive, send: Send) -> None:
         work = _protocol.begin(scope)
         head = _heads.Head(scope["headers"])
         upload = _uploads.Upload(head, receive, self._limits)
         try:
-            response = await self._answer(self._request(scope, head), upload)
-            await self._pass_on(response, send, work, upload)
+            response = await self._respond(self._request(scope, head), upload)
+            await self._send_response(response, send, work, upload)
         except asyncio.CancelledError:
-            logging.debug("%s a caller left.", _PREFIX)
+            logging.debug("%s a caller disconnected.", _PREFIX)
 
-    async def _answer(
+    async def _respond(
         self, head: Read, upload: _uploads.Upload
     ) -> ports.Response:
         read = head
@@ -78,19 +78,23 @@
         try:
             return await self._router.handle(request)
         except Exception:
-            logging.exception("%s %s failed.", _PREFIX, request.request_id)
+            logging.exception(
+                "%s request %s failed with an exception.",
+                _PREFIX,
+                request.request_id,
+            )
             failure = errors.Failure(errors.ErrorKind.INTERNAL)
             return _calls.refuse(failure, request.request_id)
 
-    async def _pass_on(
+    async def _send_response(
         self,
         response: ports.Response,
         send: Send,
         work: _protocol.Work,
         upload: _uploads.Upload,
     ) -> None:
-        """Sends an answer; one that breaks off is passed on as broken."""
-        headers = [(n.encode(), _encoded(v)) for n, v in response.headers]
+        """Sends a response; aborts the connection if the response is broken."""
+        headers = [(n.encode(), _encode(v)) for n, v in response.headers]
         if self._stopping:
             headers.append(_CLOSE)
         try:
@@ -105,8 +109,8 @@
             ended = False
             async for chunk in response.body:
                 left -= len(chunk)
-                # With its last byte a body of declared length is whole, and
-                # need not be ended by a message of its own.
+                # The last byte completes a body of declared length, so that
+                # no separate end message is needed.
                 ended = not left and upload.complete
                 await send(
                     {
@@ -121,18 +125,18 @@
             if not ended:
                 await send({"type": "http.response.body", "body": b""})
         except (ports.BrokenAnswerError, TimeoutError, RuntimeError) as error:
-            # Returning without the last chunk makes the server cut the
-            # connection, so the caller sees a broken answer, never a short
-            # one.
-            logging.warning("%s an answer broke off: %s.", _PREFIX, error)
+            # Returning without the last chunk makes the server close the
+            # connection, so the caller detects a broken response and never
+            # accepts a truncated one.
+            logging.warning("%s response aborted: %s.", _PREFIX, error)
         finally:
-            # What follows must run to its end also if the caller leaves now.
+            # The close must complete even if the caller disconnects now.
             work.task = None
             await response.close()
 
 
 class CallersApp(_ForwardingApp):
-    """Takes callers' requests: limits, credential, then the router."""
+    """Serves callers: checks limits and credential, then routes."""
 
     __slots__ = ("_credentials",)
 
@@ -170,17 +174,21 @@
             return errors.failed(errors.ErrorKind.BODY_TOO_LARGE)
         request = _request(scope, head)
         if request is None:
-            return errors.failed(errors.ErrorKind.BAD_REQUEST, _NO_TEXT)
+            return errors.failed(errors.ErrorKind.BAD_REQUEST, _NOT_UTF8)
         request.member = member
         request.request_id = self._clock.new_id()
-        wait = _heads.milliseconds(head.deadline)
-        if wait is not None:
-            request.deadline = self._clock.now() + wait / 1000
+        timeout_ms = _heads.milliseconds(head.deadline)
+        if timeout_ms is not None:
+            request.deadline = self._clock.now() + timeout_ms / 1000
         return result.Ok(request)
 
 
 class ForwardApp(_ForwardingApp):
-    """Takes requests that a peer forwards to the keeper of their target."""
+    """Serves requests that a peer forwards to this VM.
+
+    This VM is then the target's keeper: the entry VM through which alone the
+    target receives requests and grants.
+    """
 
     __slots__ = ()
 
@@ -222,16 +230,16 @@
 
 
 def _length(response: ports.Response) -> int:
-    """Returns the declared length, -1 if none is."""
+    """Returns the declared body length, -1 if there is none."""
     for name, value in response.headers:
         if name == "content-length":
             return int(value) if value.isdecimal() else -1
     return -1
 
 
-def _encoded(value: str) -> bytes:
-    # The client library reads header bytes in this way, so that any bytes of
-    # a target, a file name in UTF-8 for one, reach the caller unchanged.
+def _encode(value: str) -> bytes:
+    # The client library decodes header bytes the same way, so that any bytes
+    # from a target, such as a UTF-8 file name, reach the caller unchanged.
     return value.encode("utf-8", "surrogateescape")
 
 
--- a/packages/mimosastile-entry/src/mimosastile_entry/_explain.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_explain.py
@@ -1,4 +1,4 @@
-"""Why a request for a key goes where it goes, or is refused."""
+"""Explanation of the routing decision for a key."""
 
 from collections.abc import Iterator
 
@@ -16,52 +16,64 @@
 
 
 def explain(
-    held: replica.Replica, listed: fleet.Fleet, name: str, key: str
+    current: replica.Replica, vms: fleet.Fleet, name: str, key: str
 ) -> Explained:
-    """Follows the decision that this VM would take now.
+    """Explains the routing decision that this VM would make now.
 
     Args:
-        held: The VM's configuration and tables.
-        listed: The VM's reading of the list of VMs.
+        current: The VM's replica of configuration and tables.
+        vms: The VM's current view of the list of VMs.
         name: Name of the service.
         key: The key.
+
+    Returns:
+        The target and keeper of the key or the kind of refusal, with the
+        reasons; `UNKNOWN_SERVICE` if the service is not configured.
     """
-    service = held.config.document.services.get(name)
+    service = current.config.document.services.get(name)
     if service is None:
         return result.Err(
             errors.Failure(errors.ErrorKind.UNKNOWN_SERVICE, name)
         )
     position = keys.key_hash(key)
-    home = _home(held.table(name), position) if service.key else None
-    reasons = list(_reasons(service, listed.targets(name), home, key))
-    refused = _refusal(service, listed.targets(name), home)
-    sent = home is not None and not refused
+    location = _locate(current.table(name), position) if service.key else None
+    reasons = list(_reasons(service, vms.targets(name), location, key))
+    refused = _refusal(service, vms.targets(name), location)
+    routed = location is not None and not refused
     return result.Ok(
         administration.Explanation(
             service=name,
             key=key,
             position=f"{position:016x}",
-            target=home.slice.owner if home and sent else "",
-            keeper=home.keeper.vm if home and home.keeper and sent else "",
+            target=location.slice.owner if location and routed else "",
+            keeper=location.keeper.vm
+            if location and location.keeper and routed
+            else "",
             refused=refused.value if refused else "",
-            number=held.config.number,
+            number=current.config.number,
             reasons=tuple(reasons),
         )
     )
 
 
-def _home(table: tables.Table | None, position: int) -> tables.Location | None:
+def _locate(
+    table: tables.Table | None, position: int
+) -> tables.Location | None:
     return table.locate(position) if table else None
 
 
 def _refusal(
     service: config.Service,
     targets: dict[str, fleet.Vm],
-    home: tables.Location | None,
+    location: tables.Location | None,
 ) -> errors.ErrorKind | None:
     if service.key is None:
         return None if targets else errors.ErrorKind.NO_TARGET
-    if home is None or home.keeper is None or home.slice.owner not in targets:
+    if (
+        location is None
+        or location.keeper is None
+        or location.slice.owner not in targets
+    ):
         return errors.ErrorKind.NO_OWNER
     return None
 
@@ -69,7 +81,7 @@
 def _reasons(
     service: config.Service,
     targets: dict[str, fleet.Vm],
-    home: tables.Location | None,
+    location: tables.Location | None,
     key: str,
 ) -> Iterator[str]:
     live = [vm for vm in targets.values() if vm.state is fleet.VmState.LIVE]
@@ -81,19 +93,19 @@
         return
     if key in service.moves:
         yield f"operators want this key on {service.moves[key]}"
-    if home is None:
+    if location is None:
         yield "this VM knows no table block over this key yet"
         return
-    yield from _slice_reasons(home, targets)
+    yield from _slice_reasons(location, targets)
 
 
 def _slice_reasons(
-    home: tables.Location, targets: dict[str, fleet.Vm]
+    location: tables.Location, targets: dict[str, fleet.Vm]
 ) -> Iterator[str]:
-    piece = home.slice
+    piece = location.slice
     yield (
         f"the key is in slice {piece.first:016x} to {piece.last:016x} of"
-        f" block {home.block.service}/{home.block.index}"
+        f" block {location.block.service}/{location.block.index}"
     )
     if not piece.owner:
         yield "the slice has no owner yet"
@@ -106,7 +118,7 @@
         yield f"{piece.owner} is leaving"
     if piece.next:
         yield f"it moves to {piece.next} as soon as {piece.owner} lets go"
-    if home.keeper is None:
+    if location.keeper is None:
         yield f"{piece.owner} has no keeper at the moment"
     else:
-        yield f"requests go through its keeper {home.keeper.vm}"
+        yield f"requests go through its keeper {location.keeper.vm}"
--- a/packages/mimosastile-entry/src/mimosastile_entry/_heads.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_heads.py
@@ -1,4 +1,4 @@
-"""Checks of a request's head before any work is done for it."""
+"""Parsing and validation of request heads."""
 
 from collections.abc import Sequence
 import re
@@ -14,28 +14,29 @@
 _DOT_SEGMENT = re.compile(rb"/(?:\.|%2[eE]){1,2}(?:/|$)")
 _HEADER_OVERHEAD = len(": \r\n")
 _MAX_LENGTH_DIGITS = 15
-_DEADLINE_DIGITS = 9
+_MAX_DEADLINE_DIGITS = 9
 _DEADLINE_HEADER = b"x-request-timeout-ms"
-_PASSED = frozenset({b"content-length", _DEADLINE_HEADER})
-"""Headers that are read here and passed on all the same."""
+_FORWARDED = frozenset({b"content-length", _DEADLINE_HEADER})
+"""Headers that are read here and also forwarded."""
 
-# The credential ends here: a target that leaked it could act as the member.
-_NOTED = _PASSED | {
+# The credential is not forwarded: a target that leaked it would let others
+# act as the member.
+_SPECIAL = _FORWARDED | {
     name.encode() for name in (*_wire.HOP_BY_HOP, "authorization")
 }
 _X = ord("x")
 
 
 def path_problem(path: bytes) -> str:
-    """Returns what is wrong with a path, empty if nothing is.
+    """Returns the problem with a path, empty if it is valid.
 
     Args:
         path: The path as received, percent-encoded.
     """
     if path[:1] != b"/":
         return "The path must begin with a slash."
-    # A server that resolves dot segments would run the request for another
-    # key than the one whose owner was chosen.
+    # A server that resolves dot segments would run the request for a
+    # different key than the one used to choose the owner.
     if (b"/." in path or b"%2" in path) and _DOT_SEGMENT.search(path):
         return "The path has dot segments."
     if b"%" in path:
@@ -49,17 +50,17 @@
 
 
 class Head:
-    """What one pass over a request's headers finds.
+    """Parsed request headers, collected in one pass.
 
     Attributes:
-        size: Bytes of all headers on the wire.
-        length: Declared length of the body, 0 if none is declared.
-        has_body: Whether a body is announced.
-        closes: Whether the caller closes the connection after the answer.
-        expects: Whether the caller waits for leave to send its body.
-        authorization: The credential, empty if there is none or are two.
-        deadline: The wish for a deadline, empty if there is none or are two.
-        headers: What may be passed on, None if it is no text.
+        size: Size of all headers on the wire, in bytes.
+        length: Declared body length in bytes, 0 if none is declared.
+        has_body: Whether the headers declare a body.
+        closes: Whether the caller closes the connection after the response.
+        expects: Whether the caller waits for 100 Continue to send its body.
+        authorization: The credential, empty unless there is exactly one.
+        deadline: The requested timeout, empty unless there is exactly one.
+        headers: Headers to forward, None if one cannot be decoded.
     """
 
     __slots__ = (
@@ -74,40 +75,40 @@
     )
 
     def __init__(self, raw: RawHeaders) -> None:
-        """Reads the headers.
+        """Parses the headers.
 
         Args:
-            raw: Names in lower case and values, as the server gives them.
+            raw: Lower-case names and values, as received from the server.
         """
         special: dict[bytes, list[bytes]] = {}
-        plain = []
+        forwarded = []
         size = _HEADER_OVERHEAD * len(raw)
         for pair in raw:
             name, value = pair
             size += len(name) + len(value)
-            if name in _NOTED:
+            if name in _SPECIAL:
                 special.setdefault(name, []).append(value)
-                if name not in _PASSED:
+                if name not in _FORWARDED:
                     continue
             elif name[0] == _X and _wire.is_own(name):
                 continue
-            plain.append(pair)
+            forwarded.append(pair)
         self.size = size
-        # Of two values this VM and the target could each believe another
-        # one, so two count as none.
-        self.authorization = _only(special.pop(b"authorization", ()))
+        # This VM and the target could each use a different one of two values,
+        # so duplicates count as none.
+        self.authorization = _single(special.pop(b"authorization", ()))
         self.deadline = b""
         self.length = 0
         self.closes = self.expects = self.has_body = False
         if special:
-            plain = self._read(special, plain)
-        self.headers = _decoded(plain)
+            forwarded = self._parse_special(special, forwarded)
+        self.headers = _decode(forwarded)
 
-    def _read(
-        self, special: dict[bytes, list[bytes]], plain: RawHeaders
+    def _parse_special(
+        self, special: dict[bytes, list[bytes]], forwarded: RawHeaders
     ) -> RawHeaders:
-        """Reads what only some requests have; returns what is passed on."""
-        self.deadline = _only(special.get(_DEADLINE_HEADER, ()))
+        """Parses optional headers; returns the headers to forward."""
+        self.deadline = _single(special.get(_DEADLINE_HEADER, ()))
         self.length = _length(special.get(b"content-length", ()))
         self.expects = b"expect" in special
         self.has_body = (
@@ -115,13 +116,13 @@
         )
         tokens = special.get(b"connection", ())
         self.closes = any(b"close" in token.lower() for token in tokens)
-        return _without(plain, tokens) if tokens else plain
+        return _without_named(forwarded, tokens) if tokens else forwarded
 
 
 def too_large(
     path: bytes, query: bytes, head: Head, limits: settings.LimitSettings
 ) -> errors.Failure | None:
-    """Returns the failure of a head over its limits, None within them."""
+    """Returns the failure of a head that exceeds a limit, else None."""
     kind = errors.ErrorKind.HEADERS_TOO_LARGE
     if len(path) + len(query) > limits.url_bytes:
         return errors.Failure(kind, "The URL is too long.")
@@ -131,37 +132,39 @@
 
 
 def milliseconds(text: bytes) -> int | None:
-    """Returns a time that a header names, None if it is no such number."""
-    if not text.isdigit() or len(text) > _DEADLINE_DIGITS:
+    """Returns a header's time in ms, None if it is not a valid number."""
+    if not text.isdigit() or len(text) > _MAX_DEADLINE_DIGITS:
         return None
     return int(text)
 
 
-def _only(values: Sequence[bytes]) -> bytes:
+def _single(values: Sequence[bytes]) -> bytes:
     return values[0] if len(values) == 1 else b""
 
 
 def _length(values: Sequence[bytes]) -> int:
-    text = _only(values)
+    text = _single(values)
     return int(text[:_MAX_LENGTH_DIGITS]) if text.isdigit() else 0
 
 
-def _without(plain: RawHeaders, tokens: Sequence[bytes]) -> RawHeaders:
-    """Drops what the connection header names as its own."""
+def _without_named(
+    forwarded: RawHeaders, tokens: Sequence[bytes]
+) -> RawHeaders:
+    """Drops the hop-by-hop headers that the connection header names."""
     named = {
         name.strip().lower() for token in tokens for name in token.split(b",")
     }
-    return [pair for pair in plain if pair[0] not in named]
+    return [pair for pair in forwarded if pair[0] not in named]
 
 
-def _decoded(plain: RawHeaders) -> tuple[tuple[str, str], ...] | None:
+def _decode(forwarded: RawHeaders) -> tuple[tuple[str, str], ...] | None:
     try:
-        return tuple([(n.decode("ascii"), v.decode()) for n, v in plain])
+        return tuple([(n.decode("ascii"), v.decode()) for n, v in forwarded])
     except UnicodeDecodeError:
         return None
 
 
 def decoded(raw: RawHeaders) -> list[tuple[str, str]] | None:
-    """Returns all headers as text, None if they are no text."""
-    text = _decoded(raw)
+    """Returns all headers as text, None if one cannot be decoded."""
+    text = _decode(raw)
     return None if text is None else list(text)
--- a/packages/mimosastile-entry/src/mimosastile_entry/_listeners.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_listeners.py
@@ -1,4 +1,4 @@
-"""The listeners service: the two HTTP servers of a daemon."""
+"""Listeners service: runs the two HTTP servers of a daemon."""
 
 import asyncio
 import contextlib
@@ -21,7 +21,7 @@
 
 
 class ListenersService:
-    """Runs the server for callers and the one for peers and operators."""
+    """Runs one server for callers and one for peers and operators."""
 
     __slots__ = (
         "_aborted",
@@ -36,11 +36,11 @@
     def __init__(
         self, configured: settings.Settings, signer: _auth.Signer
     ) -> None:
-        """Makes the service.
+        """Initializes the service.
 
         Args:
             configured: The daemon's settings.
-            signer: Checks what peers send.
+            signer: Verifies the signatures of peer requests.
         """
         self._signer = signer
         self.name = "listeners"
@@ -60,36 +60,39 @@
 
     @property
     def ports(self) -> dict[str, int]:
-        """Bound ports by side: "callers" and "peers"."""
+        """Bound ports by server: "callers" and "peers"."""
         return {side: at.port for side, at in self._listeners.items()}
 
     def app(self, side: str) -> _asgi.App:
-        """Returns the application of a side, for a bench without sockets."""
+        """Returns a server's application, for benchmarks without sockets."""
         return dict(zip(("callers", "peers"), self._apps, strict=True))[side]
 
     async def start(self, kernel: kernel.Kernel) -> None:
-        """Binds both ports and begins to serve."""
+        """Binds both ports and starts serving."""
         router = kernel.find("router")
         clock = kernel.find("clock")
         limits = self._settings.limits
         credentials = _credentials.Credentials(kernel.find("state"))
         callers = _asgi.CallersApp(router, clock, limits, credentials)
         forward = _asgi.ForwardApp(router, clock, limits)
-        inner = _guard.Guard(
+        internal = _guard.Guard(
             _operations.application(kernel, forward), self._signer
         )
         if not self._signer.enabled:
-            logging.warning("%s peers are not authenticated.", _PREFIX)
+            logging.warning(
+                "%s peer authentication is disabled: no keys are set.", _PREFIX
+            )
         self._apps = [callers, forward]
         vm = self._settings.vm
         tls: _tls.TlsService = kernel.find("tls")
-        await self._serve("peers", inner, vm.peer_port, tls.server("peers"))
+        await self._serve("peers", internal, vm.peer_port, tls.server("peers"))
         await self._serve("callers", callers, vm.port, tls.server("callers"))
 
     async def give_notice(self) -> None:
-        """Turns health bad and goes on listening while the balancer notices.
+        """Fails health checks and keeps listening for the notice period.
 
-        Closing at once would refuse callers that the balancer still sends.
+        Closing immediately would refuse callers that the external load
+        balancer still sends here until it detects the failed health check.
         """
         for app in self._apps:
             app.begin_stop()
@@ -98,15 +101,15 @@
                 await self._aborted.wait()
 
     def abort(self) -> None:
-        """Ends the notice and the wait for requests in flight."""
+        """Ends the notice period and the wait for requests in flight."""
         self._aborted.set()
         for listener in self._listeners.values():
             listener.abort()
 
     async def stop(self) -> None:
-        """Lets requests in flight end and closes both servers.
+        """Drains requests in flight and closes both servers.
 
-        Peers are served until the last caller has its answer.
+        Peers are served until the last caller has received its response.
         """
         for app in self._apps:
             app.begin_stop()
@@ -136,11 +139,13 @@
             self._settings.vm.host,
             port,
             limits.shutdown_seconds,
-            # Paths and the request line come on top of the headers.
+            # The limit of a head covers the request line and the headers.
             limits.header_bytes + limits.url_bytes,
             limits.head_seconds,
             tls,
             limits.stall_seconds,
         )
         self._listeners[side] = listener
-        logging.info("%s %s on port %d.", _PREFIX, side, listener.port)
+        logging.info(
+            "%s listening for %s on port %d.", _PREFIX, side, listener.port
+        )
--- a/packages/mimosastile-entry/src/mimosastile_entry/_logs.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_logs.py
@@ -1,4 +1,4 @@
-"""How the daemon writes its log: lines for people or JSON for machines."""
+"""Log formats of the daemon: text lines or JSON."""
 
 import contextvars
 import datetime
@@ -15,7 +15,7 @@
 REQUEST_ID: contextvars.ContextVar[str] = contextvars.ContextVar(
     "request_id", default=""
 )
-"""Identifier of the request that the running task serves, empty for none."""
+"""Identifier of the request that the current task serves, empty if none."""
 
 _PART = re.compile(r"^([a-z_]+): (.*)$", re.DOTALL)
 
@@ -24,12 +24,12 @@
     """One line of the log in JSON.
 
     Attributes:
-        time: When, in UTC, as ISO 8601.
-        level: How severe.
-        part: Which part of the daemon wrote it.
-        message: The sentence.
-        request_id: The request that it was written for, the same on all VMs.
-        error: Traceback, if there is one.
+        time: Time in UTC, as ISO 8601.
+        level: Severity, in lower case.
+        part: Component of the daemon that wrote the line.
+        message: Message text without the component prefix.
+        request_id: Identifier of the request served, the same on all VMs.
+        error: Traceback, empty if there is none.
     """
 
     time: str
@@ -41,7 +41,7 @@
 
 
 class TextFormatter(logging.PythonFormatter):
-    """Puts the request's identifier at the end of a line."""
+    """Appends the request identifier to each line."""
 
     def format(self, record: standard.LogRecord) -> str:
         """Returns one line of text."""
@@ -51,7 +51,7 @@
 
 
 class JsonFormatter(standard.Formatter):
-    """Turns the part's prefix of a line into a field of its own."""
+    """Formats JSON lines and splits the component prefix into a field."""
 
     def format(self, record: standard.LogRecord) -> str:
         """Returns one line of JSON."""
@@ -72,10 +72,10 @@
 
 
 def configure(level: str, log_format: str) -> None:
-    """Sets level and format of the process's log.
+    """Configures the level and format of the process log.
 
     Args:
-        level: Least severe level that is written.
+        level: Lowest severity that is written.
         log_format: One of `FORMATS`.
     """
     logging.set_verbosity(level)
--- a/packages/mimosastile-entry/src/mimosastile_entry/_metrics.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics service: histograms inside, text exposition outside."""
+"""Metrics service: records request metrics and exports them as text."""
 
 import asyncio
 import collections
@@ -19,41 +19,44 @@
 
 CONTENT_TYPE = prometheus_client.CONTENT_TYPE_LATEST
 OTHER = "other"
-"""Label of whatever is over the bound, and of unknown services."""
+"""Label of members beyond `MAX_MEMBERS` and of unknown services."""
 
 MAX_MEMBERS = 200
-"""Members with labels of their own, per service; more would let callers make
-the page, and whoever scrapes it, as large as they like."""
+"""Maximum number of members with their own labels, per service.
+
+Without a bound, callers could make the page, and the data of its scraper,
+arbitrarily large.
+"""
 
 PASSED_ON = "passed_on"
-"""Outcome of a request whose answer came from a target."""
+"""Outcome of a request whose response came from a target."""
 
-_TICK_SECONDS = 0.25
+_UPDATE_INTERVAL_SECONDS = 0.25
 _MICROSECONDS = 1_000_000
-_LONGEST_SECONDS = 600
-_DIGITS = 2
-_BITS = 8
-"""Leading bits of a time that are kept: within a percent."""
+_MAX_LATENCY_SECONDS = 600
+_SIGNIFICANT_DIGITS = 2
+_SIGNIFICANT_BITS = 8
+"""Significant bits that are kept of a latency: accurate to one percent."""
 _QUANTILES = (50.0, 90.0, 99.0, 99.9)
 
 _Class = tuple[str, config.Priority]
-"""Service and class of requests."""
+"""Service and priority class of requests."""
 
 
 class MetricsService(registry.Collector):
-    """Counts requests and watches tables; one collection is one page."""
+    """Counts requests and table changes; each scrape collects all metrics."""
 
     __slots__ = (
-        "_answers",
         "_blocks",
         "_fleet",
-        "_fresh",
+        "_histograms",
         "_members",
         "_moved",
-        "_seconds",
+        "_recent",
+        "_requests",
         "_state",
         "_task",
-        "_unavailable",
+        "_unavailable_seconds",
         "name",
         "needs",
     )
@@ -63,77 +66,81 @@
         self.needs: tuple[str, ...] = ("state", "fleet")
         self._state: _state.StateService
         self._fleet: _fleet.FleetService
-        self._fresh: collections.defaultdict[
+        self._recent: collections.defaultdict[
             _Class, collections.Counter[int]
         ] = collections.defaultdict(collections.Counter)
-        self._seconds: dict[_Class, histogram.HdrHistogram] = {}
-        self._answers: collections.Counter[tuple[str, str, str]] = (
+        self._histograms: dict[_Class, histogram.HdrHistogram] = {}
+        self._requests: collections.Counter[tuple[str, str, str]] = (
             collections.Counter()
         )
         self._members: dict[str, set[str]] = {}
         self._moved: collections.Counter[str] = collections.Counter()
-        self._unavailable: dict[str, float] = collections.defaultdict(float)
+        self._unavailable_seconds: dict[str, float] = collections.defaultdict(
+            float
+        )
         self._blocks: dict[tables.BlockId, tables.Block] = {}
         self._task: asyncio.Task[None] | None = None
 
     async def start(self, kernel: kernel.Kernel) -> None:
-        """Begins to watch the tables."""
+        """Subscribes to the replica and starts the periodic update."""
         self._state = kernel.find("state")
         self._fleet = kernel.find("fleet")
-        self._state.replica.subscribe(self._note_moves)
-        self._note_moves()
-        self._task = asyncio.create_task(self._watch(), name="metrics")
+        self._state.replica.subscribe(self._count_moves)
+        self._count_moves()
+        self._task = asyncio.create_task(
+            self._update_periodically(), name="metrics"
+        )
 
     async def stop(self) -> None:
-        """Ends the watching."""
+        """Stops the periodic update."""
         if self._task is not None:
             self._task.cancel()
 
     def dump(self) -> dict[str, Any]:
-        """Returns churn and unavailable time by service."""
+        """Returns moved slices and unavailable slice-seconds by service."""
         return {
             "moved_slices": dict(self._moved),
-            "unavailable_slice_seconds": dict(self._unavailable),
+            "unavailable_slice_seconds": dict(self._unavailable_seconds),
         }
 
     def record(
         self, request: ports.Request, outcome: str, seconds: float
     ) -> None:
-        """Counts a caller's request, where it came in.
+        """Counts a caller's request at the VM that received it.
 
         Args:
             request: The request.
             outcome: `PASSED_ON` or the name of an error kind.
-            seconds: From its arrival until its answer began.
+            seconds: Time from its arrival to the start of its response.
         """
         name = request.path[1:].partition("/")[0]
         if name not in self._state.replica.config.document.services:
-            self._answers[OTHER, OTHER, outcome] += 1
+            self._requests[OTHER, OTHER, outcome] += 1
             return
-        member = self._bounded(name, request.member)
-        self._answers[name, member, outcome] += 1
+        member = self._member_label(name, request.member)
+        self._requests[name, member, outcome] += 1
         if request.priority is None:
-            # Refused before its route was found: there is no class to it.
+            # Refused before routing, so that its class is unknown.
             return
         micros = max(1, int(seconds * _MICROSECONDS))
-        shift = max(0, micros.bit_length() - _BITS)
-        self._fresh[name, request.priority][micros >> shift << shift] += 1
+        shift = max(0, micros.bit_length() - _SIGNIFICANT_BITS)
+        self._recent[name, request.priority][micros >> shift << shift] += 1
 
     def exposition(self) -> bytes:
-        """Returns the page in the usual text format."""
-        self._settle()
+        """Returns all metrics in the Prometheus text format."""
+        self._flush_latencies()
         page = registry.CollectorRegistry(auto_describe=False)
         page.register(self)
         return prometheus_client.generate_latest(page)
 
     def collect(self) -> Iterator[core.Metric]:
-        """Yields every metric."""
-        yield self._times()
+        """Yields all metrics."""
+        yield self._latencies()
         yield _counter(
             "mimosastile_requests",
             "Callers' requests by service, member and outcome.",
             ("service", "member", "outcome"),
-            self._answers,
+            self._requests,
         )
         yield _counter(
             "mimosastile_moved_slices",
@@ -145,7 +152,10 @@
             "mimosastile_unavailable_slice_seconds",
             "Unavailable time: slices without a listed owner, times seconds.",
             ("service",),
-            {(name,): spent for name, spent in self._unavailable.items()},
+            {
+                (name,): spent
+                for name, spent in self._unavailable_seconds.items()
+            },
         )
         yield self._imbalance()
         yield core.GaugeMetricFamily(
@@ -154,29 +164,30 @@
             value=self._state.replica.config.number,
         )
 
-    def _settle(self) -> None:
-        """Moves fresh times into the histograms.
+    def _flush_latencies(self) -> None:
+        """Flushes recent latencies into the histograms.
 
-        A histogram takes several microseconds for a value, too much for each
-        request; equal times, to within a percent, are moved as one.
+        Recording a value in a histogram takes several microseconds, too long
+        for each request. Latencies equal to within one percent are recorded
+        together.
         """
-        for at, counts in self._fresh.items():
-            found = self._seconds.get(at)
+        for at, counts in self._recent.items():
+            found = self._histograms.get(at)
             if found is None:
-                found = self._seconds[at] = histogram.HdrHistogram(
-                    1, _LONGEST_SECONDS * _MICROSECONDS, _DIGITS
+                found = self._histograms[at] = histogram.HdrHistogram(
+                    1, _MAX_LATENCY_SECONDS * _MICROSECONDS, _SIGNIFICANT_DIGITS
                 )
             for micros, count in counts.items():
                 found.record_value(micros, count)
-        self._fresh.clear()
+        self._recent.clear()
 
-    def _times(self) -> core.Metric:
+    def _latencies(self) -> core.Metric:
         family = core.GaugeMetricFamily(
             "mimosastile_answer_seconds",
             "Seconds until an answer began, by quantile since the start.",
             labels=("service", "class", "quantile"),
         )
-        for (service, priority), found in self._seconds.items():
+        for (service, priority), found in self._histograms.items():
             for percent in _QUANTILES:
                 micros = found.get_value_at_percentile(percent)
                 labels = (service, priority.value, f"{percent / 100:g}")
@@ -200,16 +211,16 @@
                 family.add_metric((name,), max(owned.values()) / mean)
         return family
 
-    def _bounded(self, service: str, member: str) -> str:
-        known = self._members.setdefault(service, set())
-        if member in known:
+    def _member_label(self, service: str, member: str) -> str:
+        labelled = self._members.setdefault(service, set())
+        if member in labelled:
             return member
-        if len(known) >= MAX_MEMBERS:
+        if len(labelled) >= MAX_MEMBERS:
             return OTHER
-        known.add(member)
+        labelled.add(member)
         return member
 
-    def _note_moves(self) -> None:
+    def _count_moves(self) -> None:
         for at, block in self._state.replica.blocks.items():
             before = self._blocks.get(at)
             if before is block:
@@ -218,17 +229,19 @@
             if before is not None:
                 self._moved[block.service] += _moved(before, block)
 
-    async def _watch(self) -> None:
+    async def _update_periodically(self) -> None:
         while True:
-            await asyncio.sleep(_TICK_SECONDS)
-            self._settle()
+            await asyncio.sleep(_UPDATE_INTERVAL_SECONDS)
+            self._flush_latencies()
             for name in self._state.replica.config.document.services:
                 listed = self._fleet.fleet.targets(name)
-                without = sum(
+                unowned = sum(
                     piece.owner not in listed
                     for piece in _slices(self._state.replica.table(name))
                 )
-                self._unavailable[name] += without * _TICK_SECONDS
+                self._unavailable_seconds[name] += (
+                    unowned * _UPDATE_INTERVAL_SECONDS
+                )
 
 
 def _slices(table: tables.Table | None) -> Iterator[tables.Slice]:
@@ -237,7 +250,7 @@
 
 
 def _moved(before: tables.Block, after: tables.Block) -> int:
-    """Counts the slices that had an owner and have another one."""
+    """Counts the slices whose owner changed to another one."""
     home = tables.Table(before.service, [before])
     located = ((home.locate(s.first), s) for s in after.slices)
     return sum(
--- a/packages/mimosastile-entry/src/mimosastile_entry/_openapi.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_openapi.py
@@ -16,14 +16,14 @@
 
 
 class View(msgspec.Struct, frozen=True):
-    """What is said about one route.
+    """Description of one route.
 
     Attributes:
         summary: One line.
-        answer: Type of the answer.
+        answer: Type of the response body.
         query: Query parameters.
-        body: Type of the body, None for none.
-        roles: Which role it takes.
+        body: Type of the request body, None if there is none.
+        roles: The role that the caller needs.
     """
 
     summary: str
@@ -93,24 +93,27 @@
         ("limit",),
     ),
 }
-"""Every route by its path."""
+"""Views of all routes by path."""
 
 
 def document() -> dict[str, Any]:
     """Returns the OpenAPI document."""
-    kinds = [view.answer for view in VIEWS.values()]
-    bodies = [view.body for view in VIEWS.values() if view.body is not None]
+    response_types = [view.answer for view in VIEWS.values()]
+    body_types = [view.body for view in VIEWS.values() if view.body is not None]
     schemas, components = msgspec.json.schema_components(
-        [*kinds, *bodies, administration.AdminRefusal], ref_template=_REFERENCE
+        [*response_types, *body_types, administration.AdminRefusal],
+        ref_template=_REFERENCE,
     )
-    answers = dict(zip(VIEWS, schemas, strict=False))
-    sent = iter(schemas[len(kinds) :])
+    response_schemas = dict(zip(VIEWS, schemas, strict=False))
+    body_schemas = iter(schemas[len(response_types) :])
     paths = {}
     for path, view in VIEWS.items():
-        body = next(sent) if view.body is not None else None
-        plain = _VARIABLE.sub(r"{\1}", path)
+        body = next(body_schemas) if view.body is not None else None
+        template = _VARIABLE.sub(r"{\1}", path)
         method = "post" if body else "get"
-        paths[plain] = {method: _operation(path, view, answers[path], body)}
+        paths[template] = {
+            method: _operation(path, view, response_schemas[path], body)
+        }
     return {
         "openapi": "3.1.0",
         "info": {"title": "mimosastile administration", "version": "1"},
@@ -127,7 +130,7 @@
     path: str, view: View, answer: Any, body: Any | None
 ) -> dict[str, Any]:
     refusal = {"$ref": _REFERENCE.format(name="AdminRefusal")}
-    made: dict[str, Any] = {
+    operation: dict[str, Any] = {
         "summary": view.summary,
         "description": f"Role: {view.roles}.",
         "parameters": [
@@ -143,18 +146,18 @@
         },
     }
     if body is not None:
-        made["requestBody"] = {"required": True}
-        made["requestBody"]["content"] = {_JSON: {"schema": body}}
-    return made
+        operation["requestBody"] = {"required": True}
+        operation["requestBody"]["content"] = {_JSON: {"schema": body}}
+    return operation
 
 
-def _parameter(name: str, place: str) -> dict[str, Any]:
-    whole = name in ("number", "older", "newer", "before", "limit")
+def _parameter(name: str, location: str) -> dict[str, Any]:
+    is_integer = name in ("number", "older", "newer", "before", "limit")
     return {
         "name": name,
-        "in": place,
-        "required": place == "path",
-        "schema": {"type": "integer" if whole else "string"},
+        "in": location,
+        "required": location == "path",
+        "schema": {"type": "integer" if is_integer else "string"},
     }
 
 
--- a/packages/mimosastile-entry/src/mimosastile_entry/_operations.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_operations.py
@@ -1,4 +1,4 @@
-"""The inner side of a daemon: peers' messages and the operators' views."""
+"""Internal application of a daemon: peer messages and administration API."""
 
 import msgspec
 from starlette import applications
@@ -15,12 +15,12 @@
 
 
 def application(kernel: kernel.Kernel, forward: _asgi.App) -> _asgi.App:
-    """Returns the application for peers and operators.
+    """Returns the ASGI application for peers and operators.
 
     Args:
         kernel: The daemon's kernel.
-        forward: Application for forwarded requests; it is on the hot path and
-            reached without Starlette's routing.
+        forward: Application for forwarded requests; it is on the hot path,
+            so it is called without Starlette's routing.
     """
     inbox: _inbox.InboxService = kernel.find("inbox")
 
--- a/packages/mimosastile-entry/src/mimosastile_entry/_protocol.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_protocol.py
@@ -1,4 +1,4 @@
-"""The server's side of one connection: bounds on heads, callers that leave."""
+"""HTTP server protocol: limits for slow, oversized or disconnected callers."""
 
 import asyncio
 from typing import Any
@@ -9,8 +9,8 @@
 from mimosastile_core import errors
 
 _STATE_KEY = "mimosastile.work"
-_PIPELINED = 8
-"""Requests sent ahead on one connection beyond which reading stops."""
+_MAX_PIPELINED = 8
+"""Number of pipelined requests per connection at which reading stops."""
 
 _REASONS = {
     400: b"Bad Request",
@@ -20,7 +20,7 @@
 
 
 class Work:
-    """The task that serves the present request of one connection."""
+    """Holder of the task that serves a connection's current request."""
 
     __slots__ = ("task",)
 
@@ -28,17 +28,20 @@
         self.task: asyncio.Task[Any] | None = None
 
     def cancel(self) -> None:
-        """Cancels the task if it still serves."""
+        """Cancels the task if it is still serving a request."""
         task, self.task = self.task, None
         if task is not None:
             task.cancel()
 
 
 def begin(scope: Any) -> Work:
-    """Notes that the present task serves a request until `task` is cleared.
+    """Registers the current task as serving until `task` is cleared.
 
     Args:
         scope: The request's ASGI scope.
+
+    Returns:
+        The work of the request's connection.
     """
     work: Work = scope.get("state", {}).get(_STATE_KEY) or Work()
     work.task = asyncio.current_task()
@@ -46,21 +49,21 @@
 
 
 class Protocol(httptools_impl.HttpToolsProtocol):
-    """A connection whose caller may be slow, oversized or gone.
+    """A connection that enforces limits on slow or oversized callers.
 
     Attributes:
-        head_bytes: Longest head that is read.
-        head_seconds: Longest time for a head to arrive.
-        stall_seconds: Longest time in which a caller reads nothing.
+        head_bytes: Maximum size of a request head, in bytes.
+        head_seconds: Timeout for receiving a request head.
+        stall_seconds: Timeout for a caller that stops reading.
     """
 
     head_bytes = 64 << 10
     head_seconds = 10.0
     stall_seconds = 30.0
 
-    def __init__(self, *args: Any, **named: Any) -> None:
-        """Makes the connection; the server passes the arguments."""
-        super().__init__(*args, **named)
+    def __init__(self, *args: Any, **keywords: Any) -> None:
+        """Initializes the connection; the server passes the arguments."""
+        super().__init__(*args, **keywords)
         self._work = Work()
         self.app_state = {**self.app_state, _STATE_KEY: self._work}
         self._closing = False
@@ -71,126 +74,127 @@
         self._stall_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: Any) -> None:
-        """Expects a head soon."""
+        """Starts the timer for the first head."""
         super().connection_made(transport)
-        self._watch_head()
+        self._start_head_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancels the work for a caller that has gone."""
-        self._stop_watch()
-        self._stop_stall()
+        """Cancels the work for a caller that has disconnected."""
+        self._stop_head_timer()
+        self._stop_stall_timer()
         super().connection_lost(exc)
-        # The library tells only the latest of several requests that were sent
-        # at once, and only when it next asks. A slot would stay taken for a
-        # caller who will never read the answer.
+        # The library reports the disconnection only to the latest of several
+        # pipelined requests, and only at its next receive. A slot would stay
+        # occupied for a caller that never reads the response.
         self._work.cancel()
         self.pipeline.clear()
 
     def data_received(self, data: bytes) -> None:
-        """Reads, within the bounds on a head."""
+        """Parses data and enforces the limits on a head."""
         super().data_received(data)
         if self._in_body:
             return
         if not self._in_head and not self._is_idle():
-            self._stop_watch()
+            self._stop_head_timer()
             return
-        # A caller that sends its head byte by byte, or without end, would
-        # hold a connection and memory for ever; the library has no bound.
+        # A caller that sends its head byte by byte, or endlessly, would hold
+        # a connection and memory indefinitely; the library has no limit.
         self._head_size += len(data)
         if self._head_size > self.head_bytes:
             self._refuse(431, errors.ErrorKind.HEADERS_TOO_LARGE)
         elif self._head_timer is None:
-            self._watch_head()
+            self._start_head_timer()
 
     def on_message_begin(self) -> None:
-        """Begins to read a head."""
+        """Marks the start of a request head."""
         super().on_message_begin()
         self._in_head = True
 
     def on_headers_complete(self) -> None:
-        """Ends the head and begins to serve."""
+        """Marks the end of the head and starts serving the request."""
         self._in_head = False
         self._in_body = True
         self._head_size = 0
-        self._stop_watch()
+        self._stop_head_timer()
         super().on_headers_complete()
-        if 0 < len(self.pipeline) < _PIPELINED:
-            # The library stops reading when a second request comes before the
-            # first is answered, and then does not notice that the caller
-            # leaves.
+        if 0 < len(self.pipeline) < _MAX_PIPELINED:
+            # The library stops reading when a second request arrives before
+            # the first response is complete, and then does not detect that
+            # the caller disconnects.
             self.flow.resume_reading()
-        # The parser reads nothing after a request that asks for another
-        # protocol, so a next request would wait for ever.
+        # The parser reads nothing after a request for a protocol upgrade, so
+        # that the next request would never be served.
         if self._closing or self.parser.should_upgrade():
             self.cycle.keep_alive = False
 
     def on_message_complete(self) -> None:
-        """Ends the request's body."""
+        """Marks the end of the request body."""
         self._in_body = False
-        self._stop_watch()
+        self._stop_head_timer()
         super().on_message_complete()
 
     def on_response_complete(self) -> None:
-        """Ends an answer."""
+        """Limits the time to discard an upload after its response."""
         super().on_response_complete()
         if self._in_body and not self.transport.is_closing():
-            # The rest of a refused upload is read and thrown away, so that
-            # the answer is not lost in a reset; but not for ever.
-            self._stop_watch()
-            self._watch_head()
+            # The rest of a refused upload is read and discarded, so that the
+            # response is not lost in a connection reset; the head timeout
+            # bounds this.
+            self._stop_head_timer()
+            self._start_head_timer()
 
     def pause_writing(self) -> None:
-        """Notes that the caller does not keep up."""
+        """Starts the stall timer for a caller that reads too slowly."""
         super().pause_writing()
-        # A caller that stops reading would hold its slot for ever. Timed
-        # here, where it shows, it costs nothing for all others.
+        # A caller that stops reading would hold its slot indefinitely. A timer
+        # started only here adds no cost to all other connections.
         self._stall_timer = self.loop.call_later(
             self.stall_seconds, self.transport.abort
         )
 
     def resume_writing(self) -> None:
-        """Notes that the caller has caught up."""
-        self._stop_stall()
+        """Stops the stall timer; the caller reads again."""
+        self._stop_stall_timer()
         super().resume_writing()
 
     def shutdown(self) -> None:
-        """Closes an idle connection, a busy one after its answer."""
+        """Closes an idle connection, a busy one after its response."""
         if self._in_head:
-            # A request whose head is arriving is answered; cut off here, its
-            # caller could not tell whether it ran.
+            # A request whose head is being received is still served; if it
+            # were cut off here, its caller could not tell whether it ran.
             self._closing = True
             return
         super().shutdown()
 
     def send_400_response(self, msg: str) -> None:
-        """Refuses what is no request."""
+        """Refuses input that is not a valid request."""
         del msg
         self._refuse(400, errors.ErrorKind.BAD_REQUEST)
 
     def _is_idle(self) -> bool:
         return self.cycle is None or self.cycle.response_complete
 
-    def _watch_head(self) -> None:
+    def _start_head_timer(self) -> None:
         self._head_timer = self.loop.call_later(
-            self.head_seconds, self._head_late
+            self.head_seconds, self._on_head_timeout
         )
 
-    def _stop_watch(self) -> None:
+    def _stop_head_timer(self) -> None:
         if self._head_timer is not None:
             self._head_timer.cancel()
             self._head_timer = None
 
-    def _stop_stall(self) -> None:
+    def _stop_stall_timer(self) -> None:
         if self._stall_timer is not None:
             self._stall_timer.cancel()
             self._stall_timer = None
 
-    def _head_late(self) -> None:
+    def _on_head_timeout(self) -> None:
         self._head_timer = None
         if self._in_head:
             self._refuse(408, errors.ErrorKind.REQUEST_TIMEOUT)
-        # Without a request there is nothing to answer; words on an idle
-        # connection would be taken for the answer to the next request.
+        # Without a request, no response is due: the caller would take data on
+        # an idle connection for the response to its next request.
         self.transport.close()
 
     def _refuse(self, status: int, kind: errors.ErrorKind) -> None:
@@ -204,15 +208,15 @@
                 b"content-length: %d\r\nconnection: close\r\n\r\n%s"
                 % (status, reason, len(body), body)
             )
-        # Within an answer there is no place for another one: a caller would
-        # take it for the rest of the first.
+        # During a response, no second one can be sent: the caller would take
+        # it for the rest of the first.
         self.transport.close()
 
 
 def bounded(
     head_bytes: int, head_seconds: float, stall_seconds: float
 ) -> type[Protocol]:
-    """Returns a protocol class with other bounds."""
+    """Returns a protocol class with the given limits."""
     return type(
         "BoundedProtocol",
         (Protocol,),
