--- a/tests/administered.py
+++ b/tests/administered.py
@@ -1,4 +1,4 @@
-"""A daemon in memory with its administration API, for tests."""
+"""In-memory daemons with the administration API, for tests."""
 
 import json
 from urllib import parse
@@ -21,7 +21,7 @@
 
 
 def document():
-    """Returns services, members and operators with different roles."""
+    """Returns a document of operators with different roles and scopes."""
     role = config.Role
     return config.Document(
         services={"desk": KEYED, "archive": config.Service()},
@@ -42,11 +42,11 @@
 
 
 class Api:
-    """One daemon in memory and its inner application."""
+    """One in-memory daemon and its internal application."""
 
-    def __init__(self, made, vm="e0"):
-        self.world = made
-        self.app = _operations.application(made.daemons[vm], _forward)
+    def __init__(self, cluster, vm="e0"):
+        self.world = cluster
+        self.app = _operations.application(cluster.daemons[vm], _forward)
 
     async def call(self, method, url, token="admin", body=None, raw=False):
         """Calls the application; returns status and body, decoded or raw."""
@@ -60,36 +60,36 @@
             "headers": [(b"authorization", f"Bearer {token}".encode())],
             "server": ("127.0.0.1", 8081),
         }
-        sent = []
+        messages = []
         data = body if isinstance(body, bytes) else json.dumps(body).encode()
 
         async def receive():
             return {"type": "http.request", "body": data, "more_body": False}
 
         async def send(message):
-            sent.append(message)
+            messages.append(message)
 
         await self.app(scope, receive, send)
-        text = b"".join(m.get("body", b"") for m in sent)
-        return sent[0]["status"], text if raw else json.loads(text)
+        text = b"".join(m.get("body", b"") for m in messages)
+        return messages[0]["status"], text if raw else json.loads(text)
 
     async def apply(self, patch, token="admin", way="apply"):
-        """Submits a patch."""
+        """Submits a patch; `way` is "apply" or "propose"."""
         return await self.call("POST", f"/v1/config/{way}", token, patch)
 
 
 async def start(vms=1):
-    """Starts daemons with the document and returns the first one's API."""
-    made = world.World()
-    await made.configure(document())
-    made.add_target("t0", "desk", "kontinent", "zagreb-a")
+    """Starts daemons with the document; returns the API of the first."""
+    cluster = world.World()
+    await cluster.configure(document())
+    cluster.add_target("t0", "desk", "kontinent", "zagreb-a")
     for i in range(vms):
-        kernel = await made.add_daemon(f"e{i}", "kontinent", "zagreb-a")
+        kernel = await cluster.add_daemon(f"e{i}", "kontinent", "zagreb-a")
         for service in (
             _access.AccessService(""),
             _audit.AuditService(f"e{i}", "zagreb-a"),
         ):
             kernel.register(service)
             await service.start(kernel)
-    await made.settle("desk")
-    return Api(made)
+    await cluster.settle("desk")
+    return Api(cluster)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Tests that are known to fail, as `KNOWN-RED.txt` lists them."""
+"""Marks the tests that `KNOWN-RED.txt` lists as known failures."""
 
 import pathlib
 
@@ -8,10 +8,10 @@
 
 
 def pytest_collection_modifyitems(items):
-    """Expects exactly the listed tests to fail.
+    """Marks exactly the listed tests as expected failures.
 
-    An entry begins with the node of a test or of a class. A listed test that
-    passes fails the run: its entry goes with the fix.
+    Each entry starts with the node id of a test or a class. A listed test
+    that passes fails the run, so that its entry is removed with the fix.
     """
     if not _LIST.exists():
         return
--- a/tests/entry/test_admin.py
+++ b/tests/entry/test_admin.py
@@ -1,4 +1,4 @@
-"""Tests of the administration API, called without sockets."""
+"""Tests of the administration API, called directly as an application."""
 
 import json
 import re
@@ -27,10 +27,10 @@
 
 
 class TestRefusals:
-    """An operator tries what its token does not allow.
+    """An operator calls the API beyond the permissions of its token.
 
-    It is refused before anything happens, hears what is missing, and the
-    attempt stands in the audit trail.
+    The call is refused before it has any effect. The refusal names the missing
+    permission, and the audit log records the attempt.
     """
 
     @pytest.mark.parametrize(
@@ -56,26 +56,26 @@
         ],
     )
     def test_patches(self, token, way, path, value, status):
-        """Role by what is touched, scope by service and member."""
+        """The paths determine the required role and scope."""
 
-        async def story():
+        async def scenario():
             api = await administered.start()
             got, body = await api.apply(_patch(path, value), token, way)
             assert got == status, body
             number = api.world.daemons["e0"].find("configuration").current
             done = way == "apply" and status == 200
             assert number.number == 1 + done
-            _, trail = await api.call("GET", "/v1/audit")
-            assert bool(trail) == (status >= 400)
-            assert token not in {e["detail"] for e in trail} or not token
+            _, entries = await api.call("GET", "/v1/audit")
+            assert bool(entries) == (status >= 400)
+            assert token not in {e["detail"] for e in entries} or not token
 
-        virtual.run(story())
+        virtual.run(scenario())
 
     @pytest.mark.parametrize("op", ["test", "copy"])
-    def test_no_peeping_through_operations(self, op):
-        """A test or copy of another team's values is refused as well."""
+    def test_operations_do_not_reveal_other_values(self, op):
+        """A test or copy of out-of-scope values is refused as well."""
 
-        async def story():
+        async def scenario():
             api = await administered.start()
             patch = _patch("/members/n/share", 1.0, op="test")
             if op == "copy":
@@ -89,7 +89,7 @@
             got, body = await api.apply(patch, "team", "propose")
             assert got == 403, body
 
-        virtual.run(story())
+        virtual.run(scenario())
 
     @pytest.mark.parametrize(
         ("path", "status"),
@@ -108,9 +108,9 @@
         ],
     )
     def test_views_of_a_team(self, path, status):
-        """A view shows what is in scope; whole-system views need all."""
+        """Views show only values in scope; system-wide views need all."""
 
-        async def story():
+        async def scenario():
             api = await administered.start()
             got, body = await api.call("GET", path, "guest")
             assert got == status
@@ -118,16 +118,16 @@
             assert (await api.call("GET", path, "nothing"))[0] == 401
             assert (await api.call("GET", path, "none"))[0] == 403
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
 class TestPatches:
-    """The life of a patch over the API."""
+    """Patches are applied and inspected over the API."""
 
-    def test_race_shows_the_winner(self):
-        """The second of two patches on one base hears of the first."""
+    def test_conflict_names_the_winner(self):
+        """The conflict of the second patch on a base names the first."""
 
-        async def story():
+        async def scenario():
             api = await administered.start()
             assert (await api.apply(_patch(SLOTS, 2)))[0] == 200
             late = _patch("/members/p", {}, name="patch-0002")
@@ -139,12 +139,12 @@
             assert body["meanwhile"][0]["author"] == "admin"
             assert body["meanwhile"][0]["paths"] == [SLOTS]
 
-        virtual.run(story())
+        virtual.run(scenario())
 
     def test_history_diff_blame_revert_in_force(self):
-        """Everything an operator asks about a change."""
+        """All views of an applied change."""
 
-        async def story():
+        async def scenario():
             api = await administered.start()
             await api.apply(_patch(SLOTS, 2))
 
@@ -167,7 +167,7 @@
             reached = await get("/v1/config/in-force?number=2")
             assert reached["numbers"] == {"e0": 2}
 
-        virtual.run(story())
+        virtual.run(scenario())
 
     @pytest.mark.parametrize(
         ("body", "status", "named"),
@@ -180,16 +180,16 @@
             (b" " * 300_000, 413, "at most"),
         ],
     )
-    def test_mistakes(self, body, status, named):
-        """Each is refused with its place."""
+    def test_invalid_patches(self, body, status, named):
+        """An invalid patch is refused with the location of the error."""
 
-        async def story():
+        async def scenario():
             api = await administered.start()
-            got, said = await api.apply(body)
+            got, response = await api.apply(body)
             assert got == status
-            assert named in json.dumps(said)
+            assert named in json.dumps(response)
 
-        virtual.run(story())
+        virtual.run(scenario())
 
     @pytest.mark.parametrize(
         "path",
@@ -202,28 +202,28 @@
         ],
     )
     def test_missing_objects(self, path):
-        """What does not exist is named as such."""
+        """A missing number or service is reported as not found."""
 
-        async def story():
+        async def scenario():
             api = await administered.start()
             assert (await api.call("GET", path))[0] == 404
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
 class TestExplain:
-    """Why a request goes where it goes."""
+    """The API explains routing decisions."""
 
     def test_owner_and_refusal(self):
-        """The same decision as the router's, step by step."""
+        """The explanation matches the owner, and the refusal without one."""
 
-        async def story():
+        async def scenario():
             api = await administered.start()
             _, body = await api.call("GET", "/v1/explain/desk/k")
             assert (body["target"], body["keeper"]) == ("t0", "e0")
             assert any("t0 owns it" in line for line in body["reasons"])
             api.world.fleet.remove("t0")
-            # The list is read at an interval, by one VM of a zone.
+            # One VM per zone reads the list periodically.
             async with virtual.limit(10.0):
                 while not body["refused"]:
                     await virtual.pause(0.1)
@@ -231,16 +231,16 @@
             assert body["refused"] == "no_owner"
             assert body["target"] == ""
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
 class TestAudit:
-    """The audit trail while the store is down."""
+    """The audit log during a store outage."""
 
     def test_refusals_are_written_once_the_store_is_back(self):
-        """Nothing is lost and a lost answer doubles nothing."""
+        """No entry is lost, and a lost response duplicates none."""
 
-        async def story():
+        async def scenario():
             api = await administered.start()
             api.world.store.go_down()
             await api.call("GET", "/v1/dump", "wrong")
@@ -248,14 +248,14 @@
             api.world.store.come_back()
             api.world.store.lost_answers = 1
             await virtual.pause(30.0)
-            _, trail = await api.call("GET", "/v1/audit")
-            assert [e["outcome"] for e in trail] == ["unauthenticated"]
+            _, entries = await api.call("GET", "/v1/audit")
+            assert [e["outcome"] for e in entries] == ["unauthenticated"]
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
 _PATHS = strategies.sampled_from([*_openapi.VIEWS, "/metrics", "/v1"])
-_WORDS = strategies.one_of(
+_VALUES = strategies.one_of(
     strategies.text(max_size=8),
     strategies.integers(-1, 10**30).map(str),
     strategies.sampled_from(["9" * 5000, "desk", "archive", "/services", "~"]),
@@ -263,33 +263,33 @@
 _CALLS = strategies.tuples(
     strategies.sampled_from(["GET", "POST", "DELETE"]),
     _PATHS,
-    _WORDS,
+    _VALUES,
     strategies.sampled_from(["number", "before", "limit", "path", "older"]),
-    _WORDS,
+    _VALUES,
     strategies.sampled_from(["admin", "team", "guest", "wrong"]),
     strategies.binary(max_size=40),
 )
 
 
 class TestFuzz:
-    """Whatever comes off the socket of the inner port.
+    """Arbitrary requests reach the internal port.
 
-    A request that the API does not expect must be refused; an exception would
-    show as an answer of 500 and a traceback in the log.
+    An unexpected request must be refused. An exception would result in a
+    status of 500 and a traceback in the log.
     """
 
     @hypothesis.settings(
         derandomize=True, deadline=None, max_examples=40, database=None
     )
     @hypothesis.given(strategies.lists(_CALLS, min_size=10, max_size=10))
-    def test_no_call_fails_inside(self, calls):
-        """At least 400 calls of any shape, none of them answered with 5xx."""
+    def test_no_call_fails_internally(self, calls):
+        """At least 400 random calls; none of them returns a 5xx status."""
 
-        async def story():
+        async def scenario():
             api = await administered.start()
-            for method, path, word, name, value, token, body in calls:
-                # Percent-encoded, it has nothing that `sub` would expand.
-                quoted = parse.quote(word, safe="")
+            for method, path, value_in_path, name, value, token, body in calls:
+                # Percent-encoded, so that `sub` finds no escapes to expand.
+                quoted = parse.quote(value_in_path, safe="")
                 url = re.sub(r"\{[^}]*\}", quoted, path)
                 query = f"{name}={parse.quote(value, safe='')}"
                 status, _ = await api.call(
@@ -297,4 +297,4 @@
                 )
                 assert status < 500, (method, url, query, body)
 
-        virtual.run(story())
+        virtual.run(scenario())
--- a/tests/entry/test_alarms.py
+++ b/tests/entry/test_alarms.py
@@ -1,4 +1,4 @@
-"""Tests of the timeout of the hot path."""
+"""Tests of the hot-path timeout."""
 
 import asyncio
 
@@ -21,38 +21,38 @@
 
 
 class TestAlarm:
-    """It fires alone, not at all, or together with another cancellation."""
+    """The timer fires alone, never, or along with an external cancellation."""
 
     def test_in_time(self):
-        """What ends in time is left alone for good."""
+        """A task that ends in time is never cancelled."""
 
-        async def story():
+        async def scenario():
             outcome = await _wait(1.0, 0.5)
             await virtual.pause(2.0)
             return outcome
 
-        assert virtual.run(story()) == "done"
+        assert virtual.run(scenario()) == "done"
 
     def test_too_late(self):
-        """It is a timeout, and the task can go on."""
+        """The timer raises a timeout, and the task can continue."""
 
-        async def story():
+        async def scenario():
             with pytest.raises(TimeoutError):
                 await _wait(1.0, 5.0)
             await virtual.pause(1.0)
             return asyncio.current_task().cancelling()
 
-        assert virtual.run(story()) == 0
+        assert virtual.run(scenario()) == 0
 
     @pytest.mark.parametrize("at", [0.5, 1.0])
-    def test_cancelled_by_others(self, at):
-        """The cancellation stays one, also in the same moment."""
+    def test_external_cancellation(self, at):
+        """An external cancellation is kept, also at the same instant."""
 
-        async def story():
+        async def scenario():
             task = asyncio.create_task(_wait(1.0, 5.0))
             await virtual.pause(at)
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
             return task.cancelled()
 
-        assert virtual.run(story())
+        assert virtual.run(scenario())
--- a/tests/entry/test_asgi.py
+++ b/tests/entry/test_asgi.py
@@ -1,4 +1,4 @@
-"""Tests of what callers may send: refusals before any work, and a fuzz."""
+"""Tests of request validation: early refusals, slow senders and fuzzing."""
 
 import asyncio
 import contextlib
@@ -18,32 +18,34 @@
     header_bytes=2000,
     url_bytes=500,
 )
-HASTY = msgspec.structs.replace(LIMITS, head_seconds=0.05, stall_seconds=0.05)
+SHORT_TIMEOUTS = msgspec.structs.replace(
+    LIMITS, head_seconds=0.05, stall_seconds=0.05
+)
 CLOSE = "connection: close\r\n"
 INPUTS = 200
-"""Inputs of each fuzz; the seed is fixed."""
+"""Number of inputs of each fuzz test; the seed is fixed."""
 
 
 @pytest.fixture(scope="module")
-def rigged():
-    """Yields a runner, a front before a raw server, and the server."""
-    with _rigged(LIMITS) as made:
+def server():
+    """Yields a runner, a front for a raw server, and that server."""
+    with _running_server(LIMITS) as made:
         yield made
 
 
 @pytest.fixture(scope="module")
-def hasty():
-    """Yields the same with limits that slow senders meet at once.
+def impatient_server():
+    """Yields the same with timeouts that slow senders exceed quickly.
 
-    Good requests are not sent to it: a machine that is busy for as long makes
-    their senders slow.
+    Tests send no valid requests to it: on a machine that is busy for as long
+    as a timeout, their senders would count as slow.
     """
-    with _rigged(HASTY) as made:
+    with _running_server(SHORT_TIMEOUTS) as made:
         yield made
 
 
 @contextlib.contextmanager
-def _rigged(limits):
+def _running_server(limits):
     with asyncio.Runner() as runner:
         stack = contextlib.AsyncExitStack()
 
@@ -61,9 +63,9 @@
         runner.run(stack.aclose())
 
 
-def _ask(rigged, sent):
-    """Returns the answer and how many requests the target got."""
-    runner, front, peer = rigged
+def _exchange(server, sent):
+    """Returns the response and how many requests the target received."""
+    runner, front, peer = server
     before = len(peer.requests)
     received = runner.run(rig.exchange(front.port, sent))
     return received, len(peer.requests) - before
@@ -74,10 +76,11 @@
 
 
 class TestRefusedBeforeAnyWork:
-    """Callers send what is malformed, oversized or meant to deceive.
+    """Callers send malformed, oversized or deceptive requests.
 
-    Two servers that read a request differently could be made to run one that
-    nobody checked, or to run it for another key than its owner's.
+    If two servers parse a request differently, an attacker could make the
+    target run a request that was never checked, or run it for a key that the
+    target does not own.
     """
 
     @pytest.mark.parametrize(
@@ -112,9 +115,9 @@
             (rig.get(extra=CLOSE + "content-length: 100001\r\n"), 413),
         ],
     )
-    def test_answer(self, rigged, sent, status):
-        """The target gets nothing, and the refusal says so."""
-        received, ran = _ask(rigged, sent)
+    def test_refusal(self, server, sent, status):
+        """The target receives nothing, and the refusal reports that."""
+        received, ran = _exchange(server, sent)
         got, headers, body = rig.parse(received)
         assert (got, ran) == (status, 0)
         assert json.loads(body)["ran"] == "no"
@@ -138,10 +141,10 @@
             " content-length: 3\r\n",
         ],
     )
-    def test_ambiguous_length(self, rigged, framing):
-        """The connection is closed, with a refusal if the head is at fault."""
+    def test_ambiguous_length(self, server, framing):
+        """The connection closes, with a refusal if the head is invalid."""
         sent = rig.get(method="POST", extra=framing, body=b"0\r\n\r\nabc")
-        received, ran = _ask(rigged, sent)
+        received, ran = _exchange(server, sent)
         assert ran == 0
         assert received == b"" or rig.parse(received)[0] == 400
         assert received.count(b"HTTP/1.1") <= 1
@@ -149,35 +152,35 @@
     @pytest.mark.parametrize(
         "wait", ["-1", "x", "9" * 400, "\u0663", "1e3", "0.5"]
     )
-    def test_bad_deadline_counts_as_none(self, rigged, wait):
-        """The service's own limit applies."""
+    def test_invalid_deadline_is_ignored(self, server, wait):
+        """An invalid timeout is ignored; the service's limit applies."""
         extra = f"{CLOSE}x-request-timeout-ms: {wait}\r\n"
-        received, ran = _ask(rigged, rig.get(extra=extra))
+        received, ran = _exchange(server, rig.get(extra=extra))
         assert (rig.parse(received)[0], ran) == (200, 1)
 
-    def test_upgrade_is_ignored(self, rigged):
-        """The answer comes, and the connection closes after it."""
+    def test_upgrade_is_ignored(self, server):
+        """The request is served, and the connection closes afterwards."""
         extra = "connection: upgrade\r\nupgrade: h2c\r\n"
-        received, ran = _ask(rigged, rig.get(extra=extra) * 2)
+        received, ran = _exchange(server, rig.get(extra=extra) * 2)
         status, headers, _ = rig.parse(received)
         assert (status, ran) == (200, 1)
         assert headers[b"connection"] == b"close"
 
-    def test_body_over_the_limit_is_broken_off(self, rigged):
-        """Chunked, so that its size shows only on the way."""
+    def test_body_over_the_limit_is_cut_off(self, server):
+        """A chunked body has no declared size; it is cut off at the limit."""
         chunk = b"2710\r\n" + b"x" * 10000 + b"\r\n"
         extra = CLOSE + "transfer-encoding: chunked\r\n"
         sent = rig.get(method="POST", extra=extra, body=chunk * 11)
-        received, ran = _ask(rigged, sent + b"0\r\n\r\n")
+        received, ran = _exchange(server, sent + b"0\r\n\r\n")
         assert rig.parse(received)[0] in (413, 502)
         assert ran == 0
 
 
 class TestSlowSenders:
-    """Callers open connections and send next to nothing.
+    """Callers open connections and send almost nothing.
 
-    Each would hold a connection and memory of the entry VM for ever, until
-    nobody else gets in.
+    Each would hold a connection and memory of the entry VM indefinitely, until
+    no other caller can connect.
     """
 
     @pytest.mark.parametrize(
@@ -191,9 +194,9 @@
             (rig.get(method="POST", extra="content-length: 9\r\n"), 408),
         ],
     )
-    def test_connection_is_closed(self, hasty, sent, status):
-        """After the time for a head, or without progress of a body."""
-        received, _ = _ask(hasty, sent)
+    def test_connection_is_closed(self, impatient_server, sent, status):
+        """The head timeout or the stall timeout closes the connection."""
+        received, _ = _exchange(impatient_server, sent)
         if status is None:
             assert received == b""
         else:
@@ -201,10 +204,10 @@
 
 
 class TestFuzz:
-    """Anything may come off a socket.
+    """Arbitrary bytes arrive on a socket.
 
-    Whatever it is, the daemon answers in HTTP or closes, leaks no slot, and
-    serves the next caller.
+    For any input, the daemon responds in HTTP or closes the connection, leaks
+    no slot, and serves the next caller.
     """
 
     FUZZ = hypothesis.settings(
@@ -240,37 +243,37 @@
 
     @FUZZ
     @hypothesis.given(data=st.binary(max_size=300))
-    def test_raw_bytes(self, rigged, data):
-        """Bytes of any sort."""
-        self._check(rigged, data)
+    def test_raw_bytes(self, server, data):
+        """Arbitrary bytes."""
+        self._check(server, data)
 
     @FUZZ
     @hypothesis.given(pieces=st.lists(PIECES, max_size=16))
-    def test_pieces_of_requests(self, rigged, pieces):
+    def test_pieces_of_requests(self, server, pieces):
         """Parts of requests in any order."""
-        self._check(rigged, b"".join(pieces))
+        self._check(server, b"".join(pieces))
 
     @FUZZ
     @hypothesis.given(
         at=st.integers(0, 200), junk=st.binary(max_size=4), cut=st.booleans()
     )
-    def test_mutated_request(self, rigged, at, junk, cut):
-        """A good request with some bytes put in, or cut short."""
+    def test_mutated_request(self, server, at, junk, cut):
+        """A valid request with some bytes inserted, or truncated."""
         extra = "content-length: 3\r\nconnection: close\r\n"
         good = rig.get(method="POST", extra=extra, body=b"abc")
         rest = b"" if cut else good[at:]
-        self._check(rigged, good[:at] + junk + rest)
+        self._check(server, good[:at] + junk + rest)
 
-    def _check(self, rigged, sent):
-        runner, front, _ = rigged
-        received = runner.run(_send_and_leave(front, sent))
+    def _check(self, server, sent):
+        runner, front, _ = server
+        received = runner.run(_send_and_disconnect(front, sent))
         assert received == b"" or received.startswith(b"HTTP/1.1 ")
         assert front.router.in_flight == 0
-        assert rig.parse(_ask(rigged, rig.get())[0])[0] == 200
+        assert rig.parse(_exchange(server, rig.get())[0])[0] == 200
 
 
-async def _send_and_leave(front, sent):
-    """Sends bytes and an end, and returns what comes back."""
+async def _send_and_disconnect(front, sent):
+    """Sends bytes, disconnects, and returns the received bytes."""
     reader, writer = await asyncio.open_connection(rig.HOST, front.port)
     writer.write(sent)
     received = b""
--- a/tests/entry/test_auth.py
+++ b/tests/entry/test_auth.py
@@ -1,4 +1,4 @@
-"""Tests of the signatures between entry VMs."""
+"""Tests of request signatures between entry VMs."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 HEADERS = [("x-mimosastile-member", "desk"), ("accept", "a"), ("accept", "b")]
 
 
-class _Wall:
+class _WallClock:
     def __init__(self, now=1_000_000.0):
         self.now = now
 
@@ -19,43 +19,49 @@
 
 
 def _signer(vm, keys=None, sign_with="old", wall=None):
-    wall = wall or _Wall()
+    wall = wall or _WallClock()
     return _auth.Signer(vm, keys or {"old": OLD}, sign_with, 10.0, wall)
 
 
-def _sent(signer, to="e1", headers=HEADERS, body=b"letter"):
+def _signed_headers(signer, to="e1", headers=HEADERS, body=b"letter"):
     return [*headers, *signer.sign(to, "POST", "/forward/s/1", headers, body)]
 
 
-class TestGood:
-    """What a peer signed is let in."""
+class TestAccepted:
+    """Requests that a peer signed are accepted."""
 
-    def test_taken_in_spite_of_the_librarys_headers(self):
-        """Framing and host are the connection's own."""
-        sent = [("host", "h"), ("content-length", "6"), *_sent(_signer("e0"))]
+    def test_unsigned_headers_of_the_http_library(self):
+        """Framing and host headers are per connection and not signed."""
+        sent = [
+            ("host", "h"),
+            ("content-length", "6"),
+            *_signed_headers(_signer("e0")),
+        ]
         receiver = _signer("e1")
         assert receiver.check("POST", "/forward/s/1", sent[::-1])
         assert _auth.body_matches(b"letter", sent)
         assert not _auth.body_matches(b"Letter", sent)
 
     def test_both_keys_are_valid_while_they_are_rotated(self):
-        """VMs change over one after another; none is shut out."""
+        """VMs change keys one after another; none is refused meanwhile."""
         both = {"old": OLD, "new": NEW}
         receiver = _signer("e1", both, "new")
         for signer in (_signer("e0"), _signer("e0", both, "new")):
-            assert receiver.check("POST", "/forward/s/1", _sent(signer))
+            assert receiver.check(
+                "POST", "/forward/s/1", _signed_headers(signer)
+            )
 
     def test_no_keys_no_headers(self):
-        """The check is off."""
+        """Without keys, the check is disabled."""
         signer = _auth.Signer("e0", {}, "", 10.0)
         assert not signer.enabled
         assert signer.sign("e1", "GET", "/", [], b"") == []
 
 
 class TestForged:
-    """Somebody on the network sends what no peer signed.
+    """An attacker on the network sends a request that no peer signed.
 
-    A forged message could move keys; a forged request could run as any
+    A forged message could move keys, and a forged request could run as any
     member.
     """
 
@@ -74,8 +80,8 @@
         ],
     )
     def test_changed_part(self, method, path, change):
-        """Each part is covered."""
-        sent = _sent(_signer("e0"))
+        """The signature covers each part."""
+        sent = _signed_headers(_signer("e0"))
         if change:
             sent = [h for h in sent if h[0] != change[0]] + [change]
         assert not _signer("e1").check(method, path, sent)
@@ -89,19 +95,21 @@
         ],
     )
     def test_wrong_key_or_receiver(self, signer, to):
-        """A message for one VM is worth nothing at another."""
-        sent = _sent(signer, to)
+        """A message signed for one VM is refused by another."""
+        sent = _signed_headers(signer, to)
         assert not _signer("e1").check("POST", "/forward/s/1", sent)
 
     def test_two_signatures(self):
-        """Nobody can tell which one counts."""
+        """Two signatures are ambiguous and refused."""
         signer = _signer("e0")
-        sent = _sent(signer) + signer.sign("e1", "POST", "/p", [], b"")
+        sent = _signed_headers(signer) + signer.sign(
+            "e1", "POST", "/p", [], b""
+        )
         assert not _signer("e1").check("POST", "/forward/s/1", sent)
 
 
 class TestReplayed:
-    """Somebody records a good message and sends it again later.
+    """An attacker records a valid message and replays it later.
 
     An approval would run twice.
     """
@@ -110,55 +118,57 @@
     def test_just_after_a_restart(self, after):
         """A peer sends its first message as soon as a daemon has started.
 
-        Stamps have milliseconds. One that was rounded down lay before the
-        start, and the peer was refused as if its message were an old one.
+        Time stamps have millisecond resolution. A stamp rounded down was
+        earlier than the start, so the receiver refused the message as old.
         """
-        wall = _Wall(1_000_000.0004)
+        wall = _WallClock(1_000_000.0004)
         receiver = _signer("e1", wall=wall)
         wall.now += after
-        sent = _sent(_signer("e0", wall=wall))
+        sent = _signed_headers(_signer("e0", wall=wall))
         assert receiver.check("POST", "/forward/s/1", sent)
 
-    def test_second_time(self):
-        """Also after the numbers have gone over to the next generation."""
-        wall = _Wall()
+    def test_replay(self):
+        """A replay is refused, also after the nonce generations rotate."""
+        wall = _WallClock()
         sender, receiver = _signer("e0", wall=wall), _signer("e1", wall=wall)
-        sent = _sent(sender)
+        sent = _signed_headers(sender)
         assert receiver.check("POST", "/forward/s/1", sent)
         for _ in range(4):
             assert not receiver.check("POST", "/forward/s/1", sent)
             wall.now += 5.1
-            assert receiver.check("POST", "/forward/s/1", _sent(sender))
+            assert receiver.check(
+                "POST", "/forward/s/1", _signed_headers(sender)
+            )
 
     @pytest.mark.parametrize("age", [10.1, -10.1, 1e9])
     def test_old_or_from_the_future(self, age):
-        """Only the window counts."""
-        wall = _Wall()
-        receiver = _signer("e1", wall=_Wall(wall.now - 100))
-        sent = _sent(_signer("e0", wall=wall))
+        """Stamps outside of the window are refused."""
+        wall = _WallClock()
+        receiver = _signer("e1", wall=_WallClock(wall.now - 100))
+        sent = _signed_headers(_signer("e0", wall=wall))
         receiver._wall.now = wall.now + age
         assert not receiver.check("POST", "/forward/s/1", sent)
 
     def test_from_before_a_restart(self):
-        """The new run has not seen it, and takes nothing so old."""
-        wall = _Wall()
-        sent = _sent(_signer("e0", wall=wall))
+        """A restarted daemon has no nonces and refuses older messages."""
+        wall = _WallClock()
+        sent = _signed_headers(_signer("e0", wall=wall))
         wall.now += 1
         receiver = _signer("e1", wall=wall)
         assert not receiver.check("POST", "/forward/s/1", sent)
 
     @pytest.mark.parametrize("stamp", ["nan", "inf", "-1", "1e9", "", "٣"])
-    def test_odd_time(self, stamp):
-        """It is no time."""
+    def test_malformed_stamp(self, stamp):
+        """A malformed time stamp is refused."""
         signer = _signer("e0")
         assert not signer._is_fresh(stamp)
 
 
 class TestSecrets:
-    """Settings are logged and shown when something is wrong with them."""
+    """Error messages about invalid settings are logged and displayed."""
 
     def test_no_secret_is_shown(self, tmp_path):
-        """Neither by a mistake in it nor by the settings' own text."""
+        """Neither errors nor the representation of settings show secrets."""
         text = (
             '[vm]\nid="e"\nregion="r"\nzone="z"\n[platform]\n'
             'store="http://1"\nfleet="http://1"\n[peers]\nsign_with="a"\n'
--- a/tests/entry/test_configuration.py
+++ b/tests/entry/test_configuration.py
@@ -1,4 +1,4 @@
-"""Tests of the configuration service against the stand-in store."""
+"""Tests of the configuration service against an in-memory store."""
 
 import asyncio
 import json
@@ -20,13 +20,13 @@
 PLACES = (("kontinent", "zagreb-a"), ("primorje", "split-a"))
 LATE_SECONDS = 0.25
 SPAN = 8
-"""Numbers per block of the history here, so that few patches fill many."""
+"""Numbers per history block; small, so that few patches fill many blocks."""
 _UNKNOWN = result.Err(errors.Failure(errors.ErrorKind.STORE_UNKNOWN))
 
 
 @pytest.fixture(autouse=True, scope="module")
 def _short_blocks():
-    """Blocks and snapshots as in production, only more of them."""
+    """Shortens history blocks, so that tests create many snapshots."""
     with pytest.MonkeyPatch.context() as patched:
         patched.setattr(history, "SPAN", SPAN)
         patched.setattr(history, "KEEP_SNAPSHOTS", 2)
@@ -34,16 +34,17 @@
         yield
 
 
-class _DiedError(Exception):
-    """The VM that submits dies at this point."""
+class _CrashedError(Exception):
+    """The VM that applies the patch crashes at this point."""
 
 
 class FaultyStore(store.MemoryStore):
-    """Does something to chosen writes of the configuration.
+    """A store that injects faults into writes of the configuration.
 
     Attributes:
-        faults: Number of a write, from 0, to what happens to it.
-        writes: Writes of configuration and history so far.
+        faults: Fault by number of the write, from 0.
+        writes: Number of writes of configuration and history so far.
+        late: Tasks of the delayed writes.
     """
 
     def __init__(self):
@@ -53,13 +54,13 @@
         self.late = []
 
     async def compare_and_swap(self, key, value, revision):
-        """Writes, unless a fault is planned."""
+        """Writes, or injects the planned fault."""
         if not key.startswith(("config/", "history/")):
             return await super().compare_and_swap(key, value, revision)
         fault = self.faults.get(self.writes, "")
         self.writes += 1
         if fault == "late":
-            write = self._later(key, value, revision)
+            write = self._write_late(key, value, revision)
             self.late.append(asyncio.ensure_future(write))
             return _UNKNOWN
         if fault not in ("never", "dies before"):
@@ -67,10 +68,10 @@
             if not fault:
                 return done
         if fault.startswith("dies"):
-            raise _DiedError
+            raise _CrashedError
         return _UNKNOWN
 
-    async def _later(self, key, value, revision):
+    async def _write_late(self, key, value, revision):
         await virtual.pause(LATE_SECONDS)
         return await super().compare_and_swap(key, value, revision)
 
@@ -84,32 +85,32 @@
     )
 
 
-def _anything(paths):
+def _allow_all(paths):
     del paths
 
 
-async def _apply(made, vm, patch, author="ana"):
-    service = made.daemons[vm].find("configuration")
-    return await service.apply(patch, author, _anything)
+async def _apply(cluster, vm, patch, author="ana"):
+    service = cluster.daemons[vm].find("configuration")
+    return await service.apply(patch, author, _allow_all)
 
 
-async def _world(vms=2):
-    made = world.World()
-    made.store = made.sites.store = FaultyStore()
+async def _cluster(vms=2):
+    cluster = world.World()
+    cluster.store = cluster.sites.store = FaultyStore()
     for i in range(vms):
-        await made.add_daemon(f"e{i}", *PLACES[i % 2])
-    return made
+        await cluster.add_daemon(f"e{i}", *PLACES[i % 2])
+    return cluster
 
 
-def _stored(made):
-    held = made.store.entries["config/current"].value
-    return config.decode_version(held).unwrap()
+def _stored(cluster):
+    recorded = cluster.store.entries["config/current"].value
+    return config.decode_version(recorded).unwrap()
 
 
-async def _check_trace(made, vm):
-    """The history is whole and rebuilds every document up to the current."""
-    service = made.daemons[vm].find("configuration")
-    current = _stored(made)
+async def _check_history(cluster, vm):
+    """Checks that the history is complete and rebuilds the document."""
+    service = cluster.daemons[vm].find("configuration")
+    current = _stored(cluster)
     changes = (await service.history(0, 1000)).unwrap()
     numbers = [c.number for c in changes]
     assert numbers == list(range(current.number, 0, -1))
@@ -127,46 +128,46 @@
 
 
 class TestApply:
-    """Patches one after another."""
+    """Patches are applied one after another."""
 
-    def test_numbers_rise_by_one_and_the_trace_is_whole(self):
-        """Over nine blocks, with every document rebuilt, thinned ones too."""
+    def test_numbers_rise_by_one_and_the_history_is_complete(self):
+        """Nine blocks; all documents are rebuilt, also from thinned ones."""
 
-        async def story():
-            made = await _world()
+        async def scenario():
+            cluster = await _cluster()
             expected = {0: config.Document()}
             for number in range(1, 9 * SPAN + 3):
-                done = await _apply(made, "e0", _patch(number, number - 1))
+                done = await _apply(cluster, "e0", _patch(number, number - 1))
                 assert done.unwrap().number == number
-                expected[number] = _stored(made).document
-            await _check_trace(made, "e1")
-            service = made.daemons["e1"].find("configuration")
+                expected[number] = _stored(cluster).document
+            await _check_history(cluster, "e1")
+            service = cluster.daemons["e1"].find("configuration")
             for number, document in expected.items():
                 assert (await service.document(number)).unwrap() == document
             gone = [
                 key
-                for key, entry in made.store.entries.items()
+                for key, entry in cluster.store.entries.items()
                 if key.startswith("history/snapshot")
                 and entry.value == history.thinned()
             ]
             assert len(gone) == 5
 
-        virtual.run(story())
+        virtual.run(scenario())
 
     def test_long_operations_and_imported_versions_are_rebuilt(self):
-        """A value that came without a patch, then a long patch, then more."""
+        """A version imported without a patch, a long patch, then short ones."""
 
-        async def story():
-            made = await _world()
+        async def scenario():
+            cluster = await _cluster()
             first = config.Document(members={"old": config.Member(share=3)})
-            await made.configure(first, 7)
+            await cluster.configure(first, 7)
             await virtual.pause(1.0)
             drains = [f"target-{i:08d}" for i in range(900)]
             long_one = _patch(8, 7, "/services/s", {"drains": drains})
-            assert (await _apply(made, "e0", long_one)).is_ok()
-            assert (await _apply(made, "e1", _patch(9, 8))).is_ok()
-            assert (await _apply(made, "e0", _patch(10, 9))).is_ok()
-            service = made.daemons["e1"].find("configuration")
+            assert (await _apply(cluster, "e0", long_one)).is_ok()
+            assert (await _apply(cluster, "e1", _patch(9, 8))).is_ok()
+            assert (await _apply(cluster, "e0", _patch(10, 9))).is_ok()
+            service = cluster.daemons["e1"].find("configuration")
             assert (await service.document(7)).unwrap() == first
             rebuilt = (await service.document(8)).unwrap()
             assert list(rebuilt.services["s"].drains) == drains
@@ -175,64 +176,64 @@
             missing = await service.document(3)
             assert missing.unwrap_err().kind is errors.ErrorKind.NOT_FOUND
 
-        virtual.run(story())
+        virtual.run(scenario())
 
     def test_blame_and_revert(self):
-        """Who changed a path last, and a new patch that undoes it."""
+        """Blame finds the last change of a path; a new patch reverts it."""
 
-        async def story():
-            made = await _world()
+        async def scenario():
+            cluster = await _cluster()
             path = "/members/m1/share"
             for patch in (
                 _patch(1, 0),
                 _patch(2, 1, path, 4.0),
                 _patch(3, 2),
             ):
-                assert (await _apply(made, "e0", patch)).is_ok()
-            service = made.daemons["e1"].find("configuration")
+                assert (await _apply(cluster, "e0", patch)).is_ok()
+            service = cluster.daemons["e1"].find("configuration")
             blamed = (await service.blame(path, 10)).unwrap()
             assert [c.number for c in blamed] == [2, 1]
             undo = (await service.revert(2)).unwrap()
             patch = patches.Patch("patch-undo", 3, "undo 2", undo)
-            assert (await _apply(made, "e1", patch)).unwrap().number == 4
-            members = _stored(made).document.members
+            assert (await _apply(cluster, "e1", patch)).unwrap().number == 4
+            members = _stored(cluster).document.members
             assert members["m1"].share == 1.0
             assert "m3" in members
 
-        virtual.run(story())
+        virtual.run(scenario())
 
     @pytest.mark.parametrize(
         ("base", "kind"),
         [(0, errors.ErrorKind.CONFLICT), (2, errors.ErrorKind.CONFLICT)],
     )
     def test_other_base_is_a_conflict(self, base, kind):
-        """Neither an old base nor one that does not exist yet."""
+        """Neither an outdated base nor one that does not exist yet is valid."""
 
-        async def story():
-            made = await _world()
-            await _apply(made, "e0", _patch(1, 0))
-            refused = await _apply(made, "e0", _patch(2, base))
+        async def scenario():
+            cluster = await _cluster()
+            await _apply(cluster, "e0", _patch(1, 0))
+            refused = await _apply(cluster, "e0", _patch(2, base))
             assert refused.unwrap_err().failure.kind is kind
             assert refused.unwrap_err().current == 1
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
 class TestRace:
     """Two operators submit patches against the same number at once.
 
-    One of them wins. The other is told what was accepted meanwhile and by
-    whom, and nothing of its patch is in force.
+    One of them wins. The other receives the changes accepted meanwhile with
+    their authors, and no part of its patch is in force.
     """
 
     def test_loser_sees_the_winner(self):
-        """Paths and author of the change that came first."""
+        """The conflict names paths and author of the winning change."""
 
-        async def story():
-            made = await _world()
+        async def scenario():
+            cluster = await _cluster()
             one, two = await asyncio.gather(
-                _apply(made, "e0", _patch(1, 0), "ana"),
-                _apply(made, "e1", _patch(2, 0), "ivo"),
+                _apply(cluster, "e0", _patch(1, 0), "ana"),
+                _apply(cluster, "e1", _patch(2, 0), "ivo"),
             )
             won, lost = (one, two) if one.is_ok() else (two, one)
             winner = "ana" if won is one else "ivo"
@@ -240,323 +241,323 @@
             assert rejected.failure.kind is errors.ErrorKind.CONFLICT
             assert [m.author for m in rejected.meanwhile] == [winner]
             assert rejected.meanwhile[0].paths == won.unwrap().paths
-            assert len(_stored(made).document.members) == 1
+            assert len(_stored(cluster).document.members) == 1
 
-        virtual.run(story())
+        virtual.run(scenario())
 
-    def test_many_racers_share_out_the_numbers(self):
-        """Each rebases until it wins; no number is given twice."""
+    def test_concurrent_patches_get_distinct_numbers(self):
+        """Each rebases until it wins; no number is assigned twice."""
 
-        async def racer(made, vm, number):
+        async def submitter(cluster, vm, number):
             base = 0
             for _ in range(100):
-                done = await _apply(made, vm, _patch(number, base))
+                done = await _apply(cluster, vm, _patch(number, base))
                 if done.is_ok():
                     return done.unwrap().number
                 base = done.unwrap_err().current or base
             raise AssertionError("never won")
 
-        async def story():
-            made = await _world(3)
+        async def scenario():
+            cluster = await _cluster(3)
             numbers = await asyncio.gather(
-                *(racer(made, f"e{i % 3}", i) for i in range(12))
+                *(submitter(cluster, f"e{i % 3}", i) for i in range(12))
             )
             assert sorted(numbers) == list(range(1, 13))
-            await _check_trace(made, "e2")
+            await _check_history(cluster, "e2")
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
-class TestLostAnswer:
-    """The store's answer to a write gets lost, or the write comes late.
+class TestLostResponse:
+    """The store's response to a write is lost, or the write is delayed.
 
-    The operator hears nothing, or that the outcome is open, and sends the
-    patch again. It must not take effect twice, nor be reported as refused
-    and show up later.
+    The operator gets no response or an unknown outcome, and sends the patch
+    again. The patch must not take effect twice, nor be reported as refused
+    and appear later.
     """
 
     FAULTS = ("lost", "late", "never")
 
     @pytest.mark.parametrize("fault", FAULTS)
     @pytest.mark.parametrize("write", range(3))
-    def test_each_write_is_settled(self, fault, write):
-        """Whichever write it hits, the patch is one number afterwards."""
+    def test_each_write_is_resolved(self, fault, write):
+        """The patch has exactly one number, whichever write the fault hits."""
 
-        async def story():
-            made = await _world()
-            await _apply(made, "e0", _patch(1, 0))
+        async def scenario():
+            cluster = await _cluster()
+            await _apply(cluster, "e0", _patch(1, 0))
             patch = _patch(2, 1)
-            made.store.faults = {made.store.writes + write: fault}
-            done = await _apply(made, "e0", patch)
+            cluster.store.faults = {cluster.store.writes + write: fault}
+            done = await _apply(cluster, "e0", patch)
             if done.is_err():
                 assert done.unwrap_err().failure.kind in (
                     errors.ErrorKind.STORE_UNKNOWN,
                     errors.ErrorKind.STORE_UNAVAILABLE,
                 )
             await virtual.pause(2 * LATE_SECONDS)
-            again = await _apply(made, "e1", patch)
+            again = await _apply(cluster, "e1", patch)
             assert again.unwrap().number == 2
             assert again.unwrap().repeated == done.is_ok()
-            assert _stored(made).number == 2
-            await _apply(made, "e1", _patch(3, 2))
-            await _check_trace(made, "e1")
+            assert _stored(cluster).number == 2
+            await _apply(cluster, "e1", _patch(3, 2))
+            await _check_history(cluster, "e1")
 
-        virtual.run(story())
+        virtual.run(scenario())
 
     @pytest.mark.parametrize("fault", FAULTS)
-    def test_another_patch_wins_while_the_fate_is_open(self, fault):
-        """If the late write comes after another's, it has no effect."""
+    def test_another_patch_wins_while_the_outcome_is_unknown(self, fault):
+        """A late write has no effect after another patch was written."""
 
-        async def story():
-            made = await _world()
-            await _apply(made, "e0", _patch(1, 0))
-            made.store.faults = {made.store.writes + 1: fault}
+        async def scenario():
+            cluster = await _cluster()
+            await _apply(cluster, "e0", _patch(1, 0))
+            cluster.store.faults = {cluster.store.writes + 1: fault}
             one, two = await asyncio.gather(
-                _apply(made, "e0", _patch(2, 1)),
-                _apply(made, "e1", _patch(3, 1)),
+                _apply(cluster, "e0", _patch(2, 1)),
+                _apply(cluster, "e1", _patch(3, 1)),
             )
             assert sorted((one.is_ok(), two.is_ok())) == [False, True]
             await virtual.pause(2 * LATE_SECONDS)
-            current = _stored(made)
+            current = _stored(cluster)
             assert current.number == 2
             won = "patch-0002" if one.is_ok() else "patch-0003"
             assert current.change.id == won
-            await _check_trace(made, "e0")
+            await _check_history(cluster, "e0")
 
-        virtual.run(story())
+        virtual.run(scenario())
 
     def test_same_id_on_a_newer_base_is_refused(self):
-        """Rebasing an open patch under its old identifier applies nothing."""
+        """An open patch that is rebased under its old id is not applied."""
 
-        async def story():
-            made = await _world()
-            await _apply(made, "e0", _patch(1, 0))
-            await _apply(made, "e0", _patch(2, 1))
+        async def scenario():
+            cluster = await _cluster()
+            await _apply(cluster, "e0", _patch(1, 0))
+            await _apply(cluster, "e0", _patch(2, 1))
             path = "/members/other{}"
             for again in (_patch(2, 2, path), _patch(1, 2, path)):
-                refused = await _apply(made, "e1", again)
+                refused = await _apply(cluster, "e1", again)
                 failure = refused.unwrap_err().failure
                 assert failure.kind is errors.ErrorKind.BAD_REQUEST
                 assert "already" in failure.detail
-            assert _stored(made).number == 2
+            assert _stored(cluster).number == 2
 
-        virtual.run(story())
+        virtual.run(scenario())
 
     def test_same_id_with_other_content_is_refused(self):
-        """An identifier cannot be borrowed to hear "accepted"."""
+        """A different patch with a used id is never reported as accepted."""
 
-        async def story():
-            made = await _world()
-            await _apply(made, "e0", _patch(1, 0))
+        async def scenario():
+            cluster = await _cluster()
+            await _apply(cluster, "e0", _patch(1, 0))
             other = msgspec.structs.replace(
                 _patch(2, 0), id="patch-0001", reason="other"
             )
-            refused = await _apply(made, "e0", other)
+            refused = await _apply(cluster, "e0", other)
             failure = refused.unwrap_err().failure
             assert failure.kind is errors.ErrorKind.CONFLICT
             assert "another patch" in failure.detail
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
-class TestDeath:
-    """The VM that takes a patch dies between two writes.
+class TestCrash:
+    """The VM that applies a patch crashes between two writes.
 
-    The operator hears nothing and sends the patch through another VM. The
-    patch is one number then, and every earlier change is still there to read.
+    The operator gets no response and sends the patch through another VM. The
+    patch then has exactly one number, and all earlier changes are readable.
     """
 
     @pytest.mark.parametrize("base", [1, SPAN, 2 * SPAN, 6 * SPAN])
     @pytest.mark.parametrize("fault", ["dies before", "dies after"])
     @pytest.mark.parametrize("write", range(4))
-    def test_each_point(self, base, fault, write):
-        """Also where a block, a snapshot or long operations are begun."""
+    def test_crash_before_or_after_each_write(self, base, fault, write):
+        """Covers writes of a new block, a snapshot and long operations."""
 
-        async def story():
-            made = await _world()
+        async def scenario():
+            cluster = await _cluster()
             for number in range(1, base):
-                await _apply(made, "e0", _patch(number, number - 1))
+                await _apply(cluster, "e0", _patch(number, number - 1))
             drains = [f"target-{i:08d}" for i in range(500)]
             long_one = _patch(base, base - 1, "/services/s", {"drains": drains})
-            await _apply(made, "e0", long_one)
+            await _apply(cluster, "e0", long_one)
             patch = _patch(base + 1, base)
-            made.store.faults = {made.store.writes + write: fault}
+            cluster.store.faults = {cluster.store.writes + write: fault}
             try:
-                await _apply(made, "e0", patch)
-            except _DiedError:
-                await made.stop_daemon("e0")
-            made.store.faults = {}
-            again = await _apply(made, "e1", patch)
+                await _apply(cluster, "e0", patch)
+            except _CrashedError:
+                await cluster.stop_daemon("e0")
+            cluster.store.faults = {}
+            again = await _apply(cluster, "e1", patch)
             assert again.unwrap().number == base + 1
-            await _apply(made, "e1", _patch(base + 2, base + 1))
-            await _check_trace(made, "e1")
+            await _apply(cluster, "e1", _patch(base + 2, base + 1))
+            await _check_history(cluster, "e1")
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
 class TestStoreOutage:
-    """The store goes down while operators work.
+    """The store is unavailable while operators submit patches.
 
-    What was accepted stays in force on every VM, restarted ones included.
-    A patch that could not be written is refused and nothing of it appears.
+    Accepted patches stay in force on every VM, including restarted ones. A
+    patch that could not be written is refused and never appears.
     """
 
     def test_patch_during_an_outage_is_refused(self):
-        """The same patch goes through once the store is back."""
+        """The same patch is accepted once the store is available again."""
 
-        async def story():
-            made = await _world()
-            await _apply(made, "e0", _patch(1, 0))
-            made.store.go_down()
+        async def scenario():
+            cluster = await _cluster()
+            await _apply(cluster, "e0", _patch(1, 0))
+            cluster.store.go_down()
             patch = _patch(2, 1)
-            refused = await _apply(made, "e0", patch)
+            refused = await _apply(cluster, "e0", patch)
             kind = refused.unwrap_err().failure.kind
             assert kind is errors.ErrorKind.STORE_UNAVAILABLE
             await virtual.pause(30.0)
-            made.store.come_back()
-            assert _stored(made).number == 1
-            assert (await _apply(made, "e1", patch)).unwrap().number == 2
+            cluster.store.come_back()
+            assert _stored(cluster).number == 1
+            assert (await _apply(cluster, "e1", patch)).unwrap().number == 2
 
-        virtual.run(story())
+        virtual.run(scenario())
 
     def test_outage_in_the_middle_of_a_patch(self):
-        """The answer is lost and the store then stays away for a minute."""
+        """The response is lost and the store then fails for a minute."""
 
-        async def story():
-            made = await _world()
-            await _apply(made, "e0", _patch(1, 0))
-            made.store.faults = {made.store.writes + 1: "lost"}
+        async def scenario():
+            cluster = await _cluster()
+            await _apply(cluster, "e0", _patch(1, 0))
+            cluster.store.faults = {cluster.store.writes + 1: "lost"}
             patch = _patch(2, 1)
-            task = asyncio.ensure_future(_apply(made, "e0", patch))
-            while made.store.faults and _stored(made).number == 1:
+            task = asyncio.ensure_future(_apply(cluster, "e0", patch))
+            while cluster.store.faults and _stored(cluster).number == 1:
                 await virtual.pause(0.001)
-            made.store.go_down()
-            open_fate = (await task).unwrap_err().failure
-            assert open_fate.kind is errors.ErrorKind.STORE_UNKNOWN
+            cluster.store.go_down()
+            unknown = (await task).unwrap_err().failure
+            assert unknown.kind is errors.ErrorKind.STORE_UNKNOWN
             await virtual.pause(60.0)
-            made.store.come_back()
-            settled = (await _apply(made, "e1", patch)).unwrap()
-            assert (settled.number, settled.repeated) == (2, True)
+            cluster.store.come_back()
+            retried = (await _apply(cluster, "e1", patch)).unwrap()
+            assert (retried.number, retried.repeated) == (2, True)
 
-        virtual.run(story())
+        virtual.run(scenario())
 
     def test_restarted_fleet_does_not_revert(self):
-        """VMs are replaced one by one while the store is down."""
+        """VMs are restarted one by one during a store outage."""
 
-        async def story():
-            made = await _world(3)
+        async def scenario():
+            cluster = await _cluster(3)
             for number in range(1, 6):
-                await _apply(made, "e0", _patch(number, number - 1))
+                await _apply(cluster, "e0", _patch(number, number - 1))
             await virtual.pause(1.0)
-            made.store.go_down()
+            cluster.store.go_down()
             for vm in ("e0", "e1", "e2"):
-                await made.stop_daemon(vm)
-                await made.start_daemon(vm)
-            for kernel in made.daemons.values():
+                await cluster.stop_daemon(vm)
+                await cluster.start_daemon(vm)
+            for kernel in cluster.daemons.values():
                 assert kernel.find("configuration").current.number == 5
 
-        virtual.run(story())
+        virtual.run(scenario())
 
     def test_store_restored_from_a_backup_takes_no_patch(self):
-        """A number that is in force is never given to something else."""
-
-        async def story():
-            made = await _world()
-            await _apply(made, "e0", _patch(1, 0))
-            backup = dict(made.store.entries)
-            await _apply(made, "e0", _patch(2, 1))
-            made.store.entries.clear()
-            made.store.entries.update(backup)
-            refused = await _apply(made, "e0", _patch(3, 1))
+        """A number that is in force is never reassigned."""
+
+        async def scenario():
+            cluster = await _cluster()
+            await _apply(cluster, "e0", _patch(1, 0))
+            backup = dict(cluster.store.entries)
+            await _apply(cluster, "e0", _patch(2, 1))
+            cluster.store.entries.clear()
+            cluster.store.entries.update(backup)
+            refused = await _apply(cluster, "e0", _patch(3, 1))
             failure = refused.unwrap_err().failure
             assert failure.kind is errors.ErrorKind.STORE_UNAVAILABLE
             assert "2 is in force" in failure.detail
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
 class TestInForce:
-    """An operator waits until a change has reached every VM."""
+    """An operator waits until a change is in force on every VM."""
 
     def test_lagging_watcher_is_named(self):
-        """A VM that is cut off does not answer and counts as lagging."""
+        """A partitioned VM does not respond and is reported as lagging."""
 
-        async def story():
-            made = await _world(3)
+        async def scenario():
+            cluster = await _cluster(3)
             await virtual.pause(1.0)
-            made.network.cut({"e2"}, {"e0", "e1"})
-            await _apply(made, "e0", _patch(1, 0))
+            cluster.network.cut({"e2"}, {"e0", "e1"})
+            await _apply(cluster, "e0", _patch(1, 0))
             await virtual.pause(1.0)
-            service = made.daemons["e0"].find("configuration")
+            service = cluster.daemons["e0"].find("configuration")
             seen = await service.in_force(1)
             assert seen.numbers == {"e0": 1, "e1": 1, "e2": None}
             assert seen.lagging == ("e2",)
-            made.network.heal()
+            cluster.network.heal()
             await virtual.pause(1.0)
             assert (await service.in_force(1)).lagging == ()
             assert (await service.in_force(2)).lagging == ("e0", "e1", "e2")
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
 class TestStoreLoad:
-    """What a change costs the store, and what daemons read of it."""
+    """Store calls per change, and prefixes that a starting daemon reads."""
 
-    def test_calls_per_change_and_no_history_in_a_start(self):
-        """Four calls a change; a start reads the value in force alone."""
+    def test_calls_per_change_and_no_history_read_at_start(self):
+        """A change takes four calls; a start reads no history."""
 
-        async def story():
-            made = await _world()
+        async def scenario():
+            cluster = await _cluster()
             for number in range(1, 4):
-                await _apply(made, "e0", _patch(number, number - 1))
-            calls = made.store.calls
+                await _apply(cluster, "e0", _patch(number, number - 1))
+            calls = cluster.store.calls
             before = calls["get"] + calls["compare_and_swap"]
-            await _apply(made, "e0", _patch(4, 3))
+            await _apply(cluster, "e0", _patch(4, 3))
             assert calls["get"] + calls["compare_and_swap"] - before == 4
             prefixes = []
-            listing = made.store.list
+            listing = cluster.store.list
 
             async def spy(prefix):
                 prefixes.append(prefix)
                 return await listing(prefix)
 
-            made.store.list = spy
-            await made.add_daemon("e9", *PLACES[0])
+            cluster.store.list = spy
+            await cluster.add_daemon("e9", *PLACES[0])
             assert "" not in prefixes
-            assert json.dumps(made.daemons["e9"].dump())
+            assert json.dumps(cluster.daemons["e9"].dump())
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
 class TestDrain:
-    """An operator takes a target out of use although the list says live."""
+    """An operator drains a target that is listed as live."""
 
-    def test_slices_move_away_and_may_come_back(self):
-        """It gets nothing while it is drained; it is usable again after."""
+    def test_slices_move_away_and_target_is_usable_again(self):
+        """A drained target loses its slices and is usable again afterwards."""
 
-        async def story():
-            made = await _world()
+        async def scenario():
+            cluster = await _cluster()
             for vm in ("t0", "t1"):
-                made.add_target(vm, "s", *PLACES[0])
+                cluster.add_target(vm, "s", *PLACES[0])
             key = {"place": "path"}
             service = {"key": key, "slices": 6, "checks_orders": True}
-            await _apply(made, "e0", _patch(1, 0, "/services/s", service))
-            await made.settle("s")
-            assert made.owners("s")["t0"]
+            await _apply(cluster, "e0", _patch(1, 0, "/services/s", service))
+            await cluster.settle("s")
+            assert cluster.owners("s")["t0"]
             path = "/services/s/drains"
-            await _apply(made, "e1", _patch(2, 1, path, ["t0"]))
+            await _apply(cluster, "e1", _patch(2, 1, path, ["t0"]))
             async with virtual.limit(10.0):
-                while made.owners("s")["t0"]:
+                while cluster.owners("s")["t0"]:
                     await virtual.pause(0.1)
             for vm in ("e0", "e1"):
-                listed = made.daemons[vm].find("fleet").fleet
+                listed = cluster.daemons[vm].find("fleet").fleet
                 assert set(listed.live_targets("s")) == {"t1"}
-            await _apply(made, "e1", _patch(3, 2, path, []))
+            await _apply(cluster, "e1", _patch(3, 2, path, []))
             await virtual.pause(1.0)
-            listed = made.daemons["e0"].find("fleet").fleet
+            listed = cluster.daemons["e0"].find("fleet").fleet
             assert set(listed.live_targets("s")) == {"t0", "t1"}
 
-        virtual.run(story())
+        virtual.run(scenario())
 
 
 _FAULTS = strategies.dictionaries(
@@ -568,39 +569,39 @@
 _REFUSED = "refused"
 
 
-async def _submit(made, vm, patch, author):
-    """Returns what an operator hears, and the number to go on from."""
+async def _submit(cluster, vm, patch, author):
+    """Returns the reported outcome, and the number to use as next base."""
     try:
-        done = await _apply(made, vm, patch, author)
-    except _DiedError:
+        done = await _apply(cluster, vm, patch, author)
+    except _CrashedError:
         return _OPEN, 0
     if done.is_ok():
         return done.unwrap().number, done.unwrap().number
     rejected = done.unwrap_err()
-    unsure = rejected.failure.kind is errors.ErrorKind.STORE_UNKNOWN
-    return (_OPEN if unsure else _REFUSED), rejected.current
+    outcome_unknown = rejected.failure.kind is errors.ErrorKind.STORE_UNKNOWN
+    return (_OPEN if outcome_unknown else _REFUSED), rejected.current
 
 
-async def _operate(made, name, base, told):
-    """Submits three patches, each until it is accepted or its fate open."""
+async def _operate(cluster, name, base, reported):
+    """Submits three patches, each until accepted or of unknown outcome."""
     for i in range(3):
         patch = _patch(1000 * name + i, base)
         for _ in range(8):
             patch = msgspec.structs.replace(patch, base=base)
             vm = f"e{(name + i) % 3}"
-            heard, current = await _submit(made, vm, patch, f"op{name}")
-            told[patch.id] = heard
+            outcome, current = await _submit(cluster, vm, patch, f"op{name}")
+            reported[patch.id] = outcome
             base = current or base
-            if heard is not _REFUSED:
+            if outcome is not _REFUSED:
                 break
             await virtual.pause(0.05)
 
 
 class TestAnyFaults:
-    """Several operators race while any of the store's writes goes wrong.
+    """Several operators race while any of the store's writes can fail.
 
-    Whatever an operator is told must hold for good: accepted patches are in
-    the history once, refused ones never appear in it, open ones at most once.
+    Every reported outcome must stay true: accepted patches are in the history
+    exactly once, refused ones never, and open ones at most once.
     """
 
     @hypothesis.settings(
@@ -611,36 +612,39 @@
         strategies.lists(strategies.floats(0.05, 0.6), max_size=2),
         strategies.integers(0, 2),
     )
-    def test_what_was_told_holds(self, faults, outages, start):
-        """Compared with the list of what each operator heard."""
-        told = {}
+    def test_reported_outcomes_stay_true(self, faults, outages, start):
+        """Compares the history with the outcomes reported to operators."""
+        reported = {}
 
-        async def story():
-            made = await _world(3)
+        async def scenario():
+            cluster = await _cluster(3)
             for number in range(1, start + 1):
-                await _apply(made, "e0", _patch(number, number - 1))
-            made.store.faults = {
-                made.store.writes + at: fault for at, fault in faults.items()
+                await _apply(cluster, "e0", _patch(number, number - 1))
+            cluster.store.faults = {
+                cluster.store.writes + at: fault for at, fault in faults.items()
             }
             for at in outages:
                 loop = asyncio.get_running_loop()
-                loop.call_later(at, made.store.go_down)
-                loop.call_later(at + 0.2, made.store.come_back)
+                loop.call_later(at, cluster.store.go_down)
+                loop.call_later(at + 0.2, cluster.store.come_back)
             await asyncio.gather(
-                *(_operate(made, name, start, told) for name in (1, 2, 3))
+                *(
+                    _operate(cluster, name, start, reported)
+                    for name in (1, 2, 3)
+                )
             )
             await virtual.pause(4 * LATE_SECONDS)
-            made.store.faults = {}
-            base = _stored(made).number if made.store.entries else 0
-            await _apply(made, "e0", _patch(9, base))
-            await _check_trace(made, "e1")
-            service = made.daemons["e2"].find("configuration")
+            cluster.store.faults = {}
+            base = _stored(cluster).number if cluster.store.entries else 0
+            await _apply(cluster, "e0", _patch(9, base))
+            await _check_history(cluster, "e1")
+            service = cluster.daemons["e2"].find("configuration")
             changes = (await service.history(0, 1000)).unwrap()
             return {change.id: change.number for change in changes}
 
-        held = virtual.run(story())
-        assert not {p for p, heard in told.items() if heard is _REFUSED} & set(
-            held
-        )
-        accepted = {p: n for p, n in told.items() if isinstance(n, int)}
-        assert accepted.items() <= held.items()
+        recorded = virtual.run(scenario())
+        assert not {
+            p for p, outcome in reported.items() if outcome is _REFUSED
+        } & set(recorded)
+        accepted = {p: n for p, n in reported.items() if isinstance(n, int)}
+        assert accepted.items() <= recorded.items()
--- a/tests/entry/test_listeners.py
+++ b/tests/entry/test_listeners.py
@@ -28,14 +28,14 @@
 
 
 class _RouterService(kernel.Passive):
-    """Sends everything to one raw server."""
+    """Routes all requests to one raw server."""
 
     def __init__(self, port):
         super().__init__("router", ("targets", "clock"))
         self._port = port
 
     async def start(self, made):
-        """Finds the way to the server."""
+        """Builds a router to the server."""
         vm = fleet.Vm("t", fleet.Role.TARGET, "r", "z", rig.HOST, self._port)
         clock = made.find("clock")
         self.inner = rig.Router(made.find("targets"), clock, vm)
@@ -43,7 +43,7 @@
 
 
 class _Roles(kernel.Passive):
-    """Notes whether listening went on during the hand-over."""
+    """Records whether the daemon still listens during the handover."""
 
     def __init__(self, made):
         super().__init__("roles")
@@ -51,13 +51,13 @@
         self.health = b""
 
     async def hand_over(self):
-        """Asks for the health of the stopping daemon."""
+        """Requests the health of the stopping daemon."""
         port = self._made.find("listeners").ports["callers"]
-        self.health = await _ask(port, HEALTH)
+        self.health = await _request(port, HEALTH)
 
 
-async def _ask(port, sent):
-    """Returns the first answer on a new connection."""
+async def _request(port, sent):
+    """Returns the first response on a new connection."""
     reader, writer = await asyncio.open_connection(rig.HOST, port)
     writer.write(sent)
     head = await reader.readuntil(b"\r\n\r\n")
@@ -69,7 +69,7 @@
 
 @contextlib.asynccontextmanager
 async def _serving(port, **limits):
-    """Yields a kernel whose listeners send everything to a raw server."""
+    """Yields a kernel whose listeners route requests to a raw server."""
     configured = settings.Settings(
         settings.VmSettings("e0", "r", "z", rig.HOST, 0, 0),
         settings.PlatformSettings("http://none", "http://none"),
@@ -90,7 +90,7 @@
         _inbox.InboxService("e0"),
         listeners,
         _Roles(made),
-        # The administration API finds these; no test here calls it.
+        # The administration API looks these up; no test here calls it.
         *map(kernel.Passive, ("configuration", "access", "audit", "fleet")),
     ):
         made.register(service)
@@ -103,16 +103,16 @@
 
 
 class TestGracefulStop:
-    """A VM is replaced while callers are at work.
+    """A VM is replaced while callers have requests in flight.
 
-    Without care the balancer sends callers to a closed port, and an archive
-    download that is half done has to start again.
+    Without a graceful stop, the external load balancer would send callers to
+    a closed port, and an archive download in flight would have to restart.
     """
 
-    def test_download_in_flight_ends_whole(self):
-        """It ends after the stop has begun, and its connection closes."""
+    def test_download_in_flight_completes(self):
+        """It completes after the stop has begun; its connection closes."""
 
-        async def story():
+        async def scenario():
             async with (
                 rig.raw_server(
                     lambda _: rig.Reply(PART, after=b"rest")
@@ -120,7 +120,7 @@
                 _serving(peer.port, notice_seconds=0) as (made, listeners, _),
             ):
                 port = listeners.ports["callers"]
-                asked = asyncio.create_task(
+                download = asyncio.create_task(
                     rig.exchange(port, rig.get(extra=""))
                 )
                 while not peer.requests:
@@ -131,27 +131,27 @@
                     await asyncio.open_connection(rig.HOST, port)
                 assert not stopping.done()
                 peer.release.set()
-                received = await asked
+                received = await download
                 await stopping
                 return rig.parse(received)
 
-        status, _, body = asyncio.run(story())
+        status, _, body = asyncio.run(scenario())
         assert (status, body) == (200, b"halfrest")
 
-    def test_health_turns_bad_while_listening_goes_on(self):
-        """Requests are served during the notice, on closing connections."""
+    def test_health_check_fails_while_listening(self):
+        """Requests are served during the notice; connections then close."""
 
-        async def story():
+        async def scenario():
             async with (
                 rig.raw_server(lambda _: rig.Reply()) as peer,
                 _serving(peer.port, notice_seconds=30) as (made, listeners, _),
             ):
                 port = listeners.ports["callers"]
-                before = await _ask(port, HEALTH)
+                before = await _request(port, HEALTH)
                 stopping = asyncio.create_task(daemon.stop_gracefully(made))
                 await asyncio.sleep(0)
-                during = await _ask(port, HEALTH)
-                served = await _ask(port, rig.get(extra=""))
+                during = await _request(port, HEALTH)
+                served = await _request(port, rig.get(extra=""))
                 roles = made.find("roles")
                 while not roles.health:
                     await asyncio.sleep(0)
@@ -159,7 +159,7 @@
                 await stopping
                 return before, during, served, roles.health
 
-        before, during, served, handed_over = asyncio.run(story())
+        before, during, served, handed_over = asyncio.run(scenario())
         assert rig.parse(before)[0] == 200
         assert rig.parse(during)[0] == 503
         status, headers, body = rig.parse(served)
@@ -167,10 +167,10 @@
         assert headers[b"connection"] == b"close"
         assert rig.parse(handed_over)[0] == 503
 
-    def test_idle_connection_is_closed_and_a_begun_request_served(self):
-        """A head that is arriving when the stop begins gets its answer."""
+    def test_idle_connection_closes_and_a_started_request_is_served(self):
+        """A request whose head is in transit at the stop is served."""
 
-        async def story():
+        async def scenario():
             async with (
                 rig.raw_server(lambda _: rig.Reply()) as peer,
                 _serving(peer.port, notice_seconds=0) as (made, listeners, _),
@@ -189,15 +189,15 @@
                 await stopping
                 return ended, rig.parse(received)
 
-        ended, (status, _, body) = asyncio.run(story())
+        ended, (status, _, body) = asyncio.run(scenario())
         assert ended == b""
         assert (status, body) == (200, b"ok")
 
     @pytest.mark.parametrize("by", ["bound", "second signal"])
-    def test_endless_download_is_broken_off_in_the_end(self, by):
-        """Its caller sees that it is broken, and no slot stays taken."""
+    def test_endless_download_is_aborted(self, by):
+        """Its caller detects the broken response, and no slot leaks."""
 
-        async def story():
+        async def scenario():
             bound = 0.05 if by == "bound" else 600
             async with (
                 rig.raw_server(
@@ -222,24 +222,24 @@
                 writer.close()
                 return rig.parse(head)[1], rest, router.in_flight
 
-        headers, rest, in_flight = asyncio.run(story())
+        headers, rest, in_flight = asyncio.run(scenario())
         assert headers[b"content-length"] == b"8"
         assert len(rest) < 8
         assert in_flight == 0
 
 
 class TestSignals:
-    """The platform stops a VM by a signal to the daemon."""
+    """The platform stops a VM with a signal to the daemon."""
 
     @pytest.mark.parametrize("count", [1, 2])
     def test_run_ends(self, count):
-        """After one signal gracefully, after two without the notice."""
+        """One signal stops gracefully, a second one skips the notice."""
 
-        async def story():
-            kept, listed = store.MemoryStore(), vms.MemoryFleet()
+        async def scenario():
+            store_data, fleet_data = store.MemoryStore(), vms.MemoryFleet()
             async with (
-                serving.serving(serving.store_app(kept)) as store_port,
-                serving.serving(serving.fleet_app(listed)) as fleet_port,
+                serving.serving(serving.store_app(store_data)) as store_port,
+                serving.serving(serving.fleet_app(fleet_data)) as fleet_port,
             ):
                 at = f"http://{rig.HOST}:"
                 notice = 0 if count == 1 else 600
@@ -257,6 +257,6 @@
                     await asyncio.sleep(0.02)
                 async with asyncio.timeout(5):
                     await running
-                kept.go_down()
+                store_data.go_down()
 
-        asyncio.run(story())
+        asyncio.run(scenario())
--- a/tests/entry/test_logs.py
+++ b/tests/entry/test_logs.py
@@ -1,4 +1,4 @@
-"""Tests of the log's formats."""
+"""Tests of the log formats."""
 
 import asyncio
 import json
@@ -20,7 +20,7 @@
 
 
 class TestJson:
-    """One JSON object a line."""
+    """Each line is one JSON object."""
 
     @pytest.mark.parametrize(
         ("text", "values", "part", "message"),
@@ -32,7 +32,7 @@
         ],
     )
     def test_part_is_a_field(self, text, values, part, message):
-        """Programs need not cut the sentence."""
+        """Programs can read the component without parsing the message."""
         line = _logs.JsonFormatter().format(_record(text, *values))
         assert "\n" not in line
         read = json.loads(line)
@@ -41,7 +41,7 @@
         assert read["time"].endswith("+00:00")
 
     def test_traceback_stays_in_its_line(self):
-        """A failure is one record, not many."""
+        """A traceback does not split a record over several lines."""
         try:
             raise ValueError("broken")
         except ValueError:
@@ -52,10 +52,10 @@
 
 
 class TestRequestId:
-    """Lines written while a request is served name it."""
+    """Lines that are logged for a request carry its identifier."""
 
     def test_in_both_formats(self):
-        """A support case is one search over all VMs' logs."""
+        """One search over the logs of all VMs finds a request."""
 
         async def serve(request_id):
             _logs.REQUEST_ID.set(request_id)
@@ -66,21 +66,21 @@
                 json.loads(_logs.JsonFormatter().format(record)),
             )
 
-        async def story():
+        async def scenario():
             return await asyncio.gather(
                 *(asyncio.create_task(serve(i)) for i in ("r1", "r2"))
             )
 
         for (text, line), request_id in zip(
-            asyncio.run(story()), ("r1", "r2"), strict=True
+            asyncio.run(scenario()), ("r1", "r2"), strict=True
         ):
             assert text.endswith(f"broke off. [{request_id}]")
             assert line["request_id"] == request_id
 
     def test_router_sets_it(self):
-        """Whatever the daemon then logs for the request carries it."""
+        """The router sets the identifier for all later lines of a request."""
 
-        async def story():
+        async def scenario():
             api = await administered.start()
             request = ports.Request(
                 "GET", "/desk/k", request_id="r9", deadline=virtual.now() + 5
@@ -88,9 +88,9 @@
             await api.world.daemons["e0"].find("router").handle(request)
             return _logs.REQUEST_ID.get()
 
-        assert virtual.run(story()) == "r9"
+        assert virtual.run(scenario()) == "r9"
 
     def test_no_request_no_suffix(self):
-        """Lines of the daemon itself stay as they are."""
+        """Lines outside of a request have no suffix."""
         line = _logs.TextFormatter().format(_record("daemon: is up."))
         assert line.endswith("daemon: is up.")
--- a/tests/entry/test_metrics.py
+++ b/tests/entry/test_metrics.py
@@ -19,12 +19,12 @@
 
 
 class TestRequests:
-    """What callers' requests leave behind."""
+    """Metrics of callers' requests."""
 
     def test_counts_times_and_measures(self):
-        """Answers by member, quantiles by class, imbalance, number."""
+        """Counts by member, latency quantiles, imbalance, number."""
 
-        async def story():
+        async def scenario():
             api = await administered.start(2)
             for _ in range(5):
                 await api.world.call("e0", "GET", "/desk/k1")
@@ -33,11 +33,11 @@
             other = api.world.daemons["e1"].find("metrics")
             return metrics.exposition(), other.exposition()
 
-        page, other = virtual.run(story())
+        page, other = virtual.run(scenario())
         requests = "mimosastile_requests_total"
         assert _value(page, requests, service="desk", outcome="passed_on") == 5
         assert _value(page, requests, outcome="unknown_service") == 1
-        # A request is counted where it came in, not where it was forwarded.
+        # The receiving VM counts a request, not the one it is forwarded to.
         assert _value(other, requests, service="desk") is None
         quantile = _value(page, "mimosastile_answer_seconds", quantile="0.5")
         assert 0 < quantile < 0.1
@@ -45,9 +45,9 @@
         assert _value(page, "mimosastile_configuration_number") == 1
 
     def test_labels_are_bounded(self):
-        """However many members call, the page stays small."""
+        """The number of members does not enlarge the page beyond a bound."""
 
-        async def story():
+        async def scenario():
             api = await administered.start()
             metrics = api.world.daemons["e0"].find("metrics")
             for i in range(3 * _metrics.MAX_MEMBERS):
@@ -55,7 +55,7 @@
                 metrics.record(request, _metrics.PASSED_ON, 0.01)
             return metrics.exposition()
 
-        page = virtual.run(story())
+        page = virtual.run(scenario())
         rows = [r for r in page.splitlines() if b'service="desk",member' in r]
         assert len(rows) <= 2 * (_metrics.MAX_MEMBERS + 1)
         name = "mimosastile_requests_total"
@@ -63,16 +63,16 @@
 
 
 class TestLostTarget:
-    """The only target of a service is gone from the list.
+    """The only target of a service disappears from the list.
 
-    Callers are refused until there is another one; the operators' page shows
-    for how long, and how many slices changed hands.
+    Callers are refused until another target is listed. The metrics show for
+    how long, and how many slices changed their owner.
     """
 
     def test_unavailable_time_and_churn(self):
-        """Four slices without an owner for some seconds, then moved."""
+        """Four slices have no owner for some seconds, then move."""
 
-        async def story():
+        async def scenario():
             api = await administered.start()
             api.world.targets["t0"].crash()
             api.world.fleet.remove("t0")
@@ -81,23 +81,25 @@
             await virtual.pause(10.0)
             return api.world.daemons["e0"].find("metrics").exposition()
 
-        page = virtual.run(story())
-        spent = _value(page, "mimosastile_unavailable_slice_seconds_total")
-        assert spent >= 4 * 3.0
+        page = virtual.run(scenario())
+        unavailable = _value(
+            page, "mimosastile_unavailable_slice_seconds_total"
+        )
+        assert unavailable >= 4 * 3.0
         assert _value(page, "mimosastile_moved_slices_total") >= 4
 
 
 class TestPage:
-    """The page on the inner port."""
+    """The metrics page on the internal port."""
 
     @pytest.mark.parametrize(
         ("token", "status"), [("team", 403), ("wrong", 401)]
     )
-    def test_needs_an_operator_of_everything(self, token, status):
-        """Members' names are not for everybody."""
+    def test_needs_a_scope_that_covers_all(self, token, status):
+        """The page names members, so it needs a scope that covers all."""
 
-        async def story():
+        async def scenario():
             api = await administered.start()
             return await api.call("GET", "/metrics", token)
 
-        assert virtual.run(story())[0] == status
+        assert virtual.run(scenario())[0] == status
