--- a/packages/mimosastile-entry/src/mimosastile_entry/_admin.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_admin.py
@@ -320,7 +320,7 @@
         self, operator: str, request: requests.Request, failure: errors.Failure
     ) -> None:
         action = f"{request.method} {request.url.path}"
-        self._audit.note(operator, action, failure.kind.value, failure.detail)
+        self._audit.record(operator, action, failure.kind.value, failure.detail)
 
     def _audit_if_forbidden(
         self,
--- a/packages/mimosastile-entry/src/mimosastile_entry/_alarms.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_alarms.py
@@ -28,7 +28,7 @@
         """Stops the timer."""
         self._handle.cancel()
 
-    def settle(self) -> None:
+    def raise_if_timed_out(self) -> None:
         """Distinguishes the timeout from an external cancellation.
 
         Raises:
--- a/packages/mimosastile-entry/src/mimosastile_entry/_asgi.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_asgi.py
@@ -167,7 +167,7 @@
         member = self._credentials.member_of(head.authorization)
         if member is None:
             return errors.failed(errors.ErrorKind.UNAUTHENTICATED)
-        problem = _heads.path_problem(path)
+        problem = _heads.path_error(path)
         if problem:
             return errors.failed(errors.ErrorKind.BAD_REQUEST, problem)
         if head.length > self._limits.body_bytes:
--- a/packages/mimosastile-entry/src/mimosastile_entry/_audit.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_audit.py
@@ -84,7 +84,7 @@
         """Returns the counts of buffered and dropped entries."""
         return {"pending": len(self._pending), "dropped": self._dropped}
 
-    def note(
+    def record(
         self, operator: str, action: str, outcome: str, detail: str = ""
     ) -> None:
         """Buffers an entry for the next flush."""
--- a/packages/mimosastile-entry/src/mimosastile_entry/_exchange.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_exchange.py
@@ -96,7 +96,7 @@
             allow_redirects=False,
         )
     except asyncio.CancelledError:
-        alarm.settle()
+        alarm.raise_if_timed_out()
         raise
     finally:
         alarm.stop()
--- a/packages/mimosastile-entry/src/mimosastile_entry/_heads.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_heads.py
@@ -27,7 +27,7 @@
 _X = ord("x")
 
 
-def path_problem(path: bytes) -> str:
+def path_error(path: bytes) -> str:
     """Returns the problem with a path, empty if it is valid.
 
     Args:
--- a/packages/mimosastile-entry/src/mimosastile_entry/_metrics.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_metrics.py
@@ -28,7 +28,7 @@
 arbitrarily large.
 """
 
-PASSED_ON = "passed_on"
+FORWARDED = "passed_on"
 """Outcome of a request whose response came from a target."""
 
 _UPDATE_INTERVAL_SECONDS = 0.25
@@ -110,7 +110,7 @@
 
         Args:
             request: The request.
-            outcome: `PASSED_ON` or the name of an error kind.
+            outcome: `FORWARDED` or the name of an error kind.
             seconds: Time from its arrival to the start of its response.
         """
         name = request.path[1:].partition("/")[0]
--- a/tests/entry/test_alarms.py
+++ b/tests/entry/test_alarms.py
@@ -14,7 +14,7 @@
         await virtual.pause(wait_seconds)
         return "done"
     except asyncio.CancelledError:
-        alarm.settle()
+        alarm.raise_if_timed_out()
         raise
     finally:
         alarm.stop()
