--- a/packages/mimosastile-entry/src/mimosastile_entry/_admin.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_admin.py
@@ -170,20 +170,20 @@
         document = await self._configuration.document(number)
         if isinstance(document, result.Err):
             return document
-        seen = access.visible(call.principal, document.ok_value)
-        return result.Ok(config.Version(number, seen))
+        in_scope = access.visible(call.principal, document.ok_value)
+        return result.Ok(config.Version(number, in_scope))
 
     async def _diff(self, call: Call) -> Outcome:
         newest = self._configuration.current.number
         newer = call.number("newer", newest)
         older = call.number("older", max(newer - 1, 0))
-        seen: list[config.Document] = []
+        in_scope: list[config.Document] = []
         for number in (older, newer):
             document = await self._configuration.document(number)
             if isinstance(document, result.Err):
                 return document
-            seen.append(access.visible(call.principal, document.ok_value))
-        before, after = seen
+            in_scope.append(access.visible(call.principal, document.ok_value))
+        before, after = in_scope
         paths = patches.differences(
             patches.to_raw(before), patches.to_raw(after)
         )
@@ -235,8 +235,8 @@
         if isinstance(preview, result.Err):
             return preview
         full = preview.ok_value
-        seen = access.visible(call.principal, full.document)
-        return result.Ok(msgspec.structs.replace(full, document=seen))
+        in_scope = access.visible(call.principal, full.document)
+        return result.Ok(msgspec.structs.replace(full, document=in_scope))
 
     async def _apply(self, call: Call) -> Outcome:
         patch = await _read_patch(call)
@@ -265,12 +265,12 @@
             return result.Err(refused)
         found = self._state.replica.table(service)
         position = keys.key_hash(call.text("key"))
-        home = found.locate(position) if found else None
-        if home is None:
+        location = found.locate(position) if found else None
+        if location is None:
             return errors.failed(
                 errors.ErrorKind.NOT_FOUND, "No table over the key."
             )
-        return result.Ok(home)
+        return result.Ok(location)
 
     async def _explain(self, call: Call) -> Outcome:
         service = call.text("service")
@@ -381,8 +381,8 @@
 def _hidden_change(
     principal: access.Principal, change: config.Change
 ) -> errors.Failure | None:
-    seen = access.visible_change(principal, change)
-    if change.operations and not seen.operations:
+    in_scope = access.visible_change(principal, change)
+    if change.operations and not in_scope.operations:
         return errors.Failure(
             errors.ErrorKind.FORBIDDEN, "The change is outside the scope."
         )
--- a/packages/mimosastile-entry/src/mimosastile_entry/_archive.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_archive.py
@@ -70,7 +70,7 @@
             value = history.encode(block)
             wrote = await self._store.compare_and_swap(key, value, revision)
             if wrote.is_ok():
-                await self._thin_snapshots(version.number)
+                await self._thin_snapshot(version.number)
                 self._recorded = max(self._recorded, version.number)
                 return result.Ok(block)
             # After a lost race or a lost response, the next read shows which.
@@ -129,8 +129,8 @@
                 if change.number <= number
                 and (raw is None or change.number > start)
             ]
-            whole = bool(found) and found[0].paths == ("",)
-            if raw is not None or whole:
+            from_start = bool(found) and found[0].paths == ("",)
+            if raw is not None or from_start:
                 break
         first = number % history.SPAN == 0 and raw is not None
         reached = bool(found) and found[-1].number == number
@@ -141,15 +141,15 @@
     async def _replay(
         self, raw: Any, found: list[config.Change]
     ) -> result.Result[config.Document, errors.Failure]:
-        whole = []
+        complete = []
         for change in found:
             read = await self._with_operations(change)
             if isinstance(read, result.Err):
                 return read
-            whole.append(read.ok_value)
+            complete.append(read.ok_value)
         if raw is None:
             raw = patches.to_raw(config.Document())
-        replayed = history.replay(raw, whole)
+        replayed = history.replay(raw, complete)
         if isinstance(replayed, result.Err):
             return errors.failed(errors.ErrorKind.INTERNAL, replayed.err_value)
         return replayed
@@ -201,7 +201,7 @@
                 return result.Err(failure)
         return result.Ok(None)
 
-    async def _thin_snapshots(self, number: int) -> None:
+    async def _thin_snapshot(self, number: int) -> None:
         """Empties a snapshot that can be rebuilt from the others.
 
         If a crash prevents this, the only cost is store space.
--- a/packages/mimosastile-entry/src/mimosastile_entry/_asgi.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_asgi.py
@@ -105,13 +105,13 @@
                     "headers": headers,
                 }
             )
-            left = _length(response)
+            remaining = _length(response)
             ended = False
             async for chunk in response.body:
-                left -= len(chunk)
+                remaining -= len(chunk)
                 # The last byte completes a body of declared length, so that
                 # no separate end message is needed.
-                ended = not left and upload.complete
+                ended = not remaining and upload.complete
                 await send(
                     {
                         "type": "http.response.body",
@@ -199,23 +199,23 @@
         await self._serve(scope, receive, send)
 
     def _request(self, scope: Scope, head: _heads.Head) -> Read:
-        named = {name.decode("ascii"): v for name, v in scope["headers"]}
-        left = _heads.milliseconds(named.get(_wire.DEADLINE_MS, b""))
+        fields = {name.decode("ascii"): v for name, v in scope["headers"]}
+        remaining = _heads.milliseconds(fields.get(_wire.DEADLINE_MS, b""))
         request = _request(scope, head)
-        if left is None or request is None:
+        if remaining is None or request is None:
             return errors.failed(errors.ErrorKind.BAD_REQUEST)
         request.path = request.path.removeprefix(_wire.FORWARD_PATH)
         request.forwarded = True
-        request.member = _text(named, _wire.MEMBER)
-        request.request_id = _text(named, _wire.REQUEST_ID)
-        request.target = _text(named, _wire.TARGET)
-        request.origin = _text(named, _wire.ORIGIN)
-        request.deadline = self._clock.now() + left / 1000
+        request.member = _field(fields, _wire.MEMBER)
+        request.request_id = _field(fields, _wire.REQUEST_ID)
+        request.target = _field(fields, _wire.TARGET)
+        request.origin = _field(fields, _wire.ORIGIN)
+        request.deadline = self._clock.now() + remaining / 1000
         return result.Ok(request)
 
 
-def _text(named: dict[str, bytes], name: str) -> str:
-    return named.get(name, b"").decode("ascii", "replace")
+def _field(fields: dict[str, bytes], name: str) -> str:
+    return fields.get(name, b"").decode("ascii", "replace")
 
 
 def _request(scope: Scope, head: _heads.Head) -> ports.Request | None:
--- a/packages/mimosastile-entry/src/mimosastile_entry/_audit.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_audit.py
@@ -138,9 +138,9 @@
         )
         if wrote.is_ok():
             written = set(new)
-            left = [e for e in self._pending if e not in written]
+            remaining = [e for e in self._pending if e not in written]
             self._pending.clear()
-            self._pending.extend(left)
+            self._pending.extend(remaining)
 
     async def _flush_periodically(self) -> None:
         while True:
--- a/packages/mimosastile-entry/src/mimosastile_entry/_heads.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_heads.py
@@ -151,10 +151,10 @@
     forwarded: RawHeaders, tokens: Sequence[bytes]
 ) -> RawHeaders:
     """Drops the hop-by-hop headers that the connection header names."""
-    named = {
+    connection_options = {
         name.strip().lower() for token in tokens for name in token.split(b",")
     }
-    return [pair for pair in forwarded if pair[0] not in named]
+    return [pair for pair in forwarded if pair[0] not in connection_options]
 
 
 def _decode(forwarded: RawHeaders) -> tuple[tuple[str, str], ...] | None:
--- a/packages/mimosastile-entry/src/mimosastile_entry/_metrics.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_metrics.py
@@ -28,7 +28,7 @@
 arbitrarily large.
 """
 
-FORWARDED = "passed_on"
+TARGET_RESPONDED = "passed_on"
 """Outcome of a request whose response came from a target."""
 
 _UPDATE_INTERVAL_SECONDS = 0.25
@@ -110,7 +110,7 @@
 
         Args:
             request: The request.
-            outcome: `FORWARDED` or the name of an error kind.
+            outcome: `TARGET_RESPONDED` or the name of an error kind.
             seconds: Time from its arrival to the start of its response.
         """
         name = request.path[1:].partition("/")[0]
@@ -171,14 +171,14 @@
         for each request. Latencies equal to within one percent are recorded
         together.
         """
-        for at, counts in self._recent.items():
-            found = self._histograms.get(at)
-            if found is None:
-                found = self._histograms[at] = histogram.HdrHistogram(
+        for key, counts in self._recent.items():
+            recorder = self._histograms.get(key)
+            if recorder is None:
+                recorder = self._histograms[key] = histogram.HdrHistogram(
                     1, _MAX_LATENCY_SECONDS * _MICROSECONDS, _SIGNIFICANT_DIGITS
                 )
             for micros, count in counts.items():
-                found.record_value(micros, count)
+                recorder.record_value(micros, count)
         self._recent.clear()
 
     def _latencies(self) -> core.Metric:
@@ -187,9 +187,9 @@
             "Seconds until an answer began, by quantile since the start.",
             labels=("service", "class", "quantile"),
         )
-        for (service, priority), found in self._histograms.items():
+        for (service, priority), recorder in self._histograms.items():
             for percent in _QUANTILES:
-                micros = found.get_value_at_percentile(percent)
+                micros = recorder.get_value_at_percentile(percent)
                 labels = (service, priority.value, f"{percent / 100:g}")
                 family.add_metric(labels, micros / _MICROSECONDS)
         return family
@@ -251,8 +251,8 @@
 
 def _moved(before: tables.Block, after: tables.Block) -> int:
     """Counts the slices whose owner changed to another one."""
-    home = tables.Table(before.service, [before])
-    located = ((home.locate(s.first), s) for s in after.slices)
+    previous = tables.Table(before.service, [before])
+    located = ((previous.locate(s.first), s) for s in after.slices)
     return sum(
         bool(was and was.slice.owner) and was.slice.owner != piece.owner
         for was, piece in located
--- a/packages/mimosastile-entry/src/mimosastile_entry/_router.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_router.py
@@ -138,7 +138,7 @@
         began = self._clock.now()
         outcome = await self._admit(request)
         if isinstance(outcome, result.Ok):
-            self._count(request, _metrics.FORWARDED, began)
+            self._count(request, _metrics.TARGET_RESPONDED, began)
             return outcome.ok_value
         failure = outcome.err_value
         self._count(request, failure.kind.value, began)
--- a/packages/mimosastile-entry/src/mimosastile_entry/_state.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_state.py
@@ -299,9 +299,9 @@
         """
         change = differences.between(former, block)
         delta = messages.Delta(self._vm, changes=(change,))
-        named = {keeper.vm for keeper in block.keepers.values()}
+        keeper_vms = {keeper.vm for keeper in block.keepers.values()}
         for vm in self._fleet.peers().values():
-            if vm.id in named:
+            if vm.id in keeper_vms:
                 call = self._peers.call(vm, delta, _PEER_TIMEOUT_SECONDS)
                 self._tasks.start(call)
 
--- a/tests/administered.py
+++ b/tests/administered.py
@@ -73,9 +73,9 @@
         text = b"".join(m.get("body", b"") for m in messages)
         return messages[0]["status"], text if raw else json.loads(text)
 
-    async def apply(self, patch, token="admin", way="apply"):
-        """Submits a patch; `way` is "apply" or "propose"."""
-        return await self.call("POST", f"/v1/config/{way}", token, patch)
+    async def apply(self, patch, token="admin", action="apply"):
+        """Submits a patch; `action` is "apply" or "propose"."""
+        return await self.call("POST", f"/v1/config/{action}", token, patch)
 
 
 async def start(vms=1):
--- a/tests/entry/test_admin.py
+++ b/tests/entry/test_admin.py
@@ -34,7 +34,7 @@
     """
 
     @pytest.mark.parametrize(
-        ("token", "way", "path", "value", "status"),
+        ("token", "action", "path", "value", "status"),
         [
             ("admin", "apply", "/members/p", {}, 200),
             ("team", "apply", SLOTS, 2, 200),
@@ -55,15 +55,15 @@
             ("", "propose", SLOTS, 2, 401),
         ],
     )
-    def test_patches(self, token, way, path, value, status):
+    def test_patches(self, token, action, path, value, status):
         """The paths determine the required role and scope."""
 
         async def scenario():
             api = await administered.start()
-            got, body = await api.apply(_patch(path, value), token, way)
+            got, body = await api.apply(_patch(path, value), token, action)
             assert got == status, body
             number = api.world.daemons["e0"].find("configuration").current
-            done = way == "apply" and status == 200
+            done = action == "apply" and status == 200
             assert number.number == 1 + done
             _, entries = await api.call("GET", "/v1/audit")
             assert bool(entries) == (status >= 400)
--- a/tests/entry/test_asgi.py
+++ b/tests/entry/test_asgi.py
@@ -29,8 +29,8 @@
 @pytest.fixture(scope="module")
 def server():
     """Yields a runner, a front for a raw server, and that server."""
-    with _running_server(LIMITS) as made:
-        yield made
+    with _running_server(LIMITS) as running:
+        yield running
 
 
 @pytest.fixture(scope="module")
@@ -40,8 +40,8 @@
     Tests send no valid requests to it: on a machine that is busy for as long
     as a timeout, their senders would count as slow.
     """
-    with _running_server(SHORT_TIMEOUTS) as made:
-        yield made
+    with _running_server(SHORT_TIMEOUTS) as running:
+        yield running
 
 
 @contextlib.contextmanager
--- a/tests/entry/test_configuration.py
+++ b/tests/entry/test_configuration.py
@@ -144,13 +144,13 @@
             service = cluster.daemons["e1"].find("configuration")
             for number, document in expected.items():
                 assert (await service.document(number)).unwrap() == document
-            gone = [
+            thinned_keys = [
                 key
                 for key, entry in cluster.store.entries.items()
                 if key.startswith("history/snapshot")
                 and entry.value == history.thinned()
             ]
-            assert len(gone) == 5
+            assert len(thinned_keys) == 5
 
         virtual.run(scenario())
 
@@ -489,9 +489,9 @@
             await _apply(cluster, "e0", _patch(1, 0))
             await virtual.pause(1.0)
             service = cluster.daemons["e0"].find("configuration")
-            seen = await service.in_force(1)
-            assert seen.numbers == {"e0": 1, "e1": 1, "e2": None}
-            assert seen.lagging == ("e2",)
+            report = await service.in_force(1)
+            assert report.numbers == {"e0": 1, "e1": 1, "e2": None}
+            assert report.lagging == ("e2",)
             cluster.network.heal()
             await virtual.pause(1.0)
             assert (await service.in_force(1)).lagging == ()
--- a/tests/entry/test_listeners.py
+++ b/tests/entry/test_listeners.py
@@ -34,25 +34,25 @@
         super().__init__("router", ("targets", "clock"))
         self._port = port
 
-    async def start(self, made):
+    async def start(self, running):
         """Builds a router to the server."""
         vm = fleet.Vm("t", fleet.Role.TARGET, "r", "z", rig.HOST, self._port)
-        clock = made.find("clock")
-        self.inner = rig.Router(made.find("targets"), clock, vm)
+        clock = running.find("clock")
+        self.inner = rig.Router(running.find("targets"), clock, vm)
         self.handle = self.inner.handle
 
 
 class _Roles(kernel.Passive):
     """Records whether the daemon still listens during the handover."""
 
-    def __init__(self, made):
+    def __init__(self, running):
         super().__init__("roles")
-        self._made = made
+        self._kernel = running
         self.health = b""
 
     async def hand_over(self):
         """Requests the health of the stopping daemon."""
-        port = self._made.find("listeners").ports["callers"]
+        port = self._kernel.find("listeners").ports["callers"]
         self.health = await _request(port, HEALTH)
 
 
@@ -75,7 +75,7 @@
         settings.PlatformSettings("http://none", "http://none"),
         limits=settings.LimitSettings(**limits),
     )
-    made = kernel.Kernel()
+    running = kernel.Kernel()
     router = _RouterService(port)
     listeners = _listeners.ListenersService(
         configured, _auth.Signer("e0", {}, "", 10.0)
@@ -89,17 +89,17 @@
         router,
         _inbox.InboxService("e0"),
         listeners,
-        _Roles(made),
+        _Roles(running),
         # The administration API looks these up; no test here calls it.
         *map(kernel.Passive, ("configuration", "access", "audit", "fleet")),
     ):
-        made.register(service)
-    await made.start()
+        running.register(service)
+    await running.start()
     try:
-        yield made, listeners, router.inner
+        yield running, listeners, router.inner
     finally:
         listeners.abort()
-        await made.stop()
+        await running.stop()
 
 
 class TestGracefulStop:
@@ -117,7 +117,11 @@
                 rig.raw_server(
                     lambda _: rig.Reply(PART, after=b"rest")
                 ) as peer,
-                _serving(peer.port, notice_seconds=0) as (made, listeners, _),
+                _serving(peer.port, notice_seconds=0) as (
+                    running,
+                    listeners,
+                    _,
+                ),
             ):
                 port = listeners.ports["callers"]
                 download = asyncio.create_task(
@@ -125,7 +129,7 @@
                 )
                 while not peer.requests:
                     await asyncio.sleep(0)
-                stopping = asyncio.create_task(daemon.stop_gracefully(made))
+                stopping = asyncio.create_task(daemon.stop_gracefully(running))
                 await asyncio.sleep(0.03)
                 with pytest.raises(ConnectionRefusedError):
                     await asyncio.open_connection(rig.HOST, port)
@@ -144,15 +148,19 @@
         async def scenario():
             async with (
                 rig.raw_server(lambda _: rig.Reply()) as peer,
-                _serving(peer.port, notice_seconds=30) as (made, listeners, _),
+                _serving(peer.port, notice_seconds=30) as (
+                    running,
+                    listeners,
+                    _,
+                ),
             ):
                 port = listeners.ports["callers"]
                 before = await _request(port, HEALTH)
-                stopping = asyncio.create_task(daemon.stop_gracefully(made))
+                stopping = asyncio.create_task(daemon.stop_gracefully(running))
                 await asyncio.sleep(0)
                 during = await _request(port, HEALTH)
                 served = await _request(port, rig.get(extra=""))
-                roles = made.find("roles")
+                roles = running.find("roles")
                 while not roles.health:
                     await asyncio.sleep(0)
                 listeners.abort()
@@ -173,7 +181,11 @@
         async def scenario():
             async with (
                 rig.raw_server(lambda _: rig.Reply()) as peer,
-                _serving(peer.port, notice_seconds=0) as (made, listeners, _),
+                _serving(peer.port, notice_seconds=0) as (
+                    running,
+                    listeners,
+                    _,
+                ),
             ):
                 port = listeners.ports["callers"]
                 idle, _ = await asyncio.open_connection(rig.HOST, port)
@@ -181,7 +193,7 @@
                 sent = rig.get(extra="")
                 writer.write(sent[:20])
                 await asyncio.sleep(0.03)
-                stopping = asyncio.create_task(daemon.stop_gracefully(made))
+                stopping = asyncio.create_task(daemon.stop_gracefully(running))
                 ended = await idle.read()
                 writer.write(sent[20:])
                 received = await reader.read()
@@ -205,13 +217,13 @@
                 ) as peer,
                 _serving(
                     peer.port, notice_seconds=0, shutdown_seconds=bound
-                ) as (made, listeners, router),
+                ) as (running, listeners, router),
             ):
                 port = listeners.ports["callers"]
                 reader, writer = await asyncio.open_connection(rig.HOST, port)
                 writer.write(rig.get(extra=""))
                 head = await reader.readuntil(b"\r\n\r\n")
-                stopping = asyncio.create_task(daemon.stop_gracefully(made))
+                stopping = asyncio.create_task(daemon.stop_gracefully(running))
                 if by != "bound":
                     await asyncio.sleep(0.03)
                     listeners.abort()
--- a/tests/entry/test_metrics.py
+++ b/tests/entry/test_metrics.py
@@ -52,7 +52,7 @@
             metrics = api.world.daemons["e0"].find("metrics")
             for i in range(3 * _metrics.MAX_MEMBERS):
                 request = ports.Request("GET", "/desk/k", member=f"m{i}")
-                metrics.record(request, _metrics.FORWARDED, 0.01)
+                metrics.record(request, _metrics.TARGET_RESPONDED, 0.01)
             return metrics.exposition()
 
         page = virtual.run(scenario())
