--- a/packages/mimosastile-entry/src/mimosastile_entry/_exchange.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_exchange.py
@@ -99,7 +99,7 @@
             allow_redirects=False,
         )
     except asyncio.CancelledError:
-        alarm.settle()
+        alarm.raise_if_timed_out()
         raise
     finally:
         alarm.stop()
--- a/packages/mimosastile-entry/src/mimosastile_entry/_router.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_router.py
@@ -138,7 +138,7 @@
         started_at = self._clock.now()
         outcome = await self._admit(request)
         if isinstance(outcome, result.Ok):
-            self._count(request, _metrics.PASSED_ON, started_at)
+            self._count(request, _metrics.TARGET_RESPONDED, started_at)
             return outcome.ok_value
         failure = outcome.err_value
         self._count(request, failure.kind.value, started_at)
@@ -296,7 +296,7 @@
             )
         sent = await self._sending.forward(call, hop, peer)
         if sent.is_err() and _has_stale_state(sent.err()):
-            await self._state.learn_from(peer)
+            await self._state.pull_from(peer)
         return sent
 
     def _end_callback(self, call: _calls.Call, hop: _calls.Hop) -> ports.Closer:
