--- a/packages/mimosastile-ctl/src/mimosastile_ctl/__init__.py
+++ b/packages/mimosastile-ctl/src/mimosastile_ctl/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line of mimosastile."""
+"""Command-line client for the administration API of mimosastile."""
--- a/packages/mimosastile-ctl/src/mimosastile_ctl/_config.py
+++ b/packages/mimosastile-ctl/src/mimosastile_ctl/_config.py
@@ -1,4 +1,4 @@
-"""Commands on the configuration: `mimosactl config …`."""
+"""Commands that read and change the configuration: `mimosactl config …`."""
 
 import pathlib
 from typing import Any
@@ -13,7 +13,7 @@
 from mimosastile_ctl import _session
 from mimosastile_ctl import _submit
 
-_CHANGES = list[config.Change]
+_CHANGE_LIST = list[config.Change]
 _OPERATIONS = tuple[patches.Operation, ...]
 
 
@@ -40,21 +40,23 @@
             older: The one number.
             newer: The other.
         """
-        found = self._session.read(
+        difference = self._session.read(
             administration.Difference,
             "/v1/config/diff",
             older=older,
             newer=newer,
         )
         if self._session.json:
-            _printing.json(found)
+            _printing.json(difference)
             return
-        _printing.say(f"from number {found.older} to {found.newer}:")
-        for operation in found.operations:
-            plain: dict[str, Any] = msgspec.to_builtins(operation)
-            value = msgspec.json.encode(plain.get("value")).decode()
+        _printing.write_line(
+            f"from number {difference.older} to {difference.newer}:"
+        )
+        for operation in difference.operations:
+            fields: dict[str, Any] = msgspec.to_builtins(operation)
+            value = msgspec.json.encode(fields.get("value")).decode()
             shown = "" if operation.op == "remove" else f"  {value}"
-            _printing.say(f"  {operation.op:8}{operation.path}{shown}")
+            _printing.write_line(f"  {operation.op:8}{operation.path}{shown}")
 
     def apply(
         self,
@@ -79,7 +81,7 @@
             wait: Wait until it is in force everywhere.
         """
         options = _submit.Options(reason, ticket, base, id, yes, False, wait)
-        _submit.submit(self._session, self._operations(file), options)
+        _submit.submit(self._session, self._read_operations(file), options)
 
     def propose(
         self,
@@ -98,7 +100,7 @@
         """
         del dry_run
         options = _submit.Options(reason, base=base, dry_run=True)
-        _submit.submit(self._session, self._operations(file), options)
+        _submit.submit(self._session, self._read_operations(file), options)
 
     def revert(
         self,
@@ -119,13 +121,13 @@
             dry_run: Check and show, submit nothing.
             wait: Wait until it is in force everywhere.
         """
-        answer = self._session.api.get(f"/v1/config/revert/{number}")
-        if isinstance(answer, result.Err):
-            _session.refuse(answer.err_value)
-        operations = msgspec.json.decode(answer.ok_value, type=_OPERATIONS)
-        why = reason or f"Reverts number {number}."
+        response = self._session.api.get(f"/v1/config/revert/{number}")
+        if isinstance(response, result.Err):
+            _session.exit_refused(response.err_value)
+        operations = msgspec.json.decode(response.ok_value, type=_OPERATIONS)
+        change_reason = reason or f"Reverts number {number}."
         options = _submit.Options(
-            why, ticket, yes=yes, dry_run=dry_run, wait=wait
+            change_reason, ticket, yes=yes, dry_run=dry_run, wait=wait
         )
         _submit.submit(self._session, operations, options)
 
@@ -136,7 +138,7 @@
             limit: How many changes.
             before: Only numbers below this one.
         """
-        self._changes("/v1/config/history", limit=limit, before=before)
+        self._print_changes("/v1/config/history", limit=limit, before=before)
 
     def blame(self, path: str, limit: int = 5) -> None:
         """Prints the last changes of one place in the configuration.
@@ -145,7 +147,7 @@
             path: JSON pointer, such as /services/desk/slots.
             limit: How many changes.
         """
-        self._changes("/v1/config/blame", path=path, limit=limit)
+        self._print_changes("/v1/config/blame", path=path, limit=limit)
 
     def wait(
         self, number: int | None = None, seconds: float = _submit.WAIT_SECONDS
@@ -167,53 +169,55 @@
             base: Number that the patch applied to.
             id: Its identifier.
         """
-        held = _submit.current(self._session)
-        if held.number <= base:
-            _session.end(
+        current = _submit.current(self._session)
+        if current.number <= base:
+            _session.exit_with(
                 f"still open: number {base} is in force; submit it again with"
                 f" --base {base} --id {id}",
-                _session.EXIT_UNSURE,
+                _session.EXIT_OUTCOME_UNKNOWN,
             )
         change = self._session.read(
             config.Change, f"/v1/config/changes/{base + 1}"
         )
         if change.id != id:
-            _session.end(
+            _session.exit_with(
                 f"not accepted: number {base + 1} is {change.id} by"
                 f" {change.author}",
                 _session.EXIT_CONFLICT,
             )
-        _printing.say(f"accepted as number {change.number}")
+        _printing.write_line(f"accepted as number {change.number}")
 
-    def _changes(self, view: str, **query: Any) -> None:
-        found = self._session.read(_CHANGES, view, **query)
+    def _print_changes(self, view: str, **query: Any) -> None:
+        changes = self._session.read(_CHANGE_LIST, view, **query)
         if self._session.json:
-            _printing.json(found)
+            _printing.json(changes)
             return
         _printing.table(
             ("number", "time", "author", "ticket", "reason", "changed"),
             (
                 (
                     c.number,
-                    _printing.moment(c.time),
+                    _printing.format_time(c.time),
                     c.author,
                     c.ticket,
                     c.reason,
                     ", ".join(c.paths) or "/",
                 )
-                for c in found
+                for c in changes
             ),
         )
 
-    def _operations(self, file: str) -> _OPERATIONS:
+    def _read_operations(self, file: str) -> _OPERATIONS:
         try:
             raw = msgspec.json.decode(pathlib.Path(file).read_bytes())
             if isinstance(raw, list):
                 return msgspec.convert(raw, _OPERATIONS)
         except (OSError, msgspec.DecodeError) as error:
-            _session.end(f"{file}: {error}", _session.EXIT_INVALID)
-        wanted = config.convert_document(raw)
-        if isinstance(wanted, result.Err):
-            _session.end(f"{file}: {wanted.err_value}", _session.EXIT_INVALID)
-        held = _submit.current(self._session).document
-        return patches.diff(held, wanted.ok_value)
+            _session.exit_with(f"{file}: {error}", _session.EXIT_INVALID)
+        document = config.convert_document(raw)
+        if isinstance(document, result.Err):
+            _session.exit_with(
+                f"{file}: {document.err_value}", _session.EXIT_INVALID
+            )
+        current = _submit.current(self._session).document
+        return patches.diff(current, document.ok_value)
--- a/packages/mimosastile-ctl/src/mimosastile_ctl/_session.py
+++ b/packages/mimosastile-ctl/src/mimosastile_ctl/_session.py
@@ -1,4 +1,4 @@
-"""One run of the command line: where to call, how to print, how to end."""
+"""State of one invocation: API client, output format and exit codes."""
 
 import sys
 from typing import Any
@@ -14,22 +14,22 @@
 from mimosastile_ctl import _printing
 
 EXIT_FAILED = 1
-"""The daemon could not be reached, or something else went wrong."""
+"""The daemon is unreachable, or another error occurred."""
 EXIT_INVALID = 2
-"""A mistake in the command or the patch; nothing was changed."""
+"""The command or the patch is invalid; nothing was changed."""
 EXIT_FORBIDDEN = 3
-"""No valid token, or one that does not allow this."""
+"""The token is missing or invalid, or does not permit the operation."""
 EXIT_CONFLICT = 4
-"""Another patch came first; nothing was changed."""
+"""Another patch was accepted first; nothing was changed."""
 EXIT_NOT_FOUND = 5
-"""What was asked for does not exist."""
-EXIT_UNSURE = 6
-"""The patch may have been accepted; the same identifier settles it."""
+"""The requested object does not exist."""
+EXIT_OUTCOME_UNKNOWN = 6
+"""The patch may have been accepted; a retry with the same identifier shows."""
 EXIT_LAGGING = 7
-"""Not in force everywhere within the time of the wait."""
+"""The change was not in force on all entry VMs within the time-out."""
 
 _Kind = errors.ErrorKind
-_EXITS = {
+_EXIT_CODES = {
     _Kind.BAD_REQUEST: EXIT_INVALID,
     _Kind.INVALID_CONFIG: EXIT_INVALID,
     _Kind.BODY_TOO_LARGE: EXIT_INVALID,
@@ -38,62 +38,62 @@
     _Kind.CONFLICT: EXIT_CONFLICT,
     _Kind.NOT_FOUND: EXIT_NOT_FOUND,
     _Kind.UNKNOWN_SERVICE: EXIT_NOT_FOUND,
-    _Kind.STORE_UNKNOWN: EXIT_UNSURE,
-    _Kind.ANSWER_LOST: EXIT_UNSURE,
+    _Kind.STORE_UNKNOWN: EXIT_OUTCOME_UNKNOWN,
+    _Kind.ANSWER_LOST: EXIT_OUTCOME_UNKNOWN,
 }
 _T = TypeVar("_T")
 
 
 class Session:
-    """The API and the manner of printing.
+    """API client and output format of one invocation.
 
     Attributes:
-        api: The administration API.
-        json: Whether to print JSON for programs.
+        api: Client for the administration API.
+        json: Whether to print JSON instead of tables.
     """
 
     __slots__ = ("api", "json")
 
-    def __init__(self, at: str, token_file: str, json: bool) -> None:
+    def __init__(self, address: str, token_file: str, json: bool) -> None:
         environment = _api.environment()
         token = _api.find_token(environment, token_file)
         if isinstance(token, result.Err):
-            end(token.err_value, EXIT_INVALID)
-        authority = environment.get(_api.AUTHORITY_VARIABLE, "")
-        self.api = _api.Api(at, token.ok_value, authority)
+            exit_with(token.err_value, EXIT_INVALID)
+        ca_file = environment.get(_api.CA_FILE_VARIABLE, "")
+        self.api = _api.Api(address, token.ok_value, ca_file)
         self.json = json
 
     def read(self, kind: type[_T], view: str, **query: Any) -> _T:
-        """Reads a view or ends the run."""
-        return self.take(kind, self.api.get(view, **query))
+        """Reads and decodes a view; exits if the call failed."""
+        return self.decode(kind, self.api.get(view, **query))
 
-    def take(self, kind: type[_T], answer: _api.Answer) -> _T:
-        """Decodes an answer or ends the run."""
-        if isinstance(answer, result.Err):
-            refuse(answer.err_value)
-        return msgspec.json.decode(answer.ok_value, type=kind)
+    def decode(self, kind: type[_T], response: _api.ApiResult) -> _T:
+        """Decodes the result of a call; exits if the call failed."""
+        if isinstance(response, result.Err):
+            exit_refused(response.err_value)
+        return msgspec.json.decode(response.ok_value, type=kind)
 
 
-def refuse(refusal: administration.AdminRefusal) -> NoReturn:
-    """Tells of a refusal and ends the run with its exit code."""
+def exit_refused(refusal: administration.AdminRefusal) -> NoReturn:
+    """Prints a refusal and exits with its exit code."""
     for change in refusal.meanwhile:
-        _printing.note(
+        _printing.write_notice(
             f"  number {change.number} by {change.author or '-'},"
-            f" {_printing.moment(change.time)}: {change.reason}"
+            f" {_printing.format_time(change.time)}: {change.reason}"
             f" ({', '.join(change.paths)})"
         )
-    end(refusal.refused.message, exit_code(refusal))
+    exit_with(refusal.refused.message, exit_code(refusal))
 
 
 def exit_code(refusal: administration.AdminRefusal) -> int:
-    """Returns the exit code of a refusal."""
+    """Returns the exit code for a refusal."""
     try:
-        return _EXITS.get(_Kind(refusal.refused.error), EXIT_FAILED)
+        return _EXIT_CODES.get(_Kind(refusal.refused.error), EXIT_FAILED)
     except ValueError:
         return EXIT_FAILED
 
 
-def end(line: str, code: int) -> NoReturn:
-    """Says why the run ends and ends it."""
-    _printing.note(f"mimosactl: {line}")
+def exit_with(line: str, code: int) -> NoReturn:
+    """Prints the reason to standard error and exits."""
+    _printing.write_notice(f"mimosactl: {line}")
     sys.exit(code)
--- a/packages/mimosastile-ctl/src/mimosastile_ctl/_short_hands.py
+++ b/packages/mimosastile-ctl/src/mimosastile_ctl/_short_hands.py
@@ -1,4 +1,4 @@
-"""Commands that write a patch for a daily task, show it and submit it."""
+"""Commands that build, show and submit a patch for a common task."""
 
 from collections.abc import Iterable
 import pathlib
@@ -17,12 +17,16 @@
 
 
 def pointer(*parts: str) -> str:
-    """Returns the JSON pointer of names, escaped where they need it."""
+    """Returns the JSON pointer (RFC 6901) of a path of unescaped names."""
     return "".join("/" + jsonpointer.escape(part) for part in parts)
 
 
 def key_source(text: str) -> dict[str, Any]:
-    """Reads `path:0`, `header:NAME` or `query:NAME`."""
+    """Parses `path:0`, `header:NAME` or `query:NAME` to a key source.
+
+    Raises:
+        ValueError: The path segment is not an integer.
+    """
     place, _, rest = text.partition(":")
     if place == config.KeyPlace.PATH.value:
         return {"place": place, "segment": int(rest or 0)}
@@ -49,18 +53,20 @@
                 CONFIGURATION.md (`--slots 2 --checks_orders`), and ticket,
                 yes, dry_run, wait.
         """
-        common, fields = _split(options)
+        common, fields = _split_options(options)
         if key:
             try:
                 fields["key"] = key_source(str(key))
             except ValueError:
-                _session.end(f"--key {key}: no segment", _session.EXIT_INVALID)
+                _session.exit_with(
+                    f"--key {key}: no segment", _session.EXIT_INVALID
+                )
         operation = _Op("add", pointer("services", name), fields)
-        # Without this a mistyped name would replace a service that exists.
-        held = _submit.current(self._session)
-        if name in held.document.services:
-            _session.end(f"{name} exists already", _session.EXIT_CONFLICT)
-        common.setdefault("base", held.number)
+        # Without this check a mistyped name would replace an existing service.
+        version = _submit.current(self._session)
+        if name in version.document.services:
+            _session.exit_with(f"{name} exists already", _session.EXIT_CONFLICT)
+        common.setdefault("base", version.number)
         _submit.submit(
             self._session, (operation,), _submit.Options(reason, **common)
         )
@@ -120,19 +126,19 @@
             **options: share, concurrency, rate, and ticket, base, id, yes,
                 dry_run, wait.
         """
-        common, fields = _split(options)
+        common, fields = _split_options(options)
         if credential_file:
             try:
                 token = pathlib.Path(credential_file).read_text("utf-8").strip()
             except (OSError, UnicodeDecodeError) as error:
-                _session.end(
+                _session.exit_with(
                     f"{credential_file}: {error}", _session.EXIT_INVALID
                 )
             fields["credentials"] = [access.digest(token)]
-        held = _submit.current(self._session)
-        if name in held.document.members:
-            _session.end(f"{name} exists already", _session.EXIT_CONFLICT)
-        common.setdefault("base", held.number)
+        version = _submit.current(self._session)
+        if name in version.document.members:
+            _session.exit_with(f"{name} exists already", _session.EXIT_CONFLICT)
+        common.setdefault("base", version.number)
         operation = _Op("add", pointer("members", name), fields)
         _submit.submit(
             self._session, (operation,), _submit.Options(reason, **common)
@@ -140,35 +146,38 @@
 
 
 def move(
-    service: str, key: str, target: str, held: config.Version
+    service: str, key: str, target: str, version: config.Version
 ) -> Iterable[_Op]:
-    """Returns the operations that pin a key, or unpin it without a target."""
-    del held
+    """Returns the operations that pin a key to a target.
+
+    An empty target removes the pin.
+    """
+    del version
     path = pointer("services", service, "moves", key)
     return (_Op("add", path, target) if target else _Op("remove", path),)
 
 
 def drain(
-    service: str, target: str, end: bool, held: config.Version
+    service: str, target: str, end: bool, version: config.Version
 ) -> Iterable[_Op]:
-    """Returns the operations that begin or end the drain of a target."""
-    known = held.document.services.get(service)
-    drains = known.drains if known else ()
-    kept = tuple(vm for vm in drains if vm != target)
-    wanted = kept if end else (*kept, target)
-    return (_Op("replace", pointer("services", service, "drains"), wanted),)
+    """Returns the operations that start or end draining a target."""
+    existing = version.document.services.get(service)
+    drains = existing.drains if existing else ()
+    remaining = tuple(vm for vm in drains if vm != target)
+    updated = remaining if end else (*remaining, target)
+    return (_Op("replace", pointer("services", service, "drains"), updated),)
 
 
-def clear(fingerprint: str, held: config.Version) -> Iterable[_Op]:
-    """Returns the operations that let a quarantined request run again."""
+def clear(fingerprint: str, version: config.Version) -> Iterable[_Op]:
+    """Returns the operations that release a request from quarantine."""
     path = pointer("quarantine", "cleared", fingerprint)
-    return (_Op("add", path, held.number),)
+    return (_Op("add", path, version.number),)
 
 
-def _split(
+def _split_options(
     options: dict[str, Any],
 ) -> tuple[dict[str, Any], dict[str, Any]]:
-    """Tells the options of a submission from the fields of what is made."""
+    """Separates submission options from the fields of the new object."""
     names = set(_submit.Options.__slots__)
     common = {n: v for n, v in options.items() if n in names}
     fields = {n: v for n, v in options.items() if n not in names}
--- a/packages/mimosastile-ctl/src/mimosastile_ctl/_submit.py
+++ b/packages/mimosastile-ctl/src/mimosastile_ctl/_submit.py
@@ -1,4 +1,4 @@
-"""Showing a patch, submitting it and waiting until it is in force."""
+"""Submission of configuration patches and waiting for their roll-out."""
 
 from collections.abc import Iterable
 import time
@@ -16,24 +16,25 @@
 from mimosastile_ctl import _session
 
 WAIT_SECONDS = 8.0
-"""Longest wait for a change to be in force everywhere."""
+"""Default time-out for a change to be in force on all entry VMs."""
 
-_POLL_SECONDS = 0.2
-_TRIES = 4
-_RETRY_SECONDS = 1.0
+_POLL_INTERVAL_SECONDS = 0.2
+_MAX_ATTEMPTS = 4
+_RETRY_INTERVAL_SECONDS = 1.0
 
 
 class Options:
-    """What every command that changes something takes.
+    """Options of every command that changes the configuration.
 
     Attributes:
-        reason: Why, for whoever reads it years later.
-        ticket: Reference into the operators' own tracker.
-        base: Number that the patch applies to, None for the one in force.
+        reason: Reason of the change, stored in the history.
+        ticket: Reference to an issue in the operators' tracker.
+        base: Configuration number that the patch applies to, None for the
+            one in force.
         id: Identifier of the patch, empty for a new one.
-        yes: Submit without asking.
-        dry_run: Check and show, submit nothing.
-        wait: Wait until it is in force everywhere.
+        yes: Whether to submit without confirmation.
+        dry_run: Whether to check and show the patch only.
+        wait: Whether to wait until the change is in force on all entry VMs.
     """
 
     __slots__ = ("base", "dry_run", "id", "reason", "ticket", "wait", "yes")
@@ -67,119 +68,127 @@
     operations: Iterable[patches.Operation],
     options: Options,
 ) -> None:
-    """Shows a patch, asks, and submits it.
+    """Shows a patch, requests confirmation and submits the patch.
 
-    Ends the run with the exit code that fits if the patch is not accepted.
+    Exits with the corresponding exit code if the patch is not accepted.
     """
-    listed = tuple(operations)
-    if not listed:
-        _session.end("Nothing changes.", _session.EXIT_INVALID)
+    operation_list = tuple(operations)
+    if not operation_list:
+        _session.exit_with("Nothing changes.", _session.EXIT_INVALID)
     base = current(session).number if options.base is None else options.base
     identifier = options.id or uuid.uuid4().hex
     patch = patches.Patch(
-        identifier, base, options.reason, listed, options.ticket
+        identifier, base, options.reason, operation_list, options.ticket
     )
     preview = session.api.post("/v1/config/propose", patch)
-    _show(patch)
+    _print_patch(patch)
     if isinstance(preview, result.Ok):
-        checked = session.take(administration.Preview, preview)
-        _printing.note(f"changes: {', '.join(checked.paths)}")
+        checked = session.decode(administration.Preview, preview)
+        _printing.write_notice(f"changes: {', '.join(checked.paths)}")
     elif options.dry_run or not options.id:
-        # Sent again with its identifier, a patch may be in force already and
-        # its base be old; only submitting it tells.
-        _session.refuse(preview.err_value)
+        # A patch that is retried with its identifier may be in force already,
+        # so its base may be outdated. Only submitting it shows the outcome.
+        _session.exit_refused(preview.err_value)
     if options.dry_run:
-        _printing.note("dry run: the patch fits; nothing was submitted")
+        _printing.write_notice("dry run: the patch fits; nothing was submitted")
         return
-    _ask(options)
-    accepted = _send(session, patch)
+    _confirm(options)
+    accepted = _apply(session, patch)
     if session.json:
         _printing.json(accepted)
     else:
-        _printing.say(f"accepted as number {accepted.number}")
+        _printing.write_line(f"accepted as number {accepted.number}")
     if options.wait:
         wait(session, accepted.number, WAIT_SECONDS)
 
 
 def wait(session: _session.Session, number: int, seconds: float) -> None:
-    """Waits until a number is in force everywhere; says who lags if not."""
-    began = time.monotonic()
+    """Waits until a configuration number is in force on all entry VMs.
+
+    Prints the VMs that lag behind and exits if the wait times out.
+    """
+    started = time.monotonic()
     while True:
         reached = session.read(
             administration.InForce, "/v1/config/in-force", number=number
         )
         total, lagging = len(reached.numbers), reached.lagging
-        spent = time.monotonic() - began
+        elapsed = time.monotonic() - started
         _printing.progress(
             f"number {number}: {total - len(lagging)} of {total} VMs,"
-            f" {spent:.1f} s"
+            f" {elapsed:.1f} s"
         )
-        if not lagging or spent >= seconds:
+        if not lagging or elapsed >= seconds:
             break
-        time.sleep(_POLL_SECONDS)
+        time.sleep(_POLL_INTERVAL_SECONDS)
     _printing.progress("")
     if session.json:
         _printing.json(reached)
     elif not lagging:
-        _printing.say(
+        _printing.write_line(
             f"number {number} is in force on all {total} entry VMs"
-            f" ({spent:.1f} s)"
+            f" ({elapsed:.1f} s)"
         )
     if lagging:
-        said = (
+        descriptions = (
             f"{vm} ({'no answer' if reached.numbers[vm] is None else 'has'}"
             f" {reached.numbers[vm] or ''})".replace(" )", ")")
             for vm in lagging
         )
-        _session.end(
-            f"number {number} is not in force on {', '.join(said)}",
+        _session.exit_with(
+            f"number {number} is not in force on {', '.join(descriptions)}",
             _session.EXIT_LAGGING,
         )
 
 
-def _send(
+def _apply(
     session: _session.Session, patch: patches.Patch
 ) -> administration.Accepted:
-    """Submits until the outcome is known; the identifier keeps it single."""
-    for _ in range(_TRIES):
-        answer = session.api.post("/v1/config/apply", patch)
-        if isinstance(answer, result.Ok):
-            return session.take(administration.Accepted, answer)
-        refusal = answer.err_value
-        if _session.exit_code(refusal) != _session.EXIT_UNSURE:
-            _session.refuse(refusal)
-        _printing.note("the outcome is open; asking again")
-        time.sleep(_RETRY_SECONDS)
-    return _open(patch)
-
-
-def _open(patch: patches.Patch) -> NoReturn:
-    _session.end(
+    """Submits a patch with retries until the outcome is known.
+
+    The identifier of the patch makes the retries idempotent.
+    """
+    for _ in range(_MAX_ATTEMPTS):
+        response = session.api.post("/v1/config/apply", patch)
+        if isinstance(response, result.Ok):
+            return session.decode(administration.Accepted, response)
+        refusal = response.err_value
+        if _session.exit_code(refusal) != _session.EXIT_OUTCOME_UNKNOWN:
+            _session.exit_refused(refusal)
+        _printing.write_notice("the outcome is open; asking again")
+        time.sleep(_RETRY_INTERVAL_SECONDS)
+    return _exit_outcome_unknown(patch)
+
+
+def _exit_outcome_unknown(patch: patches.Patch) -> NoReturn:
+    _session.exit_with(
         "the outcome is open; ask later with: mimosactl config settle"
         f" --base {patch.base} --id {patch.id}",
-        _session.EXIT_UNSURE,
+        _session.EXIT_OUTCOME_UNKNOWN,
     )
 
 
-def _ask(options: Options) -> None:
+def _confirm(options: Options) -> None:
     if options.yes:
         return
-    agreed = _printing.confirm("Submit this patch?")
-    if agreed is None:
-        _session.end(
+    confirmed = _printing.confirm("Submit this patch?")
+    if confirmed is None:
+        _session.exit_with(
             "nobody to ask; add --yes to submit", _session.EXIT_INVALID
         )
-    if not agreed:
-        _session.end("not submitted", _session.EXIT_INVALID)
+    if not confirmed:
+        _session.exit_with("not submitted", _session.EXIT_INVALID)
 
 
-def _show(patch: patches.Patch) -> None:
-    _printing.note(
+def _print_patch(patch: patches.Patch) -> None:
+    _printing.write_notice(
         f"patch {patch.id} against number {patch.base}: {patch.reason}"
         + (f" [{patch.ticket}]" if patch.ticket else "")
     )
     for operation in patch.operations:
-        plain: dict[str, Any] = msgspec.to_builtins(operation)
-        value = plain.get("value", plain.get("from", ""))
+        fields: dict[str, Any] = msgspec.to_builtins(operation)
+        value = fields.get("value", fields.get("from", ""))
         shown = msgspec.json.encode(value).decode() if value != "" else ""
-        _printing.note(f"  {operation.op:8}{operation.path}  {shown}".rstrip())
+        _printing.write_notice(
+            f"  {operation.op:8}{operation.path}  {shown}".rstrip()
+        )
--- a/packages/mimosastile-ctl/src/mimosastile_ctl/cli.py
+++ b/packages/mimosastile-ctl/src/mimosastile_ctl/cli.py
@@ -1,4 +1,4 @@
-"""Command line of the operators: `mimosactl`."""
+"""Command-line entry point for operators: `mimosactl`."""
 
 from collections.abc import Iterator
 import itertools
@@ -22,7 +22,7 @@
 _BLOCKS = list[tables.Block]
 _MEMBERS = dict[str, administration.MemberView]
 _ENTRIES = list[administration.AuditEntry]
-_ANYTHING = dict[str, Any]
+_JSON_OBJECT = dict[str, Any]
 
 
 class QuarantineCommands:
@@ -33,7 +33,7 @@
 
     def show(self) -> None:
         """Prints what this VM holds back, as JSON."""
-        _printing.json(self._session.read(_ANYTHING, "/v1/quarantine"))
+        _printing.json(self._session.read(_JSON_OBJECT, "/v1/quarantine"))
 
     def clear(self, fingerprint: str, reason: str, **options: Any) -> None:
         """Lets a request run again.
@@ -43,9 +43,9 @@
             reason: Why, for whoever reads it years later.
             **options: ticket, base, id, yes, dry_run, wait.
         """
-        held = _submit.current(self._session)
-        options.setdefault("base", held.number)
-        operations = _short_hands.clear(fingerprint, held)
+        version = _submit.current(self._session)
+        options.setdefault("base", version.number)
+        operations = _short_hands.clear(fingerprint, version)
         _submit.submit(
             self._session, operations, _submit.Options(reason, **options)
         )
@@ -85,7 +85,7 @@
 
     def table(self, service: str) -> None:
         """Prints which target owns which slice of a service."""
-        path = f"/v1/tables/{_quoted(service)}"
+        path = f"/v1/tables/{_quote_segment(service)}"
         blocks = self._session.read(_BLOCKS, path)
         if self._session.json:
             _printing.json(blocks)
@@ -109,31 +109,34 @@
 
     def owner(self, service: str, key: str) -> None:
         """Prints which target owns a key."""
-        path = f"/v1/tables/{_quoted(service)}/owner/{_quoted(key)}"
-        home = self._session.read(tables.Location, path)
+        path = (
+            f"/v1/tables/{_quote_segment(service)}/owner/{_quote_segment(key)}"
+        )
+        location = self._session.read(tables.Location, path)
         if self._session.json:
-            _printing.json(home)
+            _printing.json(location)
             return
-        keeper = home.keeper.vm if home.keeper else "-"
-        _printing.say(
-            f"{key}: {home.slice.owner or '-'} (fence {home.slice.fence},"
+        keeper = location.keeper.vm if location.keeper else "-"
+        _printing.write_line(
+            f"{key}: {location.slice.owner or '-'}"
+            f" (fence {location.slice.fence},"
             f" kept by {keeper})"
         )
 
     def explain(self, service: str, key: str) -> None:
         """Prints why a request for a key goes where it goes."""
-        path = f"/v1/explain/{_quoted(service)}/{_quoted(key)}"
-        found = self._session.read(administration.Explanation, path)
+        path = f"/v1/explain/{_quote_segment(service)}/{_quote_segment(key)}"
+        explanation = self._session.read(administration.Explanation, path)
         if self._session.json:
-            _printing.json(found)
+            _printing.json(explanation)
             return
-        if found.refused:
-            _printing.say(f"{key}: refused, {found.refused}")
+        if explanation.refused:
+            _printing.write_line(f"{key}: refused, {explanation.refused}")
         else:
-            where = found.target or "any live target"
-            _printing.say(f"{key}: goes to {where}")
-        for reason in found.reasons:
-            _printing.say(f"  {reason}")
+            where = explanation.target or "any live target"
+            _printing.write_line(f"{key}: goes to {where}")
+        for reason in explanation.reasons:
+            _printing.write_line(f"  {reason}")
 
     def members(self) -> None:
         """Prints members with their shares and limits."""
@@ -151,11 +154,11 @@
 
     def link(self) -> None:
         """Prints this VM's part of the link between regions, as JSON."""
-        _printing.json(self._session.read(_ANYTHING, "/v1/link"))
+        _printing.json(self._session.read(_JSON_OBJECT, "/v1/link"))
 
     def dump(self) -> None:
         """Prints the state of the daemon, as JSON."""
-        _printing.json(self._session.read(_ANYTHING, "/v1/dump"))
+        _printing.json(self._session.read(_JSON_OBJECT, "/v1/dump"))
 
     def trace(self, attempt: str, *files: str) -> None:
         """Prints the story of one request from the logs of several VMs.
@@ -164,25 +167,27 @@
             attempt: Identifier of the caller's attempt.
             *files: Logs as the daemons wrote them; none for standard input.
         """
-        texts = itertools.chain.from_iterable(map(_lines_of, files or ("-",)))
-        lines, unreadable = _trace.read(texts)
-        told = _trace.story(lines, attempt)
+        texts = itertools.chain.from_iterable(map(_read_lines, files or ("-",)))
+        lines, unreadable = _trace.parse(texts)
+        selected = _trace.select(lines, attempt)
         if unreadable:
-            _printing.note(f"{unreadable} lines are no log lines; left out")
-        if not told:
-            _session.end(
+            _printing.write_notice(
+                f"{unreadable} lines are no log lines; left out"
+            )
+        if not selected:
+            _session.exit_with(
                 f"No line names the attempt {attempt}.",
                 _session.EXIT_NOT_FOUND,
             )
         if self._session.json:
-            _printing.json(told)
+            _printing.json(selected)
             return
-        began = told[0].time
+        start = selected[0].time
         _printing.table(
             ("seconds", "vm", "part", "event", "detail"),
             (
-                (f"{x.time - began:.3f}", x.vm, x.part, x.event, x.detail)
-                for x in told
+                (f"{x.time - start:.3f}", x.vm, x.part, x.event, x.detail)
+                for x in selected
             ),
         )
 
@@ -196,7 +201,7 @@
             ("time", "vm", "operator", "action", "outcome", "detail"),
             (
                 (
-                    _printing.moment(e.time),
+                    _printing.format_time(e.time),
                     e.vm,
                     e.operator,
                     e.action,
@@ -224,11 +229,11 @@
             reason: Why, for whoever reads it years later.
             **options: ticket, base, id, yes, dry_run, wait.
         """
-        held = _submit.current(self._session)
-        options.setdefault("base", held.number)
+        version = _submit.current(self._session)
+        options.setdefault("base", version.number)
         _submit.submit(
             self._session,
-            _short_hands.move(service, key, target, held),
+            _short_hands.move(service, key, target, version),
             _submit.Options(reason, **options),
         )
 
@@ -249,17 +254,17 @@
             end: Ends the drain.
             **options: ticket, base, id, yes, dry_run, wait.
         """
-        held = _submit.current(self._session)
-        options.setdefault("base", held.number)
+        version = _submit.current(self._session)
+        options.setdefault("base", version.number)
         _submit.submit(
             self._session,
-            _short_hands.drain(service, target, end, held),
+            _short_hands.drain(service, target, end, version),
             _submit.Options(reason, **options),
         )
 
 
-def _lines_of(name: str) -> Iterator[str]:
-    """Yields the lines of a file, of standard input for `-`."""
+def _read_lines(name: str) -> Iterator[str]:
+    """Yields the lines of a file, or of standard input for `-`."""
     if name == "-":
         yield from sys.stdin
         return
@@ -267,15 +272,16 @@
         with open(name, encoding="utf-8", errors="replace") as file:
             yield from file
     except OSError as error:
-        _session.end(f"{name}: {error.strerror}", _session.EXIT_FAILED)
+        _session.exit_with(f"{name}: {error.strerror}", _session.EXIT_FAILED)
 
 
-def _quoted(text: str) -> str:
+def _quote_segment(text: str) -> str:
     return parse.quote(text, safe="")
 
 
-# Fire takes 1_000 for a number; a key, a name or a reason is what was typed.
-_TEXTS = (
+# Fire parses 1_000 as a number. Keys, names and reasons are strings and are
+# passed on as typed.
+_STRING_FLAGS = (
     "attempt",
     "service",
     "key",
@@ -303,7 +309,7 @@
 ):
     fire.decorators.SetParseFn(
         str,
-        *_TEXTS,
+        *_STRING_FLAGS,
         "reason",
         "ticket",
         "id",
@@ -314,12 +320,13 @@
 
 
 def main() -> None:
-    """Entry point of the binary."""
+    """Runs the command line."""
     try:
         fire.Fire(Commands, name="mimosactl")
     except msgspec.DecodeError as error:
-        _session.end(f"unexpected answer: {error}", _session.EXIT_FAILED)
+        _session.exit_with(f"unexpected answer: {error}", _session.EXIT_FAILED)
     except BrokenPipeError:
-        # The reader, `head` for one, has seen enough. What Python would still
-        # write at its end goes nowhere, or a traceback would follow.
+        # The reader of the pipe, such as `head`, closed it. Python flushes
+        # standard output at exit, which would print a traceback unless the
+        # output is discarded.
         sys.stdout = open(os.devnull, "w", encoding="utf-8")  # noqa: SIM115
--- a/tests/ctl/test_api.py
+++ b/tests/ctl/test_api.py
@@ -1,4 +1,4 @@
-"""Tests of the command line's client over real sockets."""
+"""Tests of the API client of mimosactl over real sockets."""
 
 import asyncio
 
@@ -12,36 +12,40 @@
 
 
 class TestCalls:
-    """Views, refusals and addresses where nobody listens."""
+    """Successful calls, refusals and unreachable addresses."""
 
     def test_each_outcome(self):
-        """Every failure has a kind, and the kind an exit code."""
+        """Each failure maps to an error kind and an exit code."""
 
-        async def story():
-            async with demo.running() as made:
-                first = next(iter(made.daemons.values()))
+        async def scenario():
+            async with demo.running() as deployment:
+                first = next(iter(deployment.daemons.values()))
                 port = first.find("listeners").ports["peers"]
                 at = f"http://{demo.HOST}:{port}"
-                good = _api.Api(at + "/", demo.OPERATOR)
-                seen = await good._call("GET", "/v1/config", b"")
+                client = _api.Api(at + "/", demo.OPERATOR)
+                response = await client._call("GET", "/v1/config", b"")
                 for path in ("/v1/tables/none", "/nothing"):
-                    refused = await good._call("GET", path, b"")
+                    refused = await client._call("GET", path, b"")
                     assert refused.is_err(), path
-                wrong = _api.Api(at, "wrong")
-                refused = await wrong._call("GET", "/v1/config", b"")
-            gone = await good._call("GET", "/v1/config", b"")
-            return seen.unwrap(), refused.unwrap_err(), gone.unwrap_err()
-
-        seen, refused, gone = asyncio.run(story())
-        version = msgspec.json.decode(seen, type=config.Version)
+                unauthorized = _api.Api(at, "wrong")
+                refused = await unauthorized._call("GET", "/v1/config", b"")
+            unreachable = await client._call("GET", "/v1/config", b"")
+            return (
+                response.unwrap(),
+                refused.unwrap_err(),
+                unreachable.unwrap_err(),
+            )
+
+        response, refused, unreachable = asyncio.run(scenario())
+        version = msgspec.json.decode(response, type=config.Version)
         assert version.number == 1
         assert _session.exit_code(refused) == _session.EXIT_FORBIDDEN
-        assert gone.refused.error == "unreachable"
-        assert _session.exit_code(gone) == _session.EXIT_FAILED
+        assert unreachable.refused.error == "unreachable"
+        assert _session.exit_code(unreachable) == _session.EXIT_FAILED
 
     @pytest.mark.parametrize("text", [None, "no certificate"])
-    def test_authority_that_cannot_be_read(self, tmp_path, text):
-        """Nothing is sent without the check that was asked for."""
+    def test_unreadable_ca_file(self, tmp_path, text):
+        """An unreadable CA file fails the call before anything is sent."""
         file = tmp_path / "authority.pem"
         if text is not None:
             file.write_text(text)
--- a/tests/ctl/test_cli.py
+++ b/tests/ctl/test_cli.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' command line against a daemon in memory."""
+"""Tests of mimosactl against daemons in memory."""
 
 import asyncio
 import json
@@ -24,7 +24,7 @@
 
 
 class FakeApi:
-    """Calls the application in memory instead of an address."""
+    """API client that calls the application in memory."""
 
     def __init__(self, loop, api, token):
         self._loop = loop
@@ -34,16 +34,16 @@
 
     def get(self, view, **query):
         """Reads a view."""
-        given = {n: v for n, v in query.items() if v is not None}
-        suffix = "&".join(f"{n}={v}" for n, v in given.items())
+        parameters = {n: v for n, v in query.items() if v is not None}
+        suffix = "&".join(f"{n}={v}" for n, v in parameters.items())
         return self._call("GET", f"{view}?{suffix}", None)
 
     def post(self, path, value):
-        """Sends a value; loses answers if so told."""
+        """Posts a value; drops the next `lose` responses to apply."""
         answer = self._call("POST", path, msgspec.json.encode(value))
         if path.endswith("apply") and self.lose:
             self.lose -= 1
-            return _api._failed(errors.ErrorKind.ANSWER_LOST, "lost")
+            return _api._failure(errors.ErrorKind.ANSWER_LOST, "lost")
         return answer
 
     def _call(self, method, path, body):
@@ -59,7 +59,7 @@
 
 
 class Console:
-    """Runs commands on a deployment whose time only passes in calls."""
+    """Runs commands on a deployment whose clock advances only during calls."""
 
     def __init__(self, loop, api, monkeypatch, capsys):
         self.loop = loop
@@ -69,22 +69,22 @@
         self._capsys = capsys
 
     def run(self, *words, token="admin", lose=0):
-        """Runs a command; returns exit code, output and notes."""
+        """Runs a command; returns exit code, standard output and error."""
         self.fake = FakeApi(self.loop, self.api, token)
         self.fake.lose = lose
         self._monkeypatch.setattr(
-            _api, "Api", lambda at, shown, authority: self.fake
+            _api, "Api", lambda address, token, ca_file: self.fake
         )
         code = 0
         try:
             fire.Fire(cli.Commands, command=[*words], name="mimosactl")
-        except SystemExit as ended:
-            code = ended.code
-        said = self._capsys.readouterr()
-        return code, said.out, said.err
+        except SystemExit as exited:
+            code = exited.code
+        output = self._capsys.readouterr()
+        return code, output.out, output.err
 
     def current(self):
-        """Returns the version in force."""
+        """Returns the configuration version in force."""
         kernel = self.api.world.daemons["e0"]
         return kernel.find("configuration").current
 
@@ -99,15 +99,15 @@
         time, "sleep", lambda s: loop.run_until_complete(asyncio.sleep(s))
     )
     yield Console(loop, api, monkeypatch, capsys)
-    left = asyncio.all_tasks(loop)
-    for task in left:
+    tasks = asyncio.all_tasks(loop)
+    for task in tasks:
         task.cancel()
-    loop.run_until_complete(asyncio.wait(left, timeout=1.0))
+    loop.run_until_complete(asyncio.wait(tasks, timeout=1.0))
     loop.close()
 
 
-class TestDailyTasks:
-    """What operators do every day, each as one command."""
+class TestCommonTasks:
+    """Common tasks of operators, each a single command."""
 
     @pytest.mark.parametrize(
         ("words", "check"),
@@ -146,8 +146,8 @@
             ),
         ],
     )
-    def test_short_hands_submit_a_patch(self, console, words, check):
-        """Shown first, accepted, waited for."""
+    def test_commands_submit_a_patch(self, console, words, check):
+        """The patch is shown, accepted and in force on all VMs."""
         code, out, err = console.run(*words, "--reason=why", "--yes", "--wait")
         assert code == 0, err
         assert "accepted as number 2" in out
@@ -174,8 +174,8 @@
             ["audit"],
         ],
     )
-    def test_views_for_people_and_programs(self, console, words):
-        """With --json every view is JSON."""
+    def test_views_as_tables_and_json(self, console, words):
+        """With --json the output of every view is valid JSON."""
         code, out, err = console.run(*words)
         assert (code, err) == (0, "")
         assert out
@@ -184,7 +184,7 @@
         json.loads(out)
 
     def test_history_and_revert(self, console):
-        """Who changed it, and back again by a new patch."""
+        """Blame names the author; revert submits a new patch."""
         console.run("limit", "set", "m", "--rate=3", "--reason=r", "--yes")
         code, out, _ = console.run("config", "blame", "/members/m/rate")
         assert "admin" in out
@@ -195,7 +195,7 @@
         assert console.current().change.reason == "Reverts number 2."
 
     def test_whole_document_from_a_file(self, console, tmp_path):
-        """Only what differs is submitted."""
+        """Only the differences are submitted."""
         _, out, _ = console.run("config", "show")
         document = json.loads(out)["document"]
         document["services"]["desk"]["slots"] = 9
@@ -212,7 +212,7 @@
 
 
 class TestExitCodes:
-    """Programs tell failures by their exit codes."""
+    """Each kind of failure has its own exit code for programs."""
 
     @pytest.mark.parametrize(
         ("words", "token", "code"),
@@ -249,20 +249,20 @@
             (
                 ["config", "settle", "1", "patch-0001"],
                 "admin",
-                _session.EXIT_UNSURE,
+                _session.EXIT_OUTCOME_UNKNOWN,
             ),
             (["config", "apply", "/nothing", "r"], "admin", 2),
         ],
     )
     def test_code(self, console, words, token, code):
-        """Nothing is changed by any of these."""
+        """None of these commands changes the configuration."""
         got, _, err = console.run(*words, token=token)
         assert got == code, err
         assert err.startswith(("mimosactl: ", "patch "))
         assert console.current().number == 1
 
     def test_dry_run_changes_nothing(self, console):
-        """The patch is shown and checked."""
+        """The patch is shown and checked but not submitted."""
         words = ("limit", "set", "m", "--rate=3", "--reason=r", "--dry_run")
         code, _, err = console.run(*words)
         assert code == 0
@@ -270,15 +270,15 @@
         assert console.current().number == 1
 
 
-class TestRace:
-    """Somebody else's patch comes between reading and submitting.
+class TestConflict:
+    """Another patch is accepted between the read and the submission.
 
-    The operator sees what was changed meanwhile and by whom, and nothing of
-    the own patch is in force.
+    The command must report the intervening changes and their authors, and must
+    not apply any part of its own patch.
     """
 
     def test_conflict_shows_author_and_paths(self, console):
-        """Exit code 4 and one line for each change."""
+        """The exit code is 4 and one line describes each change."""
         console.run(
             "limit", "set", "m", "--rate=3", "--reason=mine", "--yes",
             token="team",
@@ -291,48 +291,48 @@
         assert "/members/m/rate" in err
 
 
-class TestLostAnswer:
-    """The connection breaks after the patch has been taken.
+class TestLostResponse:
+    """The connection breaks after the daemon accepted the patch.
 
-    The command asks again with the same identifier: the patch is accepted
-    once, and the operator hears its number.
+    The command retries with the same identifier. The patch must be accepted
+    only once, and its number must be reported.
     """
 
-    def test_asked_again(self, console):
-        """One number for one patch."""
+    def test_retry_is_idempotent(self, console):
+        """The retried patch creates a single configuration number."""
         words = ("limit", "set", "m", "--rate=3", "--reason=r", "--yes")
         code, out, err = console.run(*words, lose=2)
         assert code == 0, err
         assert "accepted as number 2" in out
         assert console.current().number == 2
 
-    def test_open_outcome_can_be_settled_later(self, console):
-        """The exit code says that the outcome is open, the line how to ask."""
+    def test_unknown_outcome_can_be_settled_later(self, console):
+        """The error message contains the command that shows the outcome."""
         words = ("limit", "set", "m", "--rate=3", "--reason=r", "--yes")
         code, _, err = console.run(*words, lose=9)
-        assert code == _session.EXIT_UNSURE
+        assert code == _session.EXIT_OUTCOME_UNKNOWN
         settle = err.split("mimosactl config settle ")[1].split()
         code, out, err = console.run("config", "settle", *settle)
         assert (code, out) == (0, "accepted as number 2\n")
 
 
 class TestToken:
-    """Where the operator's token comes from."""
+    """Sources of the operator's token."""
 
-    def test_file_goes_before_environment(self, tmp_path):
-        """Neither is ever a word of the command line."""
+    def test_file_has_precedence_over_environment(self, tmp_path):
+        """The file has precedence; the command line is not a source."""
         file = tmp_path / "token"
         file.write_text("from-file\n")
-        given = {_api.TOKEN_VARIABLE: "from-environment"}
-        named = given | {_api.TOKEN_FILE_VARIABLE: str(file)}
-        assert _api.find_token(given, "").unwrap() == "from-environment"
+        environment = {_api.TOKEN_VARIABLE: "from-environment"}
+        named = environment | {_api.TOKEN_FILE_VARIABLE: str(file)}
+        assert _api.find_token(environment, "").unwrap() == "from-environment"
         assert _api.find_token(named, "").unwrap() == "from-file"
-        assert _api.find_token(given, str(file)).unwrap() == "from-file"
-        assert _api.find_token(given, str(tmp_path / "none")).is_err()
+        assert _api.find_token(environment, str(file)).unwrap() == "from-file"
+        assert _api.find_token(environment, str(tmp_path / "none")).is_err()
         assert _api.find_token({}, "").unwrap() == ""
 
     def test_member_token_is_submitted_as_a_digest(self, console, tmp_path):
-        """The token itself is in no patch and no output."""
+        """Neither the patch nor the output contains the token itself."""
         file = tmp_path / "token"
         file.write_text("secret-of-p\n")
         code, out, err = console.run(
@@ -345,14 +345,14 @@
         assert isinstance(console.current(), config.Version)
 
 
-class TestReaderThatLeaves:
-    """Output goes through `head`, which has seen enough after some lines.
+class TestClosedPipe:
+    """Standard output is a pipe to `head`, which closes it early.
 
-    The operator used to get a traceback behind the lines.
+    This used to print a traceback after the output.
     """
 
-    def test_ends_without_a_word(self, monkeypatch):
-        """As other tools do."""
+    def test_ends_without_traceback(self, monkeypatch):
+        """A closed pipe ends the command without an error message."""
 
         def broken(*args, **kwargs):
             raise BrokenPipeError
@@ -360,6 +360,6 @@
         monkeypatch.setattr(sys, "stdout", sys.stdout)
         monkeypatch.setattr(fire, "Fire", broken)
         cli.main()
-        sys.stdout.write("nothing of this reaches anybody")
+        sys.stdout.write("discarded")
         assert sys.stdout.name == os.devnull
         sys.stdout.close()
--- a/tests/ctl/test_trace.py
+++ b/tests/ctl/test_trace.py
@@ -1,4 +1,4 @@
-"""The story of a request, told from logs alone."""
+"""Tests of tracing a request through the logs of several VMs."""
 
 import json
 
@@ -41,19 +41,19 @@
 ]
 
 
-class TestStory:
-    """What belongs to a request, and what does not."""
+class TestSelect:
+    """Selection of the log lines relevant to a request."""
 
-    def test_in_order(self):
-        """A letter ended with 502; its target was leaving.
+    def test_sorted_by_time(self):
+        """A request failed with 502 because its target was leaving.
 
-        Whoever reads finds the send, the target's state, who held the key and
-        that the store was away, in order of time.
+        The trace shows the failed send, the state of the target, the owner of
+        the key and the lost store connection, sorted by time.
         """
-        lines, unreadable = _trace.read(LOGS)
-        told = _trace.story(lines, "a1")
+        lines, unreadable = _trace.parse(LOGS)
+        selected = _trace.select(lines, "a1")
         assert unreadable == 0
-        assert [(line.vm, line.event) for line in told] == [
+        assert [(line.vm, line.event) for line in selected] == [
             ("vm-1", "target_leaving"),
             ("vm-3", "granted"),
             ("vm-3", "moves"),
@@ -62,14 +62,14 @@
             ("vm-1", "refused"),
         ]
 
-    def test_unknown(self):
-        """An attempt that no line names has no story."""
-        lines, _ = _trace.read(LOGS)
-        assert _trace.story(lines, "a9") == []
+    def test_unknown_attempt(self):
+        """The trace of an unknown attempt is empty."""
+        lines, _ = _trace.parse(LOGS)
+        assert _trace.select(lines, "a9") == []
 
 
-class TestRead:
-    """Logs as they come from collectors."""
+class TestParse:
+    """Parsing of logs with prefixes added by collectors."""
 
     @pytest.mark.parametrize(
         ("text", "found", "unreadable"),
@@ -85,16 +85,16 @@
         ],
     )
     def test_lines(self, text, found, unreadable):
-        """What is no log line is counted, and ends nothing."""
-        lines, left_out = _trace.read([text])
-        assert (len(lines), left_out) == (found, unreadable)
+        """Malformed lines are counted and do not stop the parser."""
+        lines, skipped = _trace.parse([text])
+        assert (len(lines), skipped) == (found, unreadable)
 
 
 class TestCommand:
     """`mimosactl trace`."""
 
     def test_prints(self, tmp_path, capsys):
-        """Files of several VMs make one table."""
+        """The log files of several VMs are merged into one table."""
         files = []
         for name in ("vm-1", "vm-3"):
             path = tmp_path / f"{name}.log"
@@ -110,8 +110,8 @@
         ("attempt", "file", "code"), [("a9", "there", 5), ("a1", "absent", 1)]
     )
     def test_nothing_found(self, tmp_path, attempt, file, code):
-        """An unknown attempt and an absent file have codes of their own."""
+        """An unknown attempt and a missing file have distinct exit codes."""
         (tmp_path / "there").write_text(LOGS[0], encoding="utf-8")
-        with pytest.raises(SystemExit) as ended:
+        with pytest.raises(SystemExit) as exited:
             cli.Commands().trace(attempt, str(tmp_path / file))
-        assert ended.value.code == code
+        assert exited.value.code == code
