--- a/packages/mimosastile-entry/src/mimosastile_entry/_admission.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_admission.py
@@ -102,7 +102,9 @@
         """Heeds a target's refusal because of overload."""
         self._queues[target].shed(self._clock.now())
 
-    def leaver(self, target: str, ticket: queueing.Ticket) -> ports.Closer:
+    def leaver(
+        self, target: str, ticket: queueing.Ticket
+    ) -> ports.CloseCallback:
         """Returns `leave` as something to do when an answer is closed."""
 
         async def close() -> None:
--- a/packages/mimosastile-entry/src/mimosastile_entry/_asgi.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_asgi.py
@@ -120,7 +120,7 @@
                 await upload.linger(closing=self._stopping)
             if not ended:
                 await send({"type": "http.response.body", "body": b""})
-        except (ports.BrokenAnswerError, TimeoutError, RuntimeError) as error:
+        except (ports.BrokenResponseError, TimeoutError, RuntimeError) as error:
             # Returning without the last chunk makes the server cut the
             # connection, so the caller sees a broken answer, never a short
             # one.
--- a/packages/mimosastile-entry/src/mimosastile_entry/_exchange.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_exchange.py
@@ -207,4 +207,4 @@
     except (aiohttp.ClientError, TimeoutError, OSError) as error:
         if isinstance(error, TimeoutError):
             pool.connector.suspect()
-        raise ports.BrokenAnswerError(str(error)) from error
+        raise ports.BrokenResponseError(str(error)) from error
--- a/packages/mimosastile-entry/src/mimosastile_entry/_limits.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_limits.py
@@ -130,7 +130,7 @@
         if allowance is not None and allowance.in_use:
             allowance.release()
 
-    def leaver(self, name: str) -> ports.Closer:
+    def leaver(self, name: str) -> ports.CloseCallback:
         """Returns `leave` as something to do when an answer is closed."""
 
         async def close() -> None:
--- a/packages/mimosastile-entry/src/mimosastile_entry/_router.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_router.py
@@ -297,7 +297,7 @@
             await self._state.learn_from(peer)
         return sent
 
-    def _ender(self, call: _calls.Call, hop: _calls.Hop) -> ports.Closer:
+    def _ender(self, call: _calls.Call, hop: _calls.Hop) -> ports.CloseCallback:
         async def close() -> None:
             self._targeting.end(call, hop)
 
--- a/packages/mimosastile-entry/src/mimosastile_entry/cli.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/cli.py
@@ -1,4 +1,4 @@
-"""Command line of the daemon: `mimosastile run | check | version`."""
+"""Command-line entry point of the daemon: `mimosastile run|check|version`."""
 
 import asyncio
 import importlib.metadata
@@ -14,7 +14,7 @@
 from mimosastile_entry import settings
 
 EXIT_BAD_SETTINGS = 2
-"""Exit code for a mistake in the settings."""
+"""Exit code for invalid settings or an invalid configuration document."""
 
 _DOCUMENT_SUFFIX = ".json"
 
@@ -22,8 +22,8 @@
 class Commands:
     """The router daemon for an entry VM.
 
-    It brings each request to the one server that owns its key. Settings come
-    from a TOML file; what operators decide comes from the platform's store.
+    It routes each request to the one server that owns its key. Settings come
+    from a TOML file; the configuration comes from the platform's store.
     """
 
     def run(self, settings: str, log_format: str = _logs.TEXT) -> None:
@@ -31,14 +31,14 @@
 
         Args:
             settings: Path of the TOML settings file.
-            log_format: "text" for people, "json" for machines.
+            log_format: "text" for operators, "json" for programs.
         """
         if log_format not in _logs.FORMATS:
             print(f"--log_format: one of {_logs.FORMATS}", file=sys.stderr)
             sys.exit(EXIT_BAD_SETTINGS)
-        configured = _load(settings)
-        _logs.configure(configured.log.level, log_format)
-        asyncio.run(daemon.run(configured))
+        loaded_settings = _load(settings)
+        _logs.configure(loaded_settings.log.level, log_format)
+        asyncio.run(daemon.run(loaded_settings))
 
     def check(self, file: str) -> None:
         """Checks a settings file or a configuration document.
@@ -52,8 +52,11 @@
             services, members = len(document.services), len(document.members)
             print(f"{file}: good, {services} services, {members} members")
             return
-        configured = _load(file)
-        print(f"{file}: good, VM {configured.vm.id} in {configured.vm.zone}")
+        loaded_settings = _load(file)
+        print(
+            f"{file}: good, VM {loaded_settings.vm.id}"
+            f" in {loaded_settings.vm.zone}"
+        )
 
     def version(self) -> None:
         """Prints the version."""
@@ -82,5 +85,5 @@
 
 
 def main() -> None:
-    """Entry point of the binary."""
+    """Runs the command line."""
     fire.Fire(Commands(), name="mimosastile")
--- a/packages/mimosastile-entry/src/mimosastile_entry/daemon.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/daemon.py
@@ -1,4 +1,4 @@
-"""Assembles a daemon from its services and runs it until it is told to stop."""
+"""Assembly of the daemon's services, signal handling and graceful shutdown."""
 
 import asyncio
 from collections.abc import Iterable
@@ -42,163 +42,177 @@
 from mimosastile_entry import settings
 
 _PREFIX = "daemon:"
-_COLLECT_AFTER = 20_000
-_YOUNG = 20
-_OLD = 50
-"""Thresholds of the garbage collector's generations."""
+_GENERATION_0_THRESHOLD = 20_000
+_GENERATION_1_THRESHOLD = 20
+_GENERATION_2_THRESHOLD = 50
+"""Thresholds of the three generations of the garbage collector."""
 
 
-def decisions(place: settings.VmSettings) -> list[kernel.Service]:
-    """Returns the services that decide; they know nothing of HTTP.
+def decision_services(vm: settings.VmSettings) -> list[kernel.Service]:
+    """Returns the services with the decision logic, independent of HTTP.
 
     Args:
-        place: Identifier, region and zone of the VM.
+        vm: Identifier, region and zone of the VM.
     """
     return [
-        _inbox.InboxService(place.id),
-        _fleet.FleetService(place.id),
-        _membership.MembershipService(place.id, place.zone),
-        _state.StateService(place.id),
-        _propagation.PropagationService(place.id, place.zone),
-        _digests.DigestService(place.id, place.zone),
-        _loads.LoadsService(place.id),
-        _keeper.KeeperService(place.id, place.zone),
-        _roles.RolesService(place.id),
-        _planner.PlannerService(place.id),
+        _inbox.InboxService(vm.id),
+        _fleet.FleetService(vm.id),
+        _membership.MembershipService(vm.id, vm.zone),
+        _state.StateService(vm.id),
+        _propagation.PropagationService(vm.id, vm.zone),
+        _digests.DigestService(vm.id, vm.zone),
+        _loads.LoadsService(vm.id),
+        _keeper.KeeperService(vm.id, vm.zone),
+        _roles.RolesService(vm.id),
+        _planner.PlannerService(vm.id),
         _archive.ArchiveService(),
-        _configuration.ConfigurationService(place.id),
-        _limits.LimitsService(place.id),
+        _configuration.ConfigurationService(vm.id),
+        _limits.LimitsService(vm.id),
         _metrics.MetricsService(),
-        _quarantine.QuarantineService(place.id),
-        _links.LinksService(place.id, place.region),
-        _router.RouterService(
-            place.id, balancing.Locality(place.region, place.zone)
-        ),
+        _quarantine.QuarantineService(vm.id),
+        _links.LinksService(vm.id, vm.region),
+        _router.RouterService(vm.id, balancing.Locality(vm.region, vm.zone)),
     ]
 
 
-def adapters(configured: settings.Settings) -> list[kernel.Service]:
-    """Returns the adapters that speak HTTP to everything outside."""
-    platform = configured.platform
-    known = configured.peers
+def adapters(daemon_settings: settings.Settings) -> list[kernel.Service]:
+    """Returns the services that adapt external systems over HTTP."""
+    platform = daemon_settings.platform
+    peer_settings = daemon_settings.peers
     signer = _auth.Signer(
-        configured.vm.id, known.keys, known.sign_with, known.window
+        daemon_settings.vm.id,
+        peer_settings.keys,
+        peer_settings.sign_with,
+        peer_settings.window,
     )
     return [
         _clock.LoopClock(),
-        _tls.TlsService(configured.tls),
-        _client.HttpClient(configured.connections),
+        _tls.TlsService(daemon_settings.tls),
+        _client.HttpClient(daemon_settings.connections),
         _platform_http.HttpStore(platform.store, platform.timeout),
         _platform_http.HttpFleet(platform.fleet, platform.timeout),
         _targets_http.HttpTargets(),
-        _access.AccessService(configured.admin.bootstrap),
-        _audit.AuditService(configured.vm.id, configured.vm.zone),
+        _access.AccessService(daemon_settings.admin.bootstrap),
+        _audit.AuditService(daemon_settings.vm.id, daemon_settings.vm.zone),
         _peers_http.HttpPeers(signer),
-        _listeners.ListenersService(configured, signer),
+        _listeners.ListenersService(daemon_settings, signer),
     ]
 
 
 def assemble(
-    configured: settings.Settings, replaced: Iterable[kernel.Service] = ()
+    daemon_settings: settings.Settings, replaced: Iterable[kernel.Service] = ()
 ) -> kernel.Kernel:
-    """Returns a kernel with all services of a daemon, not yet started.
+    """Returns a kernel with all services of a daemon, without starting it.
 
     Args:
-        configured: The daemon's settings.
-        replaced: Services that take the place of those of the same name.
+        daemon_settings: The daemon's settings.
+        replaced: Services that replace the default ones of the same name.
     """
-    made = kernel.Kernel()
+    daemon_kernel = kernel.Kernel()
     for service in (
-        *adapters(configured),
-        *decisions(configured.vm),
+        *adapters(daemon_settings),
+        *decision_services(daemon_settings.vm),
         *replaced,
     ):
-        made.register(service)
-    return made
+        daemon_kernel.register(service)
+    return daemon_kernel
 
 
 def clock(seed: int | None = None) -> ports.ClockPort:
-    """Returns the clock service; a seed makes it repeatable."""
+    """Returns the clock service; a seed makes its random values repeatable."""
     return _clock.LoopClock(seed)
 
 
 def tune_collector() -> None:
-    """Lets the garbage collector look less often, and not at what stays.
+    """Makes garbage collection rarer and excludes long-lived objects.
 
-    Requests leave no cycles, but each run of the collector walks through all
-    tables and pools; at many requests at once that is seen as a third of the
-    time that the daemon's own code takes.
+    Requests create no reference cycles, but each collection traverses all
+    tables and pools. With many concurrent requests that took a third of the
+    time spent in the daemon's own code.
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(_COLLECT_AFTER, _YOUNG, _OLD)
+    gc.set_threshold(
+        _GENERATION_0_THRESHOLD,
+        _GENERATION_1_THRESHOLD,
+        _GENERATION_2_THRESHOLD,
+    )
 
 
-async def stop_gracefully(made: kernel.Kernel) -> None:
-    """Stops a daemon so that callers notice nothing.
+async def stop_gracefully(daemon_kernel: kernel.Kernel) -> None:
+    """Stops a daemon without failing requests.
 
-    Health turns bad first and listening goes on while the balancer notices;
-    roles go to peers in that time. Then requests in flight end.
+    The health check fails first. The daemon keeps accepting connections until
+    the load balancer has reacted, and hands its roles over to peers meanwhile.
+    Then it waits for the requests in flight.
 
     Args:
-        made: The running daemon.
+        daemon_kernel: Kernel of the running daemon.
     """
-    listeners = _optional(made, "listeners")
-    roles = _optional(made, "roles")
-    waits = []
+    listeners = _find_optional(daemon_kernel, "listeners")
+    roles = _find_optional(daemon_kernel, "roles")
+    shutdown_steps = []
     if listeners is not None:
-        waits.append(listeners.give_notice())
+        shutdown_steps.append(listeners.give_notice())
     if roles is not None and hasattr(roles, "hand_over"):
-        waits.append(roles.hand_over())
-    for failed in await asyncio.gather(*waits, return_exceptions=True):
-        if isinstance(failed, Exception):
-            logging.error("%s stops all the same: %r.", _PREFIX, failed)
-    await made.stop()
+        shutdown_steps.append(roles.hand_over())
+    for outcome in await asyncio.gather(
+        *shutdown_steps, return_exceptions=True
+    ):
+        if isinstance(outcome, Exception):
+            logging.error("%s stops all the same: %r.", _PREFIX, outcome)
+    await daemon_kernel.stop()
 
 
-def _optional(made: kernel.Kernel, name: str) -> Any:
+def _find_optional(daemon_kernel: kernel.Kernel, name: str) -> Any:
     try:
-        return made.find(name)
+        return daemon_kernel.find(name)
     except kernel.MissingServiceError:
         return None
 
 
-async def run(configured: settings.Settings) -> None:
+async def run(daemon_settings: settings.Settings) -> None:
     """Runs a daemon until SIGTERM or SIGINT, then stops it gracefully.
 
-    A second signal ends the wait for requests in flight.
+    A second signal aborts the requests in flight. SIGUSR1 logs the state dump.
     """
-    made = assemble(configured)
+    daemon_kernel = assemble(daemon_settings)
     signals: asyncio.Queue[int] = asyncio.Queue()
     loop = asyncio.get_running_loop()
     numbers = (signal.SIGTERM, signal.SIGINT)
     for number in numbers:
         loop.add_signal_handler(number, signals.put_nowait, number)
-    loop.add_signal_handler(signal.SIGUSR1, log_dump, made)
+    loop.add_signal_handler(signal.SIGUSR1, log_dump, daemon_kernel)
     try:
-        await made.start()
+        await daemon_kernel.start()
         tune_collector()
-        logging.info("%s %s is up.", _PREFIX, configured.vm.id)
+        logging.info("%s VM %s: started.", _PREFIX, daemon_settings.vm.id)
         await signals.get()
-        logging.info("%s %s stops.", _PREFIX, configured.vm.id)
-        await _stop(made, signals)
+        logging.info("%s VM %s: shutting down.", _PREFIX, daemon_settings.vm.id)
+        await _stop_or_abort(daemon_kernel, signals)
     finally:
         for number in (*numbers, signal.SIGUSR1):
             loop.remove_signal_handler(number)
 
 
-def log_dump(made: kernel.Kernel) -> None:
-    """Writes the state dump to the log, for when no port answers."""
-    dump = msgspec.json.encode(made.dump()).decode()
+def log_dump(daemon_kernel: kernel.Kernel) -> None:
+    """Logs the state dump, for use when no port responds."""
+    dump = msgspec.json.encode(daemon_kernel.dump()).decode()
     logging.info("%s state: %s", _PREFIX, dump)
 
 
-async def _stop(made: kernel.Kernel, signals: asyncio.Queue[int]) -> None:
-    stopping = asyncio.create_task(stop_gracefully(made))
-    second = asyncio.create_task(signals.get())
-    await asyncio.wait((stopping, second), return_when=asyncio.FIRST_COMPLETED)
-    if not stopping.done():
-        logging.warning("%s second signal, waits no longer.", _PREFIX)
-        made.find("listeners").abort()
-    second.cancel()
-    await stopping
+async def _stop_or_abort(
+    daemon_kernel: kernel.Kernel, signals: asyncio.Queue[int]
+) -> None:
+    stop_task = asyncio.create_task(stop_gracefully(daemon_kernel))
+    second_signal = asyncio.create_task(signals.get())
+    await asyncio.wait(
+        (stop_task, second_signal), return_when=asyncio.FIRST_COMPLETED
+    )
+    if not stop_task.done():
+        logging.warning(
+            "%s second signal; aborting requests in flight.", _PREFIX
+        )
+        daemon_kernel.find("listeners").abort()
+    second_signal.cancel()
+    await stop_task
--- a/packages/mimosastile-entry/src/mimosastile_entry/kernel.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/kernel.py
@@ -1,4 +1,4 @@
-"""The micro-kernel: services that find each other by name."""
+"""Service registry with dependency-ordered start and stop."""
 
 from collections.abc import Iterator
 import graphlib
@@ -11,32 +11,32 @@
 
 
 class Service(Protocol):
-    """A part of the daemon.
+    """Component of the daemon with a life cycle.
 
     Attributes:
-        name: The name under which others find it.
-        needs: Names of services that must run before it starts.
+        name: Name under which the service is registered.
+        needs: Names of services that must be started before it.
     """
 
     name: str
     needs: tuple[str, ...]
 
     async def start(self, kernel: "Kernel") -> None:
-        """Starts the service; all its needs have started."""
+        """Starts the service after all services that it needs."""
 
     async def stop(self) -> None:
-        """Stops the service; everything that needs it has stopped."""
+        """Stops the service after all services that need it."""
 
     def dump(self) -> dict[str, Any]:
-        """Returns its part of the state dump, free of secrets."""
+        """Returns the service's part of the state dump, without secrets."""
 
 
 class Passive:
-    """Base of services that have nothing to start or stop.
+    """Base class of services without start or stop actions.
 
     Attributes:
-        name: The name under which others find it.
-        needs: Names of services that must run before it starts.
+        name: Name under which the service is registered.
+        needs: Names of services that must be started before it.
     """
 
     __slots__ = ("name", "needs")
@@ -52,18 +52,18 @@
         """Does nothing."""
 
     def dump(self) -> dict[str, Any]:
-        """Has no state of its own."""
+        """Returns no state."""
         return {}
 
 
 class MissingServiceError(LookupError):
-    """A service was asked for, or needed, that is not registered."""
+    """A requested or needed service is not registered."""
 
 
 class Kernel:
     """Registry and life cycle of the services of one daemon.
 
-    A test or a foreign bench replaces a service by registering another one
+    Tests and external benchmarks replace a service by registering another one
     under the same name before `start`.
     """
 
@@ -89,13 +89,13 @@
             raise MissingServiceError(f"no service named {name!r}") from None
 
     async def start(self) -> None:
-        """Starts all services, each after its needs.
+        """Starts all services, each after the services that it needs.
 
         Raises:
             MissingServiceError: A service needs one that is not registered.
-            graphlib.CycleError: Services need each other in a circle.
+            graphlib.CycleError: The needs of the services form a cycle.
         """
-        for service in self._in_order():
+        for service in self._in_dependency_order():
             await service.start(self)
             self._started.append(service)
             logging.info("%s started %s.", _PREFIX, service.name)
@@ -103,8 +103,8 @@
     async def stop(self) -> None:
         """Stops the started services in reverse order.
 
-        One that fails to stop is logged and does not keep the others from
-        stopping.
+        If a service fails to stop, the error is logged and the remaining
+        services are stopped nevertheless.
         """
         while self._started:
             service = self._started.pop()
@@ -117,7 +117,7 @@
         """Returns the state of all started services by name."""
         return {service.name: service.dump() for service in self._started}
 
-    def _in_order(self) -> Iterator[Service]:
+    def _in_dependency_order(self) -> Iterator[Service]:
         graph = {s.name: s.needs for s in self._services.values()}
         for name in graphlib.TopologicalSorter(graph).static_order():
             yield self.find(name)
--- a/packages/mimosastile-entry/src/mimosastile_entry/pages.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/pages.py
@@ -1,6 +1,7 @@
-"""Writes the pages that are made from the code: `python -m …pages DIRECTORY`.
+"""Generator of the reference pages: `python -m …pages DIRECTORY`.
 
-They are committed, so that reading them needs no tool; a test compares them.
+The generated pages are committed, so reading them needs no tool. A test checks
+that they are up to date.
 """
 
 import pathlib
@@ -13,7 +14,7 @@
 
 
 def pages() -> dict[str, str]:
-    """Returns the text of each page by its file name."""
+    """Returns the content of each page by file name."""
     return {
         "CONFIGURATION.md": reference.page(),
         "configuration.schema.json": _json(reference.schema()),
@@ -25,15 +26,15 @@
     """Writes all pages.
 
     Args:
-        directory: Where to.
+        directory: Path of the output directory.
     """
     for name, text in pages().items():
         (pathlib.Path(directory) / name).write_text(text, encoding="utf-8")
 
 
 def _json(value: object) -> str:
-    ordered = msgspec.json.encode(value, order="deterministic")
-    return msgspec.json.format(ordered, indent=1).decode() + "\n"
+    encoded = msgspec.json.encode(value, order="deterministic")
+    return msgspec.json.format(encoded, indent=1).decode() + "\n"
 
 
 if __name__ == "__main__":
--- a/packages/mimosastile-entry/src/mimosastile_entry/ports.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/ports.py
@@ -1,8 +1,8 @@
-"""Ports: the narrow interfaces to everything outside the daemon.
+"""Ports: interfaces between the daemon and external systems.
 
-Each has an adapter for the real thing and one in memory. The wire formats of
-the users' own platform are not known yet; replacing an adapter, by registering
-another service under the same name, is all that meeting them takes.
+Each port has an adapter for the real system and one in memory. The wire formats
+of the users' own platform are not known yet. To support them, it suffices to
+replace an adapter by registering another service under the same name.
 """
 
 from collections.abc import AsyncIterator
@@ -21,16 +21,17 @@
 from mimosastile_core import messages
 from mimosastile_entry import kernel
 
-Closer = Callable[[], Awaitable[None]]
+CloseCallback = Callable[[], Awaitable[None]]
 
 
 class Entry(msgspec.Struct, frozen=True):
-    """A value in the store.
+    """A key-value entry of the store.
 
     Attributes:
-        key: Its key.
-        value: Its bytes, under a megabyte.
-        revision: Rises with every change anywhere in the store.
+        key: Key of the entry.
+        value: Value of the entry, less than one megabyte.
+        revision: Store-wide revision of the last change; increases with every
+            change of any key.
     """
 
     key: str
@@ -39,17 +40,21 @@
 
 
 class Conflict(msgspec.Struct, frozen=True):
-    """A compare-and-swap found another revision than expected."""
+    """A compare-and-swap failed because the revision differs.
+
+    Attributes:
+        current: The current entry, None if the key does not exist.
+    """
 
     current: Entry | None
 
 
 class WatchBatch(msgspec.Struct, frozen=True):
-    """What a watch brought.
+    """Changes returned by a watch or a list call.
 
     Attributes:
-        entries: Changed entries, newest state of each.
-        revision: Where the next watch continues.
+        entries: Latest state of each changed entry.
+        revision: Revision at which the next watch continues.
     """
 
     entries: tuple[Entry, ...]
@@ -59,19 +64,19 @@
 class StorePort(kernel.Service, Protocol):
     """The platform's key-value service.
 
-    Failures are `STORE_UNAVAILABLE` (nothing happened) and `STORE_UNKNOWN`
-    (the answer was lost, a write may have taken effect).
+    Failures are `STORE_UNAVAILABLE` (the call had no effect) and
+    `STORE_UNKNOWN` (the response was lost, a write may have taken effect).
     """
 
     async def get(
         self, key: str
     ) -> result.Result[Entry | None, errors.Failure]:
-        """Reads one key; None if it does not exist."""
+        """Reads an entry; None if the key does not exist."""
 
     async def list(
         self, prefix: str
     ) -> result.Result[WatchBatch, errors.Failure]:
-        """Reads all keys with a prefix."""
+        """Reads all entries whose keys have a prefix."""
 
     async def compare_and_swap(
         self, key: str, value: bytes, revision: int
@@ -84,7 +89,7 @@
             revision: Expected revision, 0 for a key that must not exist.
 
         Returns:
-            The new revision, or why the write did not happen.
+            The new revision, a conflict if the revision differs, or a failure.
         """
 
     async def watch(
@@ -94,37 +99,38 @@
 
         Args:
             prefix: Prefix of the keys.
-            revision: Where to continue.
-            wait: Longest wait in seconds; an empty batch after that.
+            revision: Revision after which changes are returned.
+            wait: Time-out in seconds, after which an empty batch is returned.
         """
 
 
 class FleetPort(kernel.Service, Protocol):
-    """The platform's lagging list of VMs."""
+    """The platform's list of VMs, which lags behind their actual state."""
 
     async def vms(
         self,
     ) -> result.Result[tuple[fleet.Vm, ...], errors.Failure]:
-        """Reads the list."""
+        """Reads the list of VMs."""
 
 
 class Request:
-    """One request on its way through this VM.
+    """A request being processed by this VM.
 
     Attributes:
         method: HTTP method.
         path: Path as received, percent-encoded.
         query: Query string without the question mark.
         headers: End-to-end headers, names in lower case.
-        body: The whole body if it was small enough to hold.
-        stream: The rest of the body, None if `body` is all.
-        request_id: Identifier for logs on all VMs.
-        member: The calling member.
-        deadline: Loop time at which the caller gives up.
-        forwarded: Whether a peer sent it; it is not forwarded again.
-        target: Target that the forwarding peer chose, empty for none.
-        priority: Class, None until the router has found the route.
-        origin: Region of the forwarding peer.
+        body: The complete body if it is small enough to be buffered.
+        stream: The rest of the body, None if `body` is complete.
+        request_id: Identifier that correlates logs of all VMs.
+        member: Name of the member that sent the request.
+        deadline: Event loop time at which the caller gives up, in seconds.
+        forwarded: Whether a peer forwarded the request. It is not forwarded
+            again then.
+        target: Target that the forwarding peer selected, empty for none.
+        priority: Priority class, None until the router has selected a route.
+        origin: Region of the forwarding peer, empty if not forwarded.
     """
 
     __slots__ = (
@@ -174,50 +180,50 @@
 
 
 class Response:
-    """An answer being passed on.
+    """A response being proxied to the caller.
 
     Attributes:
         status: HTTP status.
         headers: End-to-end headers, names in lower case.
-        body: The chunks. Ends by raising `BrokenAnswerError` if the answer
-            broke off; whoever passes it on must then break off as well.
+        body: Chunks of the body. Raises `BrokenResponseError` if the response
+            was truncated. The consumer must then abort its own response.
     """
 
-    __slots__ = ("_closers", "body", "headers", "status")
+    __slots__ = ("_close_callbacks", "body", "headers", "status")
 
     def __init__(
         self,
         status: int,
         headers: tuple[tuple[str, str], ...],
         body: AsyncIterator[bytes],
-        close: Closer | None = None,
+        close: CloseCallback | None = None,
     ) -> None:
         self.status = status
         self.headers = headers
         self.body = body
-        self._closers = [close] if close else []
+        self._close_callbacks = [close] if close else []
 
-    def on_close(self, close: Closer) -> None:
-        """Adds something to do when the answer has been passed on."""
-        self._closers.append(close)
+    def on_close(self, close: CloseCallback) -> None:
+        """Registers a callback to await when the response is closed."""
+        self._close_callbacks.append(close)
 
     async def close(self) -> None:
-        """Ends the exchange, whether or not the body was read to its end."""
-        while self._closers:
-            await self._closers.pop()()
+        """Runs the callbacks, whether or not the body was read completely."""
+        while self._close_callbacks:
+            await self._close_callbacks.pop()()
 
 
-class BrokenAnswerError(Exception):
-    """An answer broke off after its head was passed on."""
+class BrokenResponseError(Exception):
+    """A response was truncated after its head had been sent on."""
 
 
 class TargetPort(kernel.Service, Protocol):
-    """Speaks to targets."""
+    """Client for targets."""
 
     async def grant(
         self, vm: fleet.Vm, grant: grants.Grant, timeout: float
     ) -> result.Result[grants.GrantReply, errors.Failure]:
-        """Sends a grant and waits for the reply, `timeout` seconds at most."""
+        """Sends a grant and returns the reply, with a time-out in seconds."""
 
     async def send(
         self,
@@ -225,39 +231,44 @@
         request: Request,
         fence: holder.RequestFence | None,
     ) -> result.Result[Response, errors.Failure]:
-        """Sends a request once.
+        """Sends a request once, without retries.
 
-        Failures say exactly what is known: `UNREACHABLE` only if no byte was
-        sent, `WRONG_FENCE` and `DRAINING` if the target said that the request
-        did not run, `ANSWER_LOST` for everything unsure.
+        The failure kind tells whether the request may have been executed:
+        `UNREACHABLE` only if no byte was sent, `WRONG_FENCE` and `DRAINING` if
+        the target reported that it did not execute the request, `ANSWER_LOST`
+        if the outcome is unknown.
         """
 
 
 class PeerPort(kernel.Service, Protocol):
-    """Speaks to other entry VMs."""
+    """Client for other entry VMs."""
 
     async def call(
         self, vm: fleet.Vm, message: messages.PeerMessage, timeout: float
     ) -> result.Result[messages.PeerMessage, errors.Failure]:
-        """Sends a message and returns the peer's reply."""
+        """Sends a message and returns the reply, with a time-out in seconds."""
 
     async def forward(
         self, vm: fleet.Vm, request: Request
     ) -> result.Result[Response, errors.Failure]:
-        """Passes a request to the keeper of its target."""
+        """Forwards a request to the keeper of its target.
+
+        The keeper is the entry VM through which alone a target gets requests
+        and grants.
+        """
 
 
 class ClockPort(kernel.Service, Protocol):
-    """Monotonic time and identifiers, replaced by a test."""
+    """Clock, identifiers and random numbers, replaceable in tests."""
 
     def now(self) -> float:
-        """Returns monotonic seconds."""
+        """Returns the monotonic time in seconds."""
 
     def wall(self) -> float:
-        """Returns seconds since 1970 UTC, for records alone; it may jump."""
+        """Returns Unix seconds, for records only, as the clock may jump."""
 
     def new_id(self) -> str:
-        """Returns an identifier that is never used again."""
+        """Returns a unique identifier."""
 
     def random(self) -> float:
-        """Returns a number from 0 to 1, for jitter alone."""
+        """Returns a random number from 0 to 1, for jitter only."""
--- a/packages/mimosastile-entry/src/mimosastile_entry/serving.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/serving.py
@@ -1,4 +1,4 @@
-"""HTTP servers on the one loop, without signals, workers or uvloop."""
+"""HTTP servers on the current event loop, without signals or workers."""
 
 import asyncio
 import socket
@@ -11,14 +11,14 @@
 from mimosastile_entry import _protocol
 
 _BACKLOG = 2048
-_POLL_SECONDS = 0.01
-_IDLE_SECONDS = 30
+_POLL_INTERVAL_SECONDS = 0.01
+_KEEP_ALIVE_SECONDS = 30
 
 
 class Listener:
-    """One application on one port."""
+    """HTTP server of one application on one port."""
 
-    __slots__ = ("_aborted", "_port", "_seconds", "_server", "_state")
+    __slots__ = ("_aborted", "_port", "_shutdown_seconds", "_server", "_state")
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         self._server = server
         self._state = state
         self._port = port
-        self._seconds = shutdown_seconds
+        self._shutdown_seconds = shutdown_seconds
         self._aborted = False
 
     @property
@@ -40,36 +40,40 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests that are being served."""
+        """Number of requests being served."""
         return len(self._state.tasks)
 
     def begin_stop(self) -> None:
-        """Accepts no more connections; requests in flight go on.
+        """Stops accepting connections; requests in flight continue.
 
-        Idle connections are closed, the others after their answer.
+        Idle connections are closed now, the others after their response.
         """
         self._server.close()
         for connection in list(self._state.connections):
             connection.shutdown()
 
     def abort(self) -> None:
-        """Ends a stop that waits for requests in flight."""
+        """Makes `stop` cancel the requests in flight without waiting."""
         self._aborted = True
 
     async def stop(self) -> None:
-        """Waits until the requests in flight have ended, within the bound."""
+        """Waits for the requests in flight, at most `shutdown_seconds`.
+
+        Requests that are still in flight then are cancelled.
+        """
         self.begin_stop()
         loop = asyncio.get_running_loop()
-        last = loop.time() + self._seconds
-        while self._is_busy() and loop.time() < last and not self._aborted:
-            await asyncio.sleep(_POLL_SECONDS)
-        # Whoever is left loses its answer, and must see that it does.
+        deadline = loop.time() + self._shutdown_seconds
+        while self._is_busy() and loop.time() < deadline and not self._aborted:
+            await asyncio.sleep(_POLL_INTERVAL_SECONDS)
+        # The remaining clients lose their response. Aborting the connection
+        # makes that visible to them.
         for connection in list(self._state.connections):
             connection.transport.abort()
-        left = tuple(self._state.tasks)
-        for task in left:
+        unfinished = tuple(self._state.tasks)
+        for task in unfinished:
             task.cancel()
-        await asyncio.gather(*left, return_exceptions=True)
+        await asyncio.gather(*unfinished, return_exceptions=True)
 
     def _is_busy(self) -> bool:
         return bool(self._state.connections or self._state.tasks)
@@ -85,17 +89,18 @@
     tls: ssl.SSLContext | None = None,
     stall_seconds: float = 30.0,
 ) -> Listener:
-    """Begins to serve an application.
+    """Starts serving an application.
 
     Args:
         app: The ASGI application.
-        host: IP number to listen on.
+        host: IP address to listen on.
         port: Port, 0 for any free one.
-        shutdown_seconds: Longest wait for requests in flight at a stop.
-        head_bytes: Longest head of a request.
-        head_seconds: Longest time for a head to arrive.
-        tls: TLS context, None to serve in the clear.
-        stall_seconds: Longest time in which a client reads nothing.
+        shutdown_seconds: Time-out for requests in flight at a stop.
+        head_bytes: Maximum size of a request head.
+        head_seconds: Time-out for receiving a request head.
+        tls: TLS context, None to serve plain HTTP.
+        stall_seconds: Longest time without progress while a client reads a
+            response.
 
     Returns:
         The listener, accepting connections.
@@ -114,39 +119,42 @@
         log_config=None,
         server_header=False,
         date_header=False,
-        # Nobody is believed about addresses, so none need be looked for.
+        # Client addresses in proxy headers are not trusted, so uvicorn need
+        # not parse them.
         proxy_headers=False,
-        timeout_keep_alive=_IDLE_SECONDS,
+        timeout_keep_alive=_KEEP_ALIVE_SECONDS,
     )
     config.load()
     state = uvicorn_server.ServerState()
     loop = asyncio.get_running_loop()
 
-    def connection() -> asyncio.Protocol:
-        made: asyncio.Protocol = config.http_protocol_class(  # type: ignore[call-arg]
+    def create_protocol() -> asyncio.Protocol:
+        protocol: asyncio.Protocol = config.http_protocol_class(  # type: ignore[call-arg]
             config=config, server_state=state, app_state={}, _loop=loop
         )
-        return made
+        return protocol
 
-    bound = _bind(host, port)
+    listening_socket = _bind(host, port)
     server = await loop.create_server(
-        connection,
-        sock=bound,
+        create_protocol,
+        sock=listening_socket,
         ssl=tls,
         backlog=_BACKLOG,
         ssl_handshake_timeout=head_seconds if tls else None,
     )
-    return Listener(server, state, bound.getsockname()[1], shutdown_seconds)
+    return Listener(
+        server, state, listening_socket.getsockname()[1], shutdown_seconds
+    )
 
 
 def _bind(host: str, port: int) -> socket.socket:
-    # With the protocol left at 0, asyncio does not set TCP_NODELAY on accepted
-    # connections; head and body of an answer then wait for each other's
-    # acknowledgement, seen as 40 ms on every request.
-    bound = socket.socket(
+    # If the protocol number is 0, asyncio does not set TCP_NODELAY on accepted
+    # connections. Head and body of a response then wait for each other's
+    # acknowledgement, which added 40 ms to every request.
+    listening_socket = socket.socket(
         socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP
     )
-    bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    bound.bind((host, port))
-    bound.setblocking(False)
-    return bound
+    listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    listening_socket.bind((host, port))
+    listening_socket.setblocking(False)
+    return listening_socket
--- a/packages/mimosastile-entry/src/mimosastile_entry/settings.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one daemon, read from a TOML file and checked."""
+"""Settings of a daemon: TOML file format, parser and validation."""
 
 import ipaddress
 import pathlib
@@ -11,22 +11,22 @@
 Port = Annotated[int, msgspec.Meta(ge=0, le=65535)]
 
 
-_SECRET = "peers.keys"
-"""Values under this path are never shown."""
+_SECRET_PATH = "peers.keys"
+"""Values under this path are omitted from error messages."""
 
 
 class _Strict(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Base of all settings: unknown keys are mistakes."""
+    """Base class of all settings; rejects unknown keys."""
 
 
 class VmSettings(_Strict, frozen=True):
-    """Who this VM is.
+    """Identity, location and ports of this VM.
 
     Attributes:
-        id: Identifier as the platform lists it.
+        id: Identifier of the VM in the platform's list of VMs.
         region: Region of the availability zone.
         zone: Availability zone.
-        host: IP number to listen on.
+        host: IP address to listen on.
         port: Port for callers, 0 for any free one.
         peer_port: Port for peers and operators, 0 for any free one.
     """
@@ -40,12 +40,12 @@
 
 
 class PlatformSettings(_Strict, frozen=True):
-    """Where the platform is.
+    """Addresses of the platform's services.
 
     Attributes:
-        store: Base address of the key-value service.
-        fleet: Base address of the list of VMs.
-        timeout: Seconds to wait for one call.
+        store: Base URL of the key-value service.
+        fleet: Base URL of the list of VMs.
+        timeout: Time-out of a call in seconds.
     """
 
     store: Annotated[str, msgspec.Meta(pattern=r"^https?://")]
@@ -54,10 +54,10 @@
 
 
 class LogSettings(_Strict, frozen=True):
-    """How the daemon logs.
+    """Log output of the daemon.
 
     Attributes:
-        level: Least severe level that is written.
+        level: Minimum severity of messages that are logged.
     """
 
     level: Annotated[
@@ -66,20 +66,24 @@
 
 
 class LimitSettings(_Strict, frozen=True):
-    """Bounds on what one caller may send.
+    """Limits on requests, and time-outs of a graceful stop.
+
+    Sizes are in bytes and times in seconds.
 
     Attributes:
-        body_bytes: Largest body.
-        replay_bytes: Largest body that is held to be sent again.
-        header_bytes: Largest sum of header names and values.
-        url_bytes: Longest path with query.
-        head_seconds: Longest time for a request's head to arrive.
-        stall_seconds: Longest time without any progress of a body, from or
-            to a caller.
-        notice_seconds: How long a stopping daemon goes on listening with a
-            bad health answer, so that the balancer looks away.
-        shutdown_seconds: Longest wait for work in flight at a stop, after
-            the notice.
+        body_bytes: Maximum size of a request body.
+        replay_bytes: Maximum size of a request body that is buffered for
+            retries.
+        header_bytes: Maximum total size of header names and values.
+        url_bytes: Maximum length of path and query.
+        head_seconds: Time-out for receiving the head of a request.
+        stall_seconds: Longest time without progress while a body is received
+            from or sent to a caller.
+        notice_seconds: How long a stopping daemon keeps accepting connections
+            while its health check fails, so that the load balancer stops
+            sending requests to it.
+        shutdown_seconds: Time-out for requests in flight at a stop, counted
+            from the end of `notice_seconds`.
     """
 
     body_bytes: Annotated[int, msgspec.Meta(ge=1)] = 64 << 20
@@ -93,10 +97,10 @@
 
 
 class AdminSettings(_Strict, frozen=True):
-    """The administration API.
+    """Access to the administration API.
 
     Attributes:
-        bootstrap: SHA-256 digest, in hex, of a token that may do everything
+        bootstrap: SHA-256 digest, in hex, of a token with all permissions
             while the configuration declares no operators; empty for none.
     """
 
@@ -104,15 +108,16 @@
 
 
 class ConnectionSettings(_Strict, frozen=True):
-    """How connections to targets and peers are kept, in seconds.
+    """Time limits of connections to targets and peers, in seconds.
 
     Attributes:
-        connect: Longest wait for a connection, one of the pool or a new one.
-        first_byte: Silence before an answer begins after which a target's
-            connection is taken for lost.
-        between_bytes: Silence within an answer after which it is broken off.
-        idle: Longest idle time after which a connection is used again.
-        max_age: Age from which a connection is not used again.
+        connect: Time-out for obtaining a connection, pooled or new.
+        first_byte: Time without data before the start of a response after which
+            the connection to a target counts as lost.
+        between_bytes: Time without data within a response after which the
+            response is aborted.
+        idle: Longest idle time after which a connection is reused.
+        max_age: Age from which a connection is no longer reused.
     """
 
     connect: Annotated[float, msgspec.Meta(gt=0)] = 1.0
@@ -127,13 +132,14 @@
 
 
 class PeerSettings(_Strict, frozen=True):
-    """How entry VMs know each other.
+    """Authentication between entry VMs.
 
     Attributes:
-        keys: Shared secrets by key identifier; without any, peers are not
-            authenticated. While keys are rotated there are two.
-        sign_with: Identifier of the key that this VM signs with.
-        window: Seconds that a message may be old, or two clocks may differ.
+        keys: Shared secrets by key identifier. Without any, peers are not
+            authenticated. During a key rotation there are two.
+        sign_with: Identifier of the key with which this VM signs messages.
+        window: Maximum age of a message and maximum difference between the
+            clocks of two VMs, in seconds.
     """
 
     keys: dict[KeyName, Secret] = {}
@@ -141,18 +147,18 @@
     window: Annotated[float, msgspec.Meta(gt=0)] = 10.0
 
     def __repr__(self) -> str:
-        """Names the keys without their secrets."""
+        """Returns the key identifiers without the secrets."""
         return f"PeerSettings(keys={sorted(self.keys)})"
 
 
 class TlsSettings(_Strict, frozen=True):
-    """Files of one side, in PEM.
+    """Certificate files of one listener, in PEM format.
 
     Attributes:
         certificate: Path of the certificate chain.
-        key: Path of its key.
-        authority: Path of the authority that peers' certificates are checked
-            by; needed on the peers' side only.
+        key: Path of the private key.
+        authority: Path of the CA certificate that verifies the certificates of
+            peers; required for peers only.
     """
 
     certificate: Annotated[str, msgspec.Meta(min_length=1)]
@@ -161,12 +167,13 @@
 
 
 class TlsSection(_Strict, frozen=True):
-    """Which sides use TLS; those that are left out serve in the clear.
+    """TLS of the listeners; without a section a listener serves plain HTTP.
 
     Attributes:
-        callers: The callers' side.
-        peers: The side of peers and operators; needs an authority.
-        reload_seconds: How often the files are looked at for changes.
+        callers: Certificate files of the listener for callers.
+        peers: Certificate files of the listener for peers and operators;
+            requires `authority`.
+        reload_seconds: Interval at which the files are checked for changes.
     """
 
     callers: TlsSettings | None = None
@@ -188,14 +195,14 @@
 
 
 def load(path: pathlib.Path) -> result.Result[Settings, str]:
-    """Reads and checks a settings file.
+    """Reads and validates a settings file.
 
     Args:
         path: The TOML file.
 
     Returns:
-        The settings, or one line that names file, key, value and what was
-        expected.
+        The settings, or a one-line error message with the file, the key, its
+        value and the expected value.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -208,19 +215,19 @@
     try:
         settings = msgspec.convert(raw, Settings)
     except msgspec.ValidationError as error:
-        return result.Err(f"{path}: {_with_value(str(error), raw)}")
-    problem = _problem(settings)
-    if problem:
-        return result.Err(f"{path}: {problem}")
+        return result.Err(f"{path}: {_format_error(str(error), raw)}")
+    message = _find_error(settings)
+    if message:
+        return result.Err(f"{path}: {message}")
     return result.Ok(settings)
 
 
-def _problem(settings: Settings) -> str:
-    """Returns what is wrong across keys, empty if nothing is."""
+def _find_error(settings: Settings) -> str:
+    """Checks rules beyond types; returns the first error or an empty text."""
     peers = settings.peers
     if peers.keys and peers.sign_with not in peers.keys:
-        known = ", ".join(sorted(peers.keys))
-        return f"peers.sign_with = {peers.sign_with!r}: expected one of {known}"
+        names = ", ".join(sorted(peers.keys))
+        return f"peers.sign_with = {peers.sign_with!r}: expected one of {names}"
     if settings.tls.peers and not settings.tls.peers.authority:
         return "tls.peers.authority = '': expected the path of a file"
     try:
@@ -230,15 +237,15 @@
     return ""
 
 
-def _with_value(message: str, raw: object) -> str:
-    """Turns the library's message into "key = value: expectation"."""
+def _format_error(message: str, raw: object) -> str:
+    """Converts a msgspec error message to "key = value: expectation"."""
     text, _, path = message.partition(" - at `$")
     keys = path.rstrip("`").strip(".")
     if not keys:
         return text
-    if keys.startswith(_SECRET):
-        # A mistyped secret must not reach a log or a terminal.
-        return f"{_SECRET}: {text}"
+    if keys.startswith(_SECRET_PATH):
+        # An invalid secret must not be written to a log or a terminal.
+        return f"{_SECRET_PATH}: {text}"
     value: object = raw
     for key in keys.split("."):
         value = value.get(key) if isinstance(value, dict) else None
--- a/packages/mimosastile-standins/src/mimosastile_standins/world.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/world.py
@@ -147,7 +147,7 @@
             memory.MemoryFleetPort(self.sites, process),
             memory.MemoryTargets(self.sites, process),
             memory.MemoryPeers(self.sites, process),
-            *daemon.decisions(
+            *daemon.decision_services(
                 settings.VmSettings(vm, listed.region, listed.zone)
             ),
         ]
--- a/tests/entry/test_connections.py
+++ b/tests/entry/test_connections.py
@@ -226,7 +226,7 @@
                 rig.sender(peer.port, between_bytes=0.05) as (made, vm),
             ):
                 sent = await rig.send(made, vm)
-                with pytest.raises(rig.ports.BrokenAnswerError):
+                with pytest.raises(rig.ports.BrokenResponseError):
                     await rig.read_body(sent.ok())
                 return made.find("client").pool(vm, 120).in_use
 
--- a/tests/entry/test_daemon.py
+++ b/tests/entry/test_daemon.py
@@ -1,4 +1,4 @@
-"""Tests of assembling and watching a daemon."""
+"""Tests of the assembled daemon."""
 
 from absl import logging
 
@@ -7,10 +7,10 @@
 
 
 class TestDumpBySignal:
-    """No port answers, and an operator wants to see the state."""
+    """The state dump is available when no port responds."""
 
     def test_is_one_line_of_the_log(self, monkeypatch):
-        """SIGUSR1 asks for it."""
+        """The handler of SIGUSR1 logs the dump as a single line."""
         lines = []
         monkeypatch.setattr(
             logging, "info", lambda text, *args: lines.append(text % args)
--- a/tests/entry/test_kernel.py
+++ b/tests/entry/test_kernel.py
@@ -1,4 +1,4 @@
-"""Tests of the micro-kernel."""
+"""Tests of the service kernel."""
 
 import asyncio
 import graphlib
@@ -25,40 +25,40 @@
 
 def _run(*pairs):
     log = []
-    made = kernel.Kernel()
+    service_kernel = kernel.Kernel()
     for name, needs in pairs:
-        made.register(_Recorder(name, needs, log))
+        service_kernel.register(_Recorder(name, needs, log))
 
     async def cycle():
-        await made.start()
-        await made.stop()
+        await service_kernel.start()
+        await service_kernel.stop()
 
     asyncio.run(cycle())
     return log
 
 
 class TestLifeCycle:
-    """Starting and stopping in the order of needs."""
+    """Services are started and stopped in dependency order."""
 
     def test_needs_start_first_and_stop_last(self):
-        """The order of registration does not matter."""
+        """The order of registration is irrelevant."""
         log = _run(("c", ("b",)), ("b", ("a",)), ("a", ()))
         assert log == ["+a", "+b", "+c", "-c", "-b", "-a"]
 
     def test_missing_need_is_named(self):
-        """A replaced service under a wrong name is found at once."""
+        """A replacement registered under a wrong name fails at start."""
         with pytest.raises(kernel.MissingServiceError, match="'b'"):
             _run(("a", ("b",)))
 
-    def test_circle_is_refused(self):
-        """Two services that need each other cannot start."""
+    def test_cycle_is_refused(self):
+        """Two services that need each other are rejected."""
         with pytest.raises(graphlib.CycleError):
             _run(("a", ("b",)), ("b", ("a",)))
 
-    def test_same_name_replaces(self):
-        """This is how a bench puts its adapter in."""
-        made = kernel.Kernel()
-        made.register(kernel.Passive("a"))
-        other = kernel.Passive("a")
-        made.register(other)
-        assert made.find("a") is other
+    def test_same_name_replaces_service(self):
+        """Benchmarks replace adapters by registering the same name."""
+        service_kernel = kernel.Kernel()
+        service_kernel.register(kernel.Passive("a"))
+        replacement = kernel.Passive("a")
+        service_kernel.register(replacement)
+        assert service_kernel.find("a") is replacement
--- a/tests/entry/test_pages.py
+++ b/tests/entry/test_pages.py
@@ -1,4 +1,4 @@
-"""Tests that committed pages say what the code says."""
+"""Tests that the committed reference pages match the code."""
 
 import pathlib
 
@@ -14,16 +14,16 @@
 
 
 class TestCommitted:
-    """Pages made from the code, committed."""
+    """The committed pages are generated from the code."""
 
     @pytest.mark.parametrize("name", sorted(pages.pages()))
     def test_is_current(self, name):
-        """`python -m mimosastile_entry.pages` mends a difference."""
+        """`python -m mimosastile_entry.pages` updates an outdated page."""
         committed = (DOCS / name).read_text(encoding="utf-8")
         assert committed == pages.pages()[name]
 
-    def test_every_field_is_explained(self):
-        """A field without a meaning is no help to an operator."""
+    def test_every_field_has_a_description(self):
+        """Every field has a description for operators."""
         rows = pages.pages()["CONFIGURATION.md"].splitlines()
         fields = [r for r in rows if r.startswith("| `")]
         assert len(fields) > 40
@@ -31,17 +31,17 @@
 
 
 class TestOpenApi:
-    """The description of the administration API."""
+    """The OpenAPI document of the administration API."""
 
     def test_describes_every_route_and_no_other(self):
-        """Paths and methods are those that the daemon serves."""
+        """Paths and methods match the routes of the daemon."""
 
-        async def story():
+        async def scenario():
             api = await administered.start()
-            made = _admin.AdminApi(api.world.daemons["e0"])
+            admin_api = _admin.AdminApi(api.world.daemons["e0"])
             return {
                 (route.path, method)
-                for route in made.routes()
+                for route in admin_api.routes()
                 for method in route.methods - {"HEAD"}
             }
 
@@ -49,12 +49,12 @@
             (path, "POST" if view.body else "GET")
             for path, view in _openapi.VIEWS.items()
         }
-        # The page of metrics has a format of its own.
-        assert virtual.run(story()) == described | {("/metrics", "GET")}
+        # The metrics page has its own format and is not described.
+        assert virtual.run(scenario()) == described | {("/metrics", "GET")}
 
-    def test_references_lead_somewhere(self):
-        """Every schema that is named is there."""
+    def test_references_are_defined(self):
+        """Every referenced schema is defined."""
         text = pages.pages()["openapi.json"]
-        known = _openapi.document()["components"]["schemas"]
+        schemas = _openapi.document()["components"]["schemas"]
         names = {p.split('"')[0] for p in text.split("schemas/")[1:]}
-        assert names <= set(known)
+        assert names <= set(schemas)
--- a/tests/entry/test_serving.py
+++ b/tests/entry/test_serving.py
@@ -10,17 +10,17 @@
     del scope, receive, send
 
 
-class TestSmallAnswers:
-    """Head and body of an answer leave in two writes.
+class TestSmallResponses:
+    """Head and body of a response are sent in two writes.
 
-    Without TCP_NODELAY the second waits for the acknowledgement of the first,
-    and callers see 40 ms on every request.
+    Without TCP_NODELAY the second write waits for the acknowledgement of the
+    first, which added 40 ms to every request.
     """
 
-    def test_accepted_connections_send_at_once(self):
-        """The option is set on what the listener accepts."""
+    def test_accepted_connections_use_tcp_nodelay(self):
+        """TCP_NODELAY is set on accepted connections."""
 
-        async def story():
+        async def scenario():
             listener = await serving.listen(_no_app, "127.0.0.1", 0, 1.0)
             _, writer = await asyncio.open_connection(
                 "127.0.0.1", listener.port
@@ -29,10 +29,12 @@
             while not state.connections:
                 await asyncio.sleep(0)
             (accepted,) = state.connections
-            bound = accepted.transport.get_extra_info("socket")
-            option = bound.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+            accepted_socket = accepted.transport.get_extra_info("socket")
+            option = accepted_socket.getsockopt(
+                socket.IPPROTO_TCP, socket.TCP_NODELAY
+            )
             writer.close()
             await listener.stop()
             return option
 
-        assert asyncio.run(story()) != 0
+        assert asyncio.run(scenario()) != 0
--- a/tests/entry/test_settings.py
+++ b/tests/entry/test_settings.py
@@ -23,10 +23,10 @@
 
 
 class TestLoad:
-    """Reading a file."""
+    """Loading a settings file."""
 
     def test_good_file(self, tmp_path):
-        """What is left out has a default."""
+        """Omitted settings have default values."""
         loaded = _load(tmp_path, GOOD).unwrap()
         assert loaded.vm.zone == "zagreb-a"
         assert loaded.log.level == "info"
@@ -46,15 +46,15 @@
             ("[vm", ["not TOML"]),
         ],
     )
-    def test_mistake_names_file_key_value_and_expectation(
+    def test_error_names_file_key_value_and_expectation(
         self, tmp_path, text, parts
     ):
-        """One line is enough to mend it."""
+        """The error message suffices to correct the file."""
         message = _load(tmp_path, text).unwrap_err()
         assert "settings.toml" in message
         assert all(part in message for part in parts), message
 
     def test_missing_file(self, tmp_path):
-        """The path is named."""
+        """The error message contains the path."""
         message = settings.load(tmp_path / "none.toml").unwrap_err()
         assert "none.toml" in message
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""Tests that the two worked examples are complete and good."""
+"""Tests that the two example deployments are complete and valid."""
 
 import collections
 import itertools
@@ -30,7 +30,7 @@
 
 
 class TestCheck:
-    """`mimosastile check` on everything that is committed."""
+    """`mimosastile check` on all committed examples."""
 
     @pytest.mark.parametrize(
         "file",
@@ -41,36 +41,36 @@
         ids=lambda f: f.stem,
     )
     def test_good(self, file, capsys):
-        """It says so and ends well."""
+        """A valid file is reported as good."""
         cli.Commands().check(str(file))
         assert "good" in capsys.readouterr().out
 
     @pytest.mark.parametrize(
-        ("text", "named"),
+        ("text", "expected"),
         [
             ("{", "truncated"),
             ('{"services": {"a": {"slots": 0}}}', "services.a.slots"),
             ('{"operators": {"a": {"services": ["x"]}}}', "no service 'x'"),
         ],
     )
-    def test_bad_document(self, tmp_path, capsys, text, named):
-        """It names file and place and ends with 2."""
+    def test_bad_document(self, tmp_path, capsys, text, expected):
+        """The error names file and field; the exit code is 2."""
         file = tmp_path / "bad.json"
         file.write_text(text)
-        with pytest.raises(SystemExit) as ended:
+        with pytest.raises(SystemExit) as exited:
             cli.Commands().check(str(file))
-        assert ended.value.code == cli.EXIT_BAD_SETTINGS
-        said = capsys.readouterr().err
-        assert str(file) in said
-        assert named in said
+        assert exited.value.code == cli.EXIT_BAD_SETTINGS
+        message = capsys.readouterr().err
+        assert str(file) in message
+        assert expected in message
 
 
 class TestComplete:
-    """Documents, lists of VMs and settings fit each other."""
+    """Documents, lists of VMs and settings are consistent."""
 
     @pytest.mark.parametrize("name", SIZES)
     def test_targets_and_slots(self, name):
-        """Each service has its targets, spread evenly over the zones."""
+        """The targets of each service are spread evenly over the zones."""
         slots, sizes = SIZES[name]
         document, vms = _document(name), _vms(name)
         targets = [vm for vm in vms if vm.role is fleet.Role.TARGET]
@@ -84,8 +84,8 @@
             assert max(zones.values()) - min(zones.values()) <= 1
 
     @pytest.mark.parametrize("name", SIZES)
-    def test_settings_fit_the_list(self, name):
-        """Every zone has settings for its first entry VM, as listed."""
+    def test_settings_match_the_list(self, name):
+        """The settings of each zone match its first entry VM in the list."""
         listed = {vm.id: vm for vm in _vms(name)}
         files = sorted((EXAMPLES / name).glob("*.toml"))
         loaded = [settings.load(file).unwrap().vm for file in files]
@@ -98,7 +98,7 @@
         assert len(entries) == 11
 
     def test_no_address_or_credential_is_used_twice(self):
-        """Neither within nor across the two."""
+        """No duplicates exist within or across the examples."""
         hosts = [vm.host for name in SIZES for vm in _vms(name)]
         digests = [
             digest
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,4 +1,4 @@
-"""House rules that no linter checks: import direction and module imports."""
+"""Tests of layering and import rules that no linter checks."""
 
 import ast
 import importlib.util
@@ -63,10 +63,10 @@
 
 @pytest.mark.parametrize("path", SOURCES, ids=lambda p: p.stem)
 class TestImports:
-    """What a source file may import."""
+    """Import rules of a source file."""
 
     def test_direction(self, path):
-        """Packages import only those below them."""
+        """A package imports only packages of lower layers."""
         used = {
             module.split(".")[0]
             for module, _ in _imports(path)
@@ -75,12 +75,12 @@
         assert used <= ALLOWED[_package(path)]
 
     def test_core_does_no_input_or_output(self, path):
-        """Decisions must run under any clock and any network."""
+        """The core must run under any clock and any network."""
         if _package(path) == "mimosastile_core":
             assert not INPUT_OUTPUT & {m for m, _ in _imports(path)}
 
-    def test_stand_ins_use_the_public_face(self, path):
-        """Stand-ins know nothing of the daemon's private modules."""
+    def test_stand_ins_use_public_modules(self, path):
+        """Stand-ins do not import private modules of the daemon."""
         if _package(path) == "mimosastile_standins":
             private = [
                 name
@@ -90,7 +90,7 @@
             assert private == []
 
     def test_modules_are_imported_not_names(self, path):
-        """`from package import module` only; typing is excepted."""
+        """Only modules are imported from packages, except for typing."""
         for module, name in _imports(path):
             if name and module not in NAMES_ALLOWED:
                 spec = importlib.util.find_spec(f"{module}.{name}")
@@ -123,12 +123,12 @@
     ],
     ids=lambda p: p.stem,
 )
-def test_names_of_the_platform_stay_in_their_folder(path):
-    """Outside the adapter and the stand-ins nothing knows them."""
+def test_platform_wire_names_stay_in_the_adapter(path):
+    """Only the adapter and the stand-ins use names of the platform's wire."""
     text = path.read_text().lower()
     assert [name for name in WIRE_NAMES if name.lower() in text] == []
 
 
-def test_adapter_does_not_hide_the_standard_module():
-    """A package at `platform/` would be found instead of the library's."""
+def test_adapter_does_not_shadow_the_standard_module():
+    """A package at `platform/` would shadow the standard library module."""
     assert not (ROOT / "platform" / "__init__.py").exists()
