--- a/packages/mimosastile-ctl/src/mimosastile_ctl/_short_hands.py
+++ b/packages/mimosastile-ctl/src/mimosastile_ctl/_short_hands.py
@@ -27,10 +27,10 @@
     Raises:
         ValueError: The path segment is not an integer.
     """
-    place, _, rest = text.partition(":")
+    place, _, name_or_segment = text.partition(":")
     if place == config.KeyPlace.PATH.value:
-        return {"place": place, "segment": int(rest or 0)}
-    return {"place": place, "name": rest}
+        return {"place": place, "segment": int(name_or_segment or 0)}
+    return {"place": place, "name": name_or_segment}
 
 
 class ServiceCommands:
--- a/packages/mimosastile-ctl/src/mimosastile_ctl/_trace.py
+++ b/packages/mimosastile-ctl/src/mimosastile_ctl/_trace.py
@@ -121,5 +121,5 @@
         )
     except (msgspec.DecodeError, msgspec.ValidationError):
         return None
-    rest = {k: v for k, v in fields.items() if k not in _LINE_FIELDS}
-    return msgspec.structs.replace(parsed, fields=rest)
+    event_fields = {k: v for k, v in fields.items() if k not in _LINE_FIELDS}
+    return msgspec.structs.replace(parsed, fields=event_fields)
--- a/tests/ctl/test_api.py
+++ b/tests/ctl/test_api.py
@@ -21,13 +21,13 @@
             async with demo.running() as deployment:
                 first = next(iter(deployment.daemons.values()))
                 port = first.find("listeners").ports["peers"]
-                at = f"http://{demo.HOST}:{port}"
-                client = _api.Api(at + "/", demo.OPERATOR)
+                address = f"http://{demo.HOST}:{port}"
+                client = _api.Api(address + "/", demo.OPERATOR)
                 response = await client._call("GET", "/v1/config", b"")
                 for path in ("/v1/tables/none", "/nothing"):
                     refused = await client._call("GET", path, b"")
                     assert refused.is_err(), path
-                unauthorized = _api.Api(at, "wrong")
+                unauthorized = _api.Api(address, "wrong")
                 refused = await unauthorized._call("GET", "/v1/config", b"")
             unreachable = await client._call("GET", "/v1/config", b"")
             return (
--- a/tests/ctl/test_cli.py
+++ b/tests/ctl/test_cli.py
@@ -40,17 +40,17 @@
 
     def post(self, path, value):
         """Posts a value; drops the next `lose` responses to apply."""
-        answer = self._call("POST", path, msgspec.json.encode(value))
+        response = self._call("POST", path, msgspec.json.encode(value))
         if path.endswith("apply") and self.lose:
             self.lose -= 1
             return _api._failure(errors.ErrorKind.ANSWER_LOST, "lost")
-        return answer
+        return response
 
     def _call(self, method, path, body):
-        status, answer = self._loop.run_until_complete(
+        status, response = self._loop.run_until_complete(
             self._api.call(method, path, self._token, body or b"")
         )
-        encoded = json.dumps(answer).encode()
+        encoded = json.dumps(response).encode()
         if status == 200:
             return result.Ok(encoded)
         return result.Err(
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -124,7 +124,7 @@
     ids=lambda p: p.stem,
 )
 def test_platform_wire_names_stay_in_the_adapter(path):
-    """Only the adapter and the stand-ins use names of the platform's wire."""
+    """Only the adapter and the stand-ins use the platform's wire names."""
     text = path.read_text().lower()
     assert [name for name in WIRE_NAMES if name.lower() in text] == []
 
