--- a/packages/mimosastile-entry/src/mimosastile_entry/_asgi.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_asgi.py
@@ -124,7 +124,7 @@
                 await upload.linger(closing=self._stopping)
             if not ended:
                 await send({"type": "http.response.body", "body": b""})
-        except (ports.BrokenAnswerError, TimeoutError, RuntimeError) as error:
+        except (ports.BrokenResponseError, TimeoutError, RuntimeError) as error:
             # Returning without the last chunk makes the server close the
             # connection, so the caller detects a broken response and never
             # accepts a truncated one.
--- a/packages/mimosastile-entry/src/mimosastile_entry/_limits.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_limits.py
@@ -133,7 +133,7 @@
         if allowance is not None and allowance.in_use:
             allowance.release()
 
-    def leave_callback(self, name: str) -> ports.Closer:
+    def leave_callback(self, name: str) -> ports.CloseCallback:
         """Returns a callback that calls `leave` when a response is closed."""
 
         async def close() -> None:
