--- a/tests/gateway/test_leaving_targets.py
+++ b/tests/gateway/test_leaving_targets.py
@@ -35,7 +35,7 @@
 
 def _register(cluster, target, **changes):
     cluster.revision += 1
-    cluster.take_target(
+    cluster.apply_target(
         msgspec.structs.replace(
             target.registration, revision=cluster.revision, **changes
         )
--- a/tests/gateway/test_resting_targets.py
+++ b/tests/gateway/test_resting_targets.py
@@ -146,7 +146,7 @@
             target.rejects = False
             target.says.clear()
             target.born = 2
-            cluster.take_target(target.registration)
+            cluster.apply_target(target.registration)
             since = virtual.now()
             await cluster.call(4.0, 120.0, "/p")
             received = sum(a.at > since for a in target.arrivals)
