--- a/packages/mimosastile-entry/src/mimosastile_entry/_router.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_router.py
@@ -299,7 +299,9 @@
             await self._state.pull_from(peer)
         return sent
 
-    def _end_callback(self, call: _calls.Call, hop: _calls.Hop) -> ports.CloseCallback:
+    def _end_callback(
+        self, call: _calls.Call, hop: _calls.Hop
+    ) -> ports.CloseCallback:
         async def close() -> None:
             self._targeting.end(call, hop)
 
