--- a/packages/mimosastile-standins/src/mimosastile_standins/demo.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/demo.py
@@ -116,11 +116,11 @@
     async def _start_target(
         self, name: str, service: str, zone_index: int
     ) -> None:
-        run = target.Target(name)
+        target_ = target.Target(name)
         port = await self._stack.enter_async_context(
-            serving.serving(serving.target_app(run))
+            serving.serving(serving.target_app(target_))
         )
-        self.targets[name] = run
+        self.targets[name] = target_
         region, zone = _ZONES[zone_index % len(_ZONES)]
         self.fleet.put(
             fleet.Vm(name, fleet.Role.TARGET, region, zone, HOST, port, service)
@@ -166,8 +166,8 @@
     def _grants_complete(self) -> bool:
         owners = self.owners()
         held_slices = {
-            name: len(run.holder.owned(run.now()))
-            for name, run in self.targets.items()
+            name: len(target_.holder.owned(target_.now()))
+            for name, target_ in self.targets.items()
         }
         return bool(owners) and all(
             owner and held_slices[owner] == count
--- a/packages/mimosastile-standins/src/mimosastile_standins/losses.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/losses.py
@@ -47,25 +47,25 @@
         self._last: dict[int, target.Execution] = {}
         self.violations: list[str] = []
 
-    def observe(self, run: target.Execution) -> None:
+    def observe(self, execution: target.Execution) -> None:
         """Checks one execution as it begins."""
-        if run.position is None:
+        if execution.position is None:
             return
-        last = self._last.get(run.position, run)
-        same = last.fence == run.fence and last.target == run.target
-        if not same and run.fence <= last.fence:
+        last = self._last.get(execution.position, execution)
+        same = last.fence == execution.fence and last.target == execution.target
+        if not same and execution.fence <= last.fence:
             self.violations.append(
-                f"{run.path} ran on {last.target} under {last.fence}, then on"
-                f" {run.target} under {run.fence}"
+                f"{execution.path} ran on {last.target} under {last.fence}, then on"
+                f" {execution.target} under {execution.fence}"
             )
-        self._last[run.position] = run
+        self._last[execution.position] = execution
 
 
 class Probe:
     """Sends requests for one key at an interval and records the responses.
 
     Attributes:
-        answers: Send time and response status of each request.
+        responses: Send time and response status of each request.
         longest_wait: Latency of the slowest complete response, in seconds.
     """
 
@@ -74,7 +74,7 @@
         "_path",
         "_timeout",
         "_pending",
-        "answers",
+        "responses",
         "longest_wait",
     )
 
@@ -92,13 +92,13 @@
         self._path = f"/{KEYED}/{key}"
         self._timeout = timeout
         self._pending: set[asyncio.Task[None]] = set()
-        self.answers: list[tuple[float, int]] = []
+        self.responses: list[tuple[float, int]] = []
         self.longest_wait = 0.0
 
     @property
     def refused(self) -> int:
         """Number of requests without a complete response."""
-        return sum(status != _OK for _, status in self.answers)
+        return sum(status != _OK for _, status in self.responses)
 
     async def run(self, seconds: float) -> None:
         """Sends for `seconds` through the running entry VMs in turn."""
@@ -116,10 +116,12 @@
 
     def unavailable(self) -> float:
         """Returns the longest interval between successes, in seconds."""
-        answered = sorted(at for at, status in self.answers if status == _OK)
-        if not answered:
+        success_times = sorted(
+            at for at, status in self.responses if status == _OK
+        )
+        if not success_times:
             return float("inf")
-        ends = (*answered, max(at for at, _ in self.answers))
+        ends = (*success_times, max(at for at, _ in self.responses))
         pairs = zip(ends, ends[1:], strict=False)
         longest = max((b - a for a, b in pairs), default=0.0)
         return max(0.0, longest - _SEND_INTERVAL_SECONDS)
@@ -138,7 +140,7 @@
         status, _ = await self._simulation.call(
             entry, "GET", path, seconds=self._timeout
         )
-        self.answers.append((began, status))
+        self.responses.append((began, status))
         if status == _OK:
             self.longest_wait = max(self.longest_wait, virtual.now() - began)
 
@@ -218,9 +220,9 @@
         await simulation.deploy(planned)
     else:
         await _deploy_gated(simulation, planned)
-    for run in simulation.targets.values():
-        run.checks_orders = setting.checks_orders
-        run.checks_expiry = setting.checks_expiry
+    for target_ in simulation.targets.values():
+        target_.checks_orders = setting.checks_orders
+        target_.checks_expiry = setting.checks_expiry
     await virtual.pause(_SETTLE_SECONDS)
     return simulation
 
@@ -265,8 +267,8 @@
 async def _case(fault: Fault, setting: Setting, seed: int) -> Outcome:
     simulation = await start(setting, seed)
     checker = OwnershipChecker()
-    for run in simulation.targets.values():
-        run.observer = checker.observe
+    for target_ in simulation.targets.values():
+        target_.observer = checker.observe
     timeout = (
         _LONG_TIMEOUT_SECONDS if setting.patient else _SHORT_TIMEOUT_SECONDS
     )
@@ -281,7 +283,7 @@
     await asyncio.gather(injecting, *running)
     return Outcome(
         tuple(sorted((p.unavailable() for p in probes), reverse=True)),
-        sum(len(p.answers) for p in probes),
+        sum(len(p.responses) for p in probes),
         sum(p.refused for p in probes),
         tuple(checker.violations),
         sum(simulation.store.calls.values()) - before,
--- a/packages/mimosastile-standins/src/mimosastile_standins/mutations.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/mutations.py
@@ -134,11 +134,11 @@
     return property(_returning(value))
 
 
-def _confirmed_without_check(meet: Callable[..., Any]) -> Callable[..., Any]:
+def _confirmed_without_check(method: Callable[..., Any]) -> Callable[..., Any]:
     def lenient(
         self: grants.KeptTarget, stamp: grants.Stamp, now: float
     ) -> None:
-        meet(self, stamp, now)
+        method(self, stamp, now)
         self.confirm(now)
 
     return lenient
@@ -226,7 +226,7 @@
     ),
     Mutation(
         "lapse too early",
-        "lapsed: time to live and drift after the last quoted answer",
+        "expired: time to live and drift after the last quoted response",
         grants.KeptTarget,
         "has_lapsed",
         _expired_early,
@@ -234,7 +234,7 @@
     ),
     Mutation(
         "predecessor taken for silent",
-        "a new keeper's lapse waits until the former one is silent",
+        "a new keeper's proof of expiry waits until the former is silent",
         grants.KeptTarget,
         "awaits_silence",
         _property_returning(False),
@@ -242,7 +242,7 @@
     ),
     Mutation(
         "new run granted unconfirmed",
-        "a keeper that meets a new run of a target confirms its role",
+        "a keeper confirms its role before it grants to a new incarnation",
         grants.KeptTarget,
         "_meet",
         _confirmed_without_check(grants.KeptTarget.__dict__["_meet"]),
@@ -250,7 +250,7 @@
     ),
     Mutation(
         "gone at once",
-        "gone: every grant that the VM can hold has lapsed as well",
+        "gone: every grant that the VM can hold has expired as well",
         keeping,
         "is_gone",
         lambda evidence, not_before: evidence.gone_since is not None,
@@ -266,7 +266,7 @@
     ),
     Mutation(
         "lost writes forgotten",
-        "slices of a write with unknown outcome are granted to nobody",
+        "slices of a write with unknown outcome are granted to no target",
         writes.PendingWrites,
         "withholds",
         _returning(False),
--- a/packages/mimosastile-standins/src/mimosastile_standins/outages.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/outages.py
@@ -64,7 +64,7 @@
         self._simulation = simulation
         self._path = f"/{service}/{key}"
         self._interval = interval
-        self.answers: list[tuple[float, int]] = []
+        self.responses: list[tuple[float, int]] = []
 
     async def run(self, end: float) -> None:
         """Sends until virtual time `end`, through the entry VMs in turn."""
@@ -84,19 +84,21 @@
         )
         # Records the completion time, not the send time: a request that waits
         # until the fault ends and then succeeds was not served during it.
-        self.answers.append((virtual.now(), status))
+        self.responses.append((virtual.now(), status))
 
     @property
     def failed(self) -> int:
         """Number of requests without a complete response."""
-        return sum(status != _OK for _, status in self.answers)
+        return sum(status != _OK for _, status in self.responses)
 
     def unavailable(self) -> float:
         """Returns the longest interval between successes, in seconds."""
-        answered = sorted(at for at, status in self.answers if status == _OK)
-        if not answered:
+        success_times = sorted(
+            at for at, status in self.responses if status == _OK
+        )
+        if not success_times:
             return float("inf")
-        ends = (*answered, max(at for at, _ in self.answers))
+        ends = (*success_times, max(at for at, _ in self.responses))
         longest = max(b - a for a, b in itertools.pairwise((ends[0], *ends)))
         return max(0.0, longest - self._interval)
 
@@ -136,8 +138,9 @@
 async def _rolling_targets(context: CaseContext) -> None:
     old = [
         context.listed(name)
-        for name, run in context.simulation.targets.items()
-        if context.listed(name).service == context.service and not run.crashed
+        for name, target in context.simulation.targets.items()
+        if context.listed(name).service == context.service
+        and not target.crashed
     ]
     for number, vm in enumerate(old):
         context.simulation.add_target(
@@ -264,7 +267,7 @@
         name,
         label,
         len(probes),
-        sum(len(p.answers) for p in probes.values()),
+        sum(len(p.responses) for p in probes.values()),
         sum(p.failed for p in probes.values()),
         round(_percentile(unavailable_seconds, 0.5), 3),
         round(_percentile(unavailable_seconds, 0.99), 3),
--- a/packages/mimosastile-standins/src/mimosastile_standins/runner.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/runner.py
@@ -363,7 +363,7 @@
                 f"a key was unavailable for {longest:.2f} s",
             )
         if expected.deaths is not None:
-            deaths = sum(r.deaths for r in self._world.targets.values())
+            deaths = sum(r.deadly_crashes for r in self._world.targets.values())
             self._expect(
                 deaths <= expected.deaths, f"{deaths} targets were crashed"
             )
--- a/packages/mimosastile-standins/src/mimosastile_standins/store.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/store.py
@@ -21,7 +21,7 @@
     Attributes:
         latency: Latency of each call in seconds.
         down: Whether every call fails without effect.
-        lost_answers: Number of next successful writes whose response is lost:
+        lost_responses: Number of next successful writes whose response is lost:
             they take effect, and the caller gets `STORE_UNKNOWN`.
         late_writes: Number of next writes that are delayed: the caller gets
             `STORE_UNKNOWN`, and the write takes effect after `late_seconds` if
@@ -39,14 +39,14 @@
         "late_seconds",
         "late_writes",
         "latency",
-        "lost_answers",
+        "lost_responses",
     )
 
     def __init__(self, latency: float = 0.0) -> None:
         super().__init__("store")
         self.latency = latency
         self.down = False
-        self.lost_answers = 0
+        self.lost_responses = 0
         self.late_writes = 0
         self.late_seconds = 1.0
         self.calls: collections.Counter[str] = collections.Counter()
@@ -91,8 +91,8 @@
             )
             return result.Err(_UNKNOWN)
         swapped = self._swap(key, value, revision)
-        if swapped.is_ok() and self.lost_answers > 0:
-            self.lost_answers -= 1
+        if swapped.is_ok() and self.lost_responses > 0:
+            self.lost_responses -= 1
             return result.Err(_UNKNOWN)
         return swapped
 
--- a/packages/mimosastile-standins/src/mimosastile_standins/target.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/target.py
@@ -68,7 +68,7 @@
         draining: Whether it refuses new requests.
         checks_orders: Whether it refuses requests without a valid grant.
         checks_expiry: Whether it refuses requests after its grant expired.
-        deaths: Number of crashes caused by deadly requests.
+        deadly_crashes: Number of crashes caused by deadly requests.
         executions: All executions in the order of their start.
         observer: Called with each execution as it begins, or None.
     """
@@ -82,7 +82,7 @@
         "_incarnations",
         "checks_expiry",
         "checks_orders",
-        "deaths",
+        "deadly_crashes",
         "draining",
         "executions",
         "id",
@@ -111,7 +111,7 @@
         self.draining = False
         self.checks_orders = checks_orders
         self.checks_expiry = checks_orders
-        self.deaths = 0
+        self.deadly_crashes = 0
         self.observer: Callable[[Execution], None] | None = None
         self.executions: list[Execution] = []
         self._clock_offset = clock_offset
@@ -192,7 +192,7 @@
             grants_held.begin(checked_fence)
         try:
             if deadly:
-                self.deaths += 1
+                self.deadly_crashes += 1
                 self.crash()
                 await self._wait_while_frozen(began)
             return await self._execute(method, path, request_id, fence)
--- a/packages/mimosastile-standins/src/mimosastile_standins/verbs.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/verbs.py
@@ -156,7 +156,7 @@
         run.world.store.late_seconds = step.late
         run.world.store.late_writes += step.writes
     else:
-        run.world.store.lost_answers += step.writes
+        run.world.store.lost_responses += step.writes
 
 
 @do.register
--- a/tests/entry/test_admin.py
+++ b/tests/entry/test_admin.py
@@ -246,7 +246,7 @@
             await api.call("GET", "/v1/dump", "wrong")
             await virtual.pause(30.0)
             api.world.store.come_back()
-            api.world.store.lost_answers = 1
+            api.world.store.lost_responses = 1
             await virtual.pause(30.0)
             _, entries = await api.call("GET", "/v1/audit")
             assert [e["outcome"] for e in entries] == ["unauthenticated"]
