--- a/packages/mimosastile-standins/src/mimosastile_standins/losses.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/losses.py
@@ -55,8 +55,8 @@
         same = last.fence == execution.fence and last.target == execution.target
         if not same and execution.fence <= last.fence:
             self.violations.append(
-                f"{execution.path} ran on {last.target} under {last.fence}, then on"
-                f" {execution.target} under {execution.fence}"
+                f"{execution.path} ran on {last.target} under {last.fence},"
+                f" then on {execution.target} under {execution.fence}"
             )
         self._last[execution.position] = execution
 
