--- a/packages/mimosastile-standins/src/mimosastile_standins/_bench_decisions.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/_bench_decisions.py
@@ -1,4 +1,4 @@
-"""The callers' application of a daemon whose targets answer at once."""
+"""Callers' ASGI application of a daemon and a stub of its targets."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -24,28 +24,28 @@
 from mimosastile_standins import vms
 
 _HOST = "127.0.0.1"
-_SETTLE_SECONDS = 0.01
+_RETRY_SECONDS = 0.01
 HTTP_OK = 200
 _BODY = b"x" * 1024
 _HEADERS = (("content-length", str(len(_BODY))),)
-_WAIT: dict[str, Any] = {"type": "http.disconnect"}
+_DISCONNECT: dict[str, Any] = {"type": "http.disconnect"}
 
 
 class _Targets(kernel.Passive):
-    """Takes grants and answers every request at once."""
+    """Targets adapter that accepts grants and responds at once."""
 
-    __slots__ = ("_run",)
+    __slots__ = ("_target",)
 
     def __init__(self) -> None:
         super().__init__("targets")
-        self._run = target.Target("t0")
+        self._target = target.Target("t0")
 
     async def grant(
         self, vm: fleet.Vm, grant: grants.Grant, timeout: float
     ) -> result.Result[grants.GrantReply, errors.Failure]:
-        """Takes a grant."""
+        """Passes a grant to the target."""
         del vm, timeout
-        return result.Ok(await self._run.grant(grant))
+        return result.Ok(await self._target.grant(grant))
 
     async def send(
         self,
@@ -53,26 +53,26 @@
         request: ports.Request,
         fence: holder.RequestFence | None,
     ) -> result.Result[ports.Response, errors.Failure]:
-        """Answers."""
+        """Returns a successful response with a fixed body."""
         del vm, request, fence
-        return result.Ok(ports.Response(200, _HEADERS, _Once()))
+        return result.Ok(ports.Response(200, _HEADERS, _SingleChunk()))
 
 
-class _Once:
-    """A body in one piece, as the adapter to targets hands it on."""
+class _SingleChunk:
+    """A response body in one chunk, as from the targets adapter."""
 
-    __slots__ = ("_left",)
+    __slots__ = ("_remaining",)
 
     def __init__(self) -> None:
-        self._left = 1
+        self._remaining = 1
 
-    def __aiter__(self) -> "_Once":
+    def __aiter__(self) -> "_SingleChunk":
         return self
 
     async def __anext__(self) -> bytes:
-        if not self._left:
+        if not self._remaining:
             raise StopAsyncIteration
-        self._left = 0
+        self._remaining = 0
         return _BODY
 
 
@@ -80,34 +80,36 @@
 async def callers_app(
     document: config.Document, service: str
 ) -> AsyncIterator[Any]:
-    """Yields the callers' application of a daemon with one target.
+    """Yields the callers' ASGI application of a daemon with one target.
 
     Args:
         document: The configuration.
         service: The target's service.
     """
-    kept, listed = store.MemoryStore(), vms.MemoryFleet()
+    memory_store, memory_fleet = store.MemoryStore(), vms.MemoryFleet()
     version = msgspec.json.encode(config.Version(1, document))
-    await kept.compare_and_swap("config/current", version, 0)
-    listed.put(fleet.Vm("t0", fleet.Role.TARGET, "r", "z", _HOST, 1, service))
-    listed.put(fleet.Vm("entry", fleet.Role.ENTRY, "r", "z", _HOST, 1))
-    made = daemon.assemble(
+    await memory_store.compare_and_swap("config/current", version, 0)
+    memory_fleet.put(
+        fleet.Vm("t0", fleet.Role.TARGET, "r", "z", _HOST, 1, service)
+    )
+    memory_fleet.put(fleet.Vm("entry", fleet.Role.ENTRY, "r", "z", _HOST, 1))
+    entry_daemon = daemon.assemble(
         settings.Settings(
             settings.VmSettings("entry", "r", "z", _HOST, 0, 0),
             settings.PlatformSettings("http://none", "http://none"),
             limits=settings.LimitSettings(shutdown_seconds=1),
         ),
-        (kept, listed, _Targets()),
+        (memory_store, memory_fleet, _Targets()),
     )
-    await made.start()
+    await entry_daemon.start()
     try:
-        yield made.find("listeners").app("callers")
+        yield entry_daemon.find("listeners").app("callers")
     finally:
-        await made.stop()
+        await entry_daemon.stop()
 
 
-def asker(app: Any, token: str) -> Callable[[str], Awaitable[None]]:
-    """Returns a function that asks for a path until it is served."""
+def requester(app: Any, token: str) -> Callable[[str], Awaitable[None]]:
+    """Returns a function that requests a path until the status is 200."""
     headers = [
         (b"host", b"127.0.0.1:8080"),
         (b"authorization", f"Bearer {token}".encode()),
@@ -117,7 +119,7 @@
     ]
 
     async def receive() -> dict[str, Any]:
-        return _WAIT
+        return _DISCONNECT
 
     statuses: list[int] = []
 
@@ -125,7 +127,7 @@
         if "status" in message:
             statuses.append(message["status"])
 
-    async def ask(path: str) -> None:
+    async def request(path: str) -> None:
         scope = {
             "type": "http",
             "method": "GET",
@@ -135,9 +137,9 @@
             "headers": headers,
         }
         await app(scope, receive, send)
-        # Before its first grant the daemon refuses for a moment.
+        # The daemon rejects requests until the target has its first grant.
         while statuses.pop() != HTTP_OK:
-            await asyncio.sleep(_SETTLE_SECONDS)
+            await asyncio.sleep(_RETRY_SECONDS)
             await app(scope, receive, send)
 
-    return ask
+    return request
--- a/packages/mimosastile-standins/src/mimosastile_standins/_measuring.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/_measuring.py
@@ -1,4 +1,4 @@
-"""The commands that measure: text for people, JSON for later comparison."""
+"""Runs the measurements and writes the results as text and JSON."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -17,59 +17,62 @@
 
 
 def _outage_rows() -> list[outages.Row]:
-    full = itertools.product(measures.KEYED, outages.CASES)
-    long = (("small", label) for label in outages.LONG_CASES)
-    return [outages.row(name, label) for name, label in (*full, *long)]
+    sharded_cases = itertools.product(measures.KEYED, outages.CASES)
+    long_cases = (("small", label) for label in outages.LONG_CASES)
+    return [
+        outages.row(name, label)
+        for name, label in (*sharded_cases, *long_cases)
+    ]
 
 
-def _balance() -> tuple[list[Any], str]:
-    found = measures.all_rows()
-    return found, measures.table(found)
+def _measure_balance() -> tuple[list[Any], str]:
+    results = measures.all_rows()
+    return results, measures.table(results)
 
 
-def _outages() -> tuple[list[Any], str]:
-    found = _outage_rows()
-    return found, outages.table(found)
+def _measure_outages() -> tuple[list[Any], str]:
+    results = _outage_rows()
+    return results, outages.table(results)
 
 
-def _propagation() -> tuple[list[Any], str]:
-    found = spreading.rows()
-    return found, spreading.table(found)
+def _measure_propagation() -> tuple[list[Any], str]:
+    results = spreading.rows()
+    return results, spreading.table(results)
 
 
-_PARTS: dict[str, Callable[[], tuple[list[Any], str]]] = {
-    "balance": _balance,
-    "outages": _outages,
-    "propagation": _propagation,
+_MEASUREMENTS: dict[str, Callable[[], tuple[list[Any], str]]] = {
+    "balance": _measure_balance,
+    "outages": _measure_outages,
+    "propagation": _measure_propagation,
 }
 
 
 def run(only: str, out: pathlib.Path, plots: bool) -> None:
-    """Measures, prints and writes the results.
+    """Runs the measurements, prints and writes the results.
 
     Args:
-        only: Name of one part, or empty for all.
-        out: Folder for the results.
-        plots: Whether to draw balance as well.
+        only: Name of one measurement, or empty for all.
+        out: Directory for the results.
+        plots: Whether to plot the balance results too.
     """
-    for name, part in _PARTS.items():
+    for name, measure in _MEASUREMENTS.items():
         if only in ("", name):
-            found, text = part()
-            _write(out, name, found, text)
+            results, text = measure()
+            _write(out, name, results, text)
     if plots:
         _plot(out)
 
 
 def slopes(out: pathlib.Path) -> None:
-    """Measures costs by size, prints and writes them."""
-    found = slopes_module.all_slopes()
-    _write(out, "slopes", found, slopes_module.table(found))
+    """Measures costs by size, prints and writes the results."""
+    results = slopes_module.all_slopes()
+    _write(out, "slopes", results, slopes_module.table(results))
 
 
-def _write(out: pathlib.Path, name: str, found: list[Any], text: str) -> None:
+def _write(out: pathlib.Path, name: str, results: list[Any], text: str) -> None:
     _printing.say(text)
     out.mkdir(parents=True, exist_ok=True)
-    encoded = msgspec.json.format(msgspec.json.encode(found), indent=1)
+    encoded = msgspec.json.format(msgspec.json.encode(results), indent=1)
     (out / f"{name}.json").write_bytes(encoded + b"\n")
     (out / f"{name}.txt").write_text(text + "\n", encoding="utf-8")
 
@@ -79,7 +82,7 @@
         (out / "balance.json").read_bytes(), type=list[measures.Row]
     )
     for row in rows:
-        # Two bars with one label would lie on top of each other.
+        # Labels are unique; bars with equal labels would overlap.
         label = f"{row.deployment} {row.exponent} {row.case} {row.scheme}"
         yield label, row.imbalance
 
--- a/packages/mimosastile-standins/src/mimosastile_standins/_policy_report.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/_policy_report.py
@@ -1,4 +1,4 @@
-"""Prints the policy measure and writes it as text and JSON."""
+"""Prints the results of the policy simulation and writes text and JSON."""
 
 from collections.abc import Iterator
 import pathlib
@@ -10,12 +10,12 @@
 
 
 def report(deployment: str, cases: tuple[str, ...], out: str) -> None:
-    """Plays cases and reports each as soon as it is done.
+    """Runs cases and reports each one when it ends.
 
     Args:
         deployment: Name of the deployment.
-        cases: Names of the cases, none for all.
-        out: Folder for the results, empty to print only.
+        cases: Names of the cases; empty for all.
+        out: Directory for the results; empty to print only.
     """
     for case in cases or tuple(policy_cases.CASES):
         rows = policy_cases.rows(deployment, case)
@@ -23,12 +23,12 @@
         for line in lines:
             _printing.say(line)
         if out:
-            base = pathlib.Path(out) / f"policy-{deployment}-{case}"
-            base.parent.mkdir(parents=True, exist_ok=True)
+            path = pathlib.Path(out) / f"policy-{deployment}-{case}"
+            path.parent.mkdir(parents=True, exist_ok=True)
             text = "\n".join(lines) + "\n"
-            base.with_suffix(".txt").write_text(text)
+            path.with_suffix(".txt").write_text(text)
             data = msgspec.json.format(msgspec.json.encode(rows), indent=1)
-            base.with_suffix(".json").write_bytes(data + b"\n")
+            path.with_suffix(".json").write_bytes(data + b"\n")
 
 
 def _lines(rows: list[policy_cases.Row]) -> Iterator[str]:
--- a/packages/mimosastile-standins/src/mimosastile_standins/baselines.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/baselines.py
@@ -1,8 +1,8 @@
-"""Ways of assigning keys that placement is compared with.
+"""Baseline key assignment algorithms to compare with placement.
 
-Each knows the live targets and, where it needs it, the load of each key, and
-returns an owner for each key. They agree with nobody and wait for nothing, so
-they have no unavailable time to compare; what they show is load and moved keys.
+Each takes the live targets and the trace, and returns an owner for each key.
+The baselines need no consensus and no handover, so they have no unavailable
+time to compare; only load and moved keys are compared.
 """
 
 import bisect
@@ -13,16 +13,16 @@
 
 from mimosastile_core import keys
 
-_POINTS = 100
-_BOUND = 1.15
+_POINTS_PER_TARGET = 100
+_LOAD_FACTOR = 1.15
 
 
 class Key(msgspec.Struct, frozen=True):
     """A key of a trace.
 
     Attributes:
-        position: Its hash.
-        load: Its share of all load.
+        position: Hash of the key.
+        load: Fraction of the total load.
     """
 
     position: int
@@ -30,7 +30,7 @@
 
 
 def modulo(trace: Sequence[Key], targets: Sequence[str]) -> list[str]:
-    """Hashing modulo n."""
+    """Assigns keys by hash modulo the number of targets."""
     names = sorted(targets)
     return [names[key.position % len(names)] for key in trace]
 
@@ -41,7 +41,7 @@
 
 
 def rendezvous(trace: Sequence[Key], targets: Sequence[str]) -> list[str]:
-    """Highest random weight."""
+    """Assigns keys by rendezvous hashing (highest random weight)."""
     return [
         max(targets, key=lambda t, p=key.position: _weight(p, t))  # type: ignore[misc]
         for key in trace
@@ -49,28 +49,31 @@
 
 
 def bounded(trace: Sequence[Key], targets: Sequence[str]) -> list[str]:
-    """Consistent hashing with bounded loads.
+    """Assigns keys by consistent hashing with bounded loads.
 
-    A key goes to the first target on the ring behind it that stays within the
-    bound, by load and not by count. A key that is larger than the bound goes
-    to the first one that is empty, or simply to the first.
+    A key goes to the next target on the ring whose load stays within the bound;
+    the bound counts load, not keys. If no target has that much room, as for a
+    key with more load than the bound, it goes to the next target on the ring.
     """
     ring = sorted(
         (keys.key_hash(f"{target}#{i}"), target)
         for target in targets
-        for i in range(_POINTS)
+        for i in range(_POINTS_PER_TARGET)
     )
     points = [point for point, _ in ring]
-    most = _BOUND * sum(key.load for key in trace) / len(targets)
-    held = dict.fromkeys(targets, 0.0)
+    max_load = _LOAD_FACTOR * sum(key.load for key in trace) / len(targets)
+    loads = dict.fromkeys(targets, 0.0)
     owners = []
     for key in trace:
-        at = bisect.bisect_left(points, key.position) % len(ring)
-        behind = (ring[(at + i) % len(ring)][1] for i in range(len(ring)))
+        start = bisect.bisect_left(points, key.position) % len(ring)
+        successors = (
+            ring[(start + i) % len(ring)][1] for i in range(len(ring))
+        )
         owner = next(
-            (t for t in behind if held[t] + key.load <= most), ring[at][1]
+            (t for t in successors if loads[t] + key.load <= max_load),
+            ring[start][1],
         )
-        held[owner] += key.load
+        loads[owner] += key.load
         owners.append(owner)
     return owners
 
@@ -80,4 +83,4 @@
     "rendezvous": rendezvous,
     "bounded": bounded,
 }
-"""Baselines by name."""
+"""Assignment algorithms by name."""
--- a/packages/mimosastile-standins/src/mimosastile_standins/bench.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/bench.py
@@ -1,8 +1,8 @@
-"""Cost of the request path: a bare hop, the entry VM, its decisions alone.
+"""Benchmark of the request path: bare proxy, entry VM and decisions alone.
 
-Each role is a process of its own, started by `make bench`, so that the cost of
-callers and target is not counted as the hop's. Roles find each other by files
-in a directory and end when the load is done.
+`make bench` starts each role as a separate process, so that the cost of callers
+and target is not attributed to the measured hop. Roles discover each other's
+ports from files in a shared directory and exit when the load ends.
 """
 
 import asyncio
@@ -42,10 +42,10 @@
 _HOPS = ("bare", "entry")
 _KEYS = 1000
 _POLL_SECONDS = 0.05
-_LIFE_SECONDS = 120.0
-_WARM_REQUESTS = 50
+_WAIT_TIMEOUT_SECONDS = 120.0
+_WARM_UP_REQUESTS = 50
 _ROUNDS = 5
-"""Bare hop and entry VM take turns; the median round counts."""
+"""Rounds alternate between the hops; the median round is reported."""
 
 _DONE = "done"
 _HIGHEST_MICROSECONDS = 60_000_000
@@ -59,14 +59,14 @@
 
     Attributes:
         hop: What was measured: "bare", "entry" or "decisions".
-        size: Bytes of an answer.
-        concurrency: Requests under way at a time.
-        requests: How many were counted.
-        per_second: Throughput.
-        p50_ms: Median time to the whole answer.
-        p99_ms: Time that 99 of 100 stay under.
-        cpu_us: Processor time of the measured process for one request.
-        memory_mb: Its largest resident memory so far.
+        size: Bytes of a response body.
+        concurrency: Number of concurrent requests.
+        requests: Number of measured requests.
+        per_second: Requests per second.
+        p50_ms: Median latency to the end of the response.
+        p99_ms: 99th percentile of that latency.
+        cpu_us: CPU time of the measured process per request.
+        memory_mb: Peak resident memory of the measured process.
     """
 
     hop: str
@@ -81,14 +81,14 @@
 
 
 class Usage(msgspec.Struct):
-    """What a process has used so far: processor seconds and megabytes."""
+    """CPU seconds and peak resident memory, in megabytes, of a process."""
 
     cpu: float
     memory: float
 
 
 def document() -> config.Document:
-    """Returns a configuration in which nothing has to wait."""
+    """Returns a configuration in which no request has to queue."""
     service = config.Service(
         key=config.KeySource(config.KeyPlace.PATH),
         slots=max(CONCURRENCY),
@@ -103,17 +103,17 @@
 
 
 def path_of(number: int, size: int) -> str:
-    """Returns a path that asks for an answer of some size."""
+    """Returns the path of a request for a response of `size` bytes."""
     return f"/{SERVICE}/k{number % _KEYS}/{size}"
 
 
 def usage() -> Usage:
-    """Returns what this process has used so far."""
+    """Returns the resource usage of this process so far."""
     used = resource.getrusage(resource.RUSAGE_SELF)
     return Usage(used.ru_utime + used.ru_stime, used.ru_maxrss / 1024)
 
 
-async def _answer(send: Any, body: bytes) -> None:
+async def _respond(send: Any, body: bytes) -> None:
     length = str(len(body)).encode()
     await send(
         {
@@ -125,8 +125,8 @@
     await send({"type": "http.response.body", "body": body})
 
 
-def target_app(run: target.Target) -> App:
-    """Returns a target that costs little: it takes grants and answers."""
+def target_app(test_target: target.Target) -> App:
+    """Returns a minimal target application that accepts grants."""
     bodies = {str(size): b"x" * size for size in SIZES}
 
     async def app(scope: Scope, receive: Any, send: Any) -> None:
@@ -134,15 +134,17 @@
         if path == "/-/grant":
             message = await receive()
             grant = msgspec.json.decode(message["body"], type=grants.Grant)
-            await _answer(send, msgspec.json.encode(await run.grant(grant)))
+            await _respond(
+                send, msgspec.json.encode(await test_target.grant(grant))
+            )
             return
-        await _answer(send, bodies[path.rpartition("/")[2]])
+        await _respond(send, bodies[path.rpartition("/")[2]])
 
     return app
 
 
 def bare_app(session: aiohttp.ClientSession, port: int) -> App:
-    """Returns a forwarding hop without any logic."""
+    """Returns a proxy application that forwards to `port` unconditionally."""
 
     async def app(scope: Scope, receive: Any, send: Any) -> None:
         await receive()
@@ -177,25 +179,25 @@
     return app
 
 
-class Meeting:
-    """The directory in which roles find each other."""
+class PortDirectory:
+    """Directory through which the roles discover each other's ports."""
 
-    __slots__ = ("_at",)
+    __slots__ = ("_path",)
 
-    def __init__(self, at: pathlib.Path) -> None:
-        self._at = at
+    def __init__(self, path: pathlib.Path) -> None:
+        self._path = path
 
-    def say(self, name: str, *ports: int) -> None:
-        """Writes a role's ports, or that all is done."""
-        self._at.mkdir(parents=True, exist_ok=True)
-        made = self._at / f"{name}.new"
-        made.write_text(" ".join(map(str, ports)))
-        made.rename(self._at / name)
+    def publish(self, name: str, *ports: int) -> None:
+        """Publishes a role's ports, or the end of the load."""
+        self._path.mkdir(parents=True, exist_ok=True)
+        new = self._path / f"{name}.new"
+        new.write_text(" ".join(map(str, ports)))
+        new.rename(self._path / name)
 
-    async def hear(self, name: str) -> list[int]:
-        """Waits for what a role says and returns its ports."""
-        found = self._at / name
-        async with asyncio.timeout(_LIFE_SECONDS):
+    async def wait_for(self, name: str) -> list[int]:
+        """Waits until a role is published and returns its ports."""
+        found = self._path / name
+        async with asyncio.timeout(_WAIT_TIMEOUT_SECONDS):
             while not found.exists():
                 await asyncio.sleep(_POLL_SECONDS)
         return [int(port) for port in found.read_text().split()]
@@ -207,42 +209,45 @@
 
 
 async def _usage_app(scope: Scope, receive: Any, send: Any) -> None:
-    await _answer(send, msgspec.json.encode(usage()))
+    await _respond(send, msgspec.json.encode(usage()))
 
 
-async def serve_target(meeting: Meeting) -> None:
-    """Runs target, store and list of VMs until the load is done."""
-    kept, listed = store.MemoryStore(), vms.MemoryFleet()
+async def serve_target(directory: PortDirectory) -> None:
+    """Runs the target, the store and the list of VMs until the load ends."""
+    memory_store, memory_fleet = store.MemoryStore(), vms.MemoryFleet()
     version = msgspec.json.encode(config.Version(1, document()))
-    await kept.compare_and_swap("config/current", version, 0)
+    await memory_store.compare_and_swap("config/current", version, 0)
     port = await _listen(target_app(target.Target("t0")))
-    listed.put(fleet.Vm("t0", fleet.Role.TARGET, "r", "z", HOST, port, SERVICE))
-    listed.put(fleet.Vm("entry", fleet.Role.ENTRY, "r", "z", HOST, 1))
-    store_port = await _listen(serving.store_app(kept))
-    fleet_port = await _listen(serving.fleet_app(listed))
-    meeting.say("target", port, store_port, fleet_port)
-    await meeting.hear(_DONE)
-    # Ends the waiting watches, which would be cut off with a stack trace.
-    kept.go_down()
+    memory_fleet.put(
+        fleet.Vm("t0", fleet.Role.TARGET, "r", "z", HOST, port, SERVICE)
+    )
+    memory_fleet.put(fleet.Vm("entry", fleet.Role.ENTRY, "r", "z", HOST, 1))
+    store_port = await _listen(serving.store_app(memory_store))
+    fleet_port = await _listen(serving.fleet_app(memory_fleet))
+    directory.publish("target", port, store_port, fleet_port)
+    await directory.wait_for(_DONE)
+    # Ends pending watches, which would otherwise be cancelled with a stack
+    # trace.
+    memory_store.go_down()
     await asyncio.sleep(_POLL_SECONDS)
 
 
-async def serve_bare(meeting: Meeting) -> None:
-    """Runs the bare hop until the load is done."""
-    port = (await meeting.hear("target"))[0]
+async def serve_bare(directory: PortDirectory) -> None:
+    """Runs the bare proxy until the load ends."""
+    port = (await directory.wait_for("target"))[0]
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(
         connector=connector, auto_decompress=False
     ) as session:
         hop = await _listen(bare_app(session, port))
-        meeting.say("bare", hop, await _listen(_usage_app))
-        await meeting.hear(_DONE)
+        directory.publish("bare", hop, await _listen(_usage_app))
+        await directory.wait_for(_DONE)
 
 
-async def serve_entry(meeting: Meeting) -> None:
-    """Runs a daemon until the load is done."""
-    _, store_port, fleet_port = await meeting.hear("target")
-    made = daemon.assemble(
+async def serve_entry(directory: PortDirectory) -> None:
+    """Runs an entry daemon until the load ends."""
+    _, store_port, fleet_port = await directory.wait_for("target")
+    entry_daemon = daemon.assemble(
         settings.Settings(
             settings.VmSettings("entry", "r", "z", HOST, 0, 0),
             settings.PlatformSettings(
@@ -251,11 +256,11 @@
             limits=settings.LimitSettings(shutdown_seconds=1),
         )
     )
-    await made.start()
-    port = made.find("listeners").ports["callers"]
-    meeting.say("entry", port, await _listen(_usage_app))
-    await meeting.hear(_DONE)
-    await made.stop()
+    await entry_daemon.start()
+    port = entry_daemon.find("listeners").ports["callers"]
+    directory.publish("entry", port, await _listen(_usage_app))
+    await directory.wait_for(_DONE)
+    await entry_daemon.stop()
 
 
 async def _load(
@@ -265,7 +270,7 @@
     concurrency: int,
     seconds: float,
 ) -> tuple[histogram.HdrHistogram, float]:
-    """Sends requests; returns the answer times and how long it took."""
+    """Sends requests; returns latencies in microseconds and elapsed seconds."""
     times = histogram.HdrHistogram(1, _HIGHEST_MICROSECONDS, 3)
     numbers = itertools.count()
     began = time.perf_counter()
@@ -277,7 +282,10 @@
             async with session.get(url) as response:
                 body = await response.read()
             if response.status != 200 or len(body) != size:
-                raise RuntimeError(f"{response.status}: {body[:200]!r}")
+                raise RuntimeError(
+                    f"unexpected response with status {response.status}:"
+                    f" {body[:200]!r}"
+                )
             times.record_value(int((time.perf_counter() - sent) * 1e6))
 
     await asyncio.gather(*(work() for _ in range(concurrency)))
@@ -286,28 +294,28 @@
 
 async def _measure(
     session: aiohttp.ClientSession,
-    meeting: Meeting,
+    directory: PortDirectory,
     hop: str,
     case: tuple[int, int],
     seconds: float,
 ) -> Cell:
     size, concurrency = case
-    port, usage_port = await meeting.hear(hop)
+    port, usage_port = await directory.wait_for(hop)
 
-    async def used() -> Usage:
+    async def read_usage() -> Usage:
         async with session.get(f"http://{HOST}:{usage_port}/") as response:
             return msgspec.json.decode(await response.read(), type=Usage)
 
-    before = await used()
-    times, took = await _load(session, port, size, concurrency, seconds)
-    after = await used()
+    before = await read_usage()
+    times, elapsed = await _load(session, port, size, concurrency, seconds)
+    after = await read_usage()
     count = times.get_total_count()
     return Cell(
         hop,
         size,
         concurrency,
         count,
-        count / took,
+        count / elapsed,
         times.get_value_at_percentile(50) / 1000,
         times.get_value_at_percentile(99) / 1000,
         (after.cpu - before.cpu) / count * 1e6,
@@ -315,24 +323,26 @@
     )
 
 
-async def _warm(
-    session: aiohttp.ClientSession, meeting: Meeting, hop: str
+async def _warm_up(
+    session: aiohttp.ClientSession, directory: PortDirectory, hop: str
 ) -> None:
-    port = (await meeting.hear(hop))[0]
-    async with asyncio.timeout(_LIFE_SECONDS):
-        good = 0
-        while good < _WARM_REQUESTS:
-            url = f"http://{HOST}:{port}{path_of(good, SIZES[0])}"
+    port = (await directory.wait_for(hop))[0]
+    async with asyncio.timeout(_WAIT_TIMEOUT_SECONDS):
+        succeeded = 0
+        while succeeded < _WARM_UP_REQUESTS:
+            url = f"http://{HOST}:{port}{path_of(succeeded, SIZES[0])}"
             async with session.get(url) as response:
-                good = good + 1 if response.ok else 0
+                succeeded = succeeded + 1 if response.ok else 0
 
 
-async def load(meeting: Meeting, seconds: float, out: pathlib.Path) -> None:
+async def load(
+    directory: PortDirectory, seconds: float, out: pathlib.Path
+) -> None:
     """Measures all cells, prints the table and writes it as text and JSON.
 
     Args:
-        meeting: Where the hops are found.
-        seconds: How long each of the rounds of a cell takes.
+        directory: Directory with the ports of the hops.
+        seconds: Duration of each round of a cell.
         out: Directory of the results.
     """
     cells: list[Cell] = []
@@ -342,16 +352,16 @@
             headers=headers, connector=aiohttp.TCPConnector(limit=0)
         ) as session:
             for hop in _HOPS:
-                await _warm(session, meeting, hop)
+                await _warm_up(session, directory, hop)
             for case in itertools.product(SIZES, CONCURRENCY):
                 rounds = [
-                    await _measure(session, meeting, hop, case, seconds)
+                    await _measure(session, directory, hop, case, seconds)
                     for _ in range(_ROUNDS)
                     for hop in _HOPS
                 ]
                 cells += [_median(rounds, hop) for hop in _HOPS]
     finally:
-        meeting.say(_DONE)
+        directory.publish(_DONE)
     for concurrency in CONCURRENCY:
         rounds = [await decisions(concurrency, seconds) for _ in range(_ROUNDS)]
         cells.append(_median(rounds, "decisions"))
@@ -364,11 +374,11 @@
 
 
 async def decisions(concurrency: int, seconds: float) -> Cell:
-    """Measures the path from a request's head to an answer, no sockets."""
+    """Measures request handling without sockets."""
     async with _bench_decisions.callers_app(document(), SERVICE) as app:
-        ask = _bench_decisions.asker(app, TOKEN)
-        for number in range(_WARM_REQUESTS):
-            await ask(path_of(number, SIZES[0]))
+        request = _bench_decisions.requester(app, TOKEN)
+        for number in range(_WARM_UP_REQUESTS):
+            await request(path_of(number, SIZES[0]))
         numbers = itertools.count()
         times = histogram.HdrHistogram(1, _HIGHEST_MICROSECONDS, 3)
         before, began = usage(), time.perf_counter()
@@ -376,19 +386,19 @@
         async def work() -> None:
             while time.perf_counter() - began < seconds:
                 sent = time.perf_counter()
-                await ask(path_of(next(numbers), SIZES[0]))
+                await request(path_of(next(numbers), SIZES[0]))
                 times.record_value(int((time.perf_counter() - sent) * 1e6))
                 await asyncio.sleep(0)
 
         await asyncio.gather(*(work() for _ in range(concurrency)))
-        took, after = time.perf_counter() - began, usage()
+        elapsed, after = time.perf_counter() - began, usage()
     count = times.get_total_count()
     return Cell(
         "decisions",
         SIZES[0],
         concurrency,
         count,
-        count / took,
+        count / elapsed,
         times.get_value_at_percentile(50) / 1000,
         times.get_value_at_percentile(99) / 1000,
         (after.cpu - before.cpu) / count * 1e6,
@@ -423,19 +433,21 @@
 async def run(
     role: str, at: pathlib.Path, seconds: float, out: pathlib.Path
 ) -> None:
-    """Runs one role of the bench.
+    """Runs one role of the benchmark.
 
     Args:
         role: "target", "bare", "entry" or "load".
-        at: Directory in which the roles meet; empty at the start.
-        seconds: How long each cell is measured.
+        at: Directory through which the roles discover each other; empty at
+            the start.
+        seconds: Duration of each round of a cell.
         out: Directory of the results.
     """
-    meeting = Meeting(at)
-    # In all roles alike, so that it is no advantage of the entry VM.
+    directory = PortDirectory(at)
+    # All roles use the same collector settings, so that the entry VM has no
+    # advantage.
     daemon.tune_collector()
     if role == "load":
-        await load(meeting, seconds, out)
+        await load(directory, seconds, out)
         return
     roles = {"target": serve_target, "bare": serve_bare, "entry": serve_entry}
-    await roles[role](meeting)
+    await roles[role](directory)
--- a/packages/mimosastile-standins/src/mimosastile_standins/comparing.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/comparing.py
@@ -1,23 +1,23 @@
-"""Compares results with those of an earlier commit."""
+"""Compares measurement results with those of an earlier commit."""
 
 from collections.abc import Iterator
 import json
 import pathlib
 from typing import Any
 
-_LEAST_CHANGE = 0.1
-"""Smaller shares of change are not told."""
+_MIN_RELATIVE_CHANGE = 0.1
+"""Smaller relative changes are not reported."""
 
 
 def differences(former: pathlib.Path, latter: pathlib.Path) -> Iterator[str]:
-    """Yields a line for each figure that changed by more than a tenth.
+    """Yields a line for each number that changed by more than 10%.
 
-    Rows are the same if all their texts are; a row that one side lacks is
-    told as such.
+    Rows match if all their strings and sizes are equal. A row that exists on
+    one side only is reported as new or gone.
 
     Args:
-        former: Folder of the earlier results.
-        latter: Folder of the later ones.
+        former: Directory of the earlier results.
+        latter: Directory of the later results.
     """
     for path in sorted(latter.glob("*.json")):
         before = _rows(former / path.name)
@@ -38,15 +38,15 @@
         new: Any = after.get(key)
         if not _is_number(old) or not _is_number(new):
             continue
-        if abs(new - old) > _LEAST_CHANGE * max(abs(old), abs(new)):
+        if abs(new - old) > _MIN_RELATIVE_CHANGE * max(abs(old), abs(new)):
             yield f"{name} {key}: {old:g} -> {new:g}"
 
 
 def _rows(path: pathlib.Path) -> dict[str, dict[str, Any]]:
     if not path.exists():
         return {}
-    found = json.loads(path.read_text(encoding="utf-8"))
-    rows = found if isinstance(found, list) else [found]
+    results = json.loads(path.read_text(encoding="utf-8"))
+    rows = results if isinstance(results, list) else [results]
     return {_name(row): row for row in rows if isinstance(row, dict)}
 
 
--- a/packages/mimosastile-standins/src/mimosastile_standins/measures.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/measures.py
@@ -1,4 +1,4 @@
-"""Imbalance and churn of placement beside baselines, by event traces."""
+"""Measures imbalance and churn of placement and of baselines by traces."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -25,27 +25,27 @@
         imbalance=4.0, begin_above=0.08, end_below=0.04
     ),
 }
-"""The two users' weights: one dreads waiting most, the other uneven load."""
+"""The two users' weights: one weights unavailability, the other imbalance."""
 
 Targets = dict[str, tuple[str, str]]
 Trace = Sequence[baselines.Key]
 
 
 class Row(msgspec.Struct, frozen=True):
-    """One way of placement in one case.
+    """Results of one placement scheme in one case.
 
     Attributes:
         deployment: The deployment.
         exponent: Exponent of Zipf's law.
-        case: What happens.
-        scheme: The way of placement.
-        events: How many events.
-        imbalance: Load of the fullest target over the mean, worst event.
+        case: Name of the case.
+        scheme: Name of the placement scheme.
+        events: Number of events.
+        imbalance: Largest load of a target over the mean, worst event.
         imbalance_p99: The same at the 99th percentile of targets.
-        floor: Least imbalance that the hottest key allows.
-        churn: Share of keys that changed owner, mean by event.
-        least: Share of keys that had to, mean by event.
-        slices: Slices at the end, 0 for baselines.
+        floor: Lower bound of the imbalance, given by the hottest key.
+        churn: Fraction of keys that changed owner, mean per event.
+        least: Fraction of keys whose owner left or crashed, mean per event.
+        slices: Number of slices at the end, 0 for baselines.
     """
 
     deployment: str
@@ -65,10 +65,10 @@
     """One step of a case.
 
     Attributes:
-        lost: Target that dies.
-        left: Target that is drained.
-        joined: Target that is new.
-        trace: Loads from here on.
+        lost: Target that crashes, empty for none.
+        left: Target that is drained, empty for none.
+        joined: Target that is added, empty for none.
+        trace: Load per key from this event on.
     """
 
     trace: tuple[baselines.Key, ...]
@@ -77,25 +77,25 @@
     joined: str = ""
 
 
-class _Ours:
-    """The product's placement as a scheme."""
+class _CorePlacement:
+    """The core's placement as a scheme."""
 
     def __init__(self, name: str, targets: Targets, trace: Trace) -> None:
         slices = _service(name).slices
-        self.placed = traces.Placement(targets, slices, WEIGHTS[name])
-        self.placed.settle(trace)
-        self.owners = self.placed.owners(trace)
+        self.placement = traces.Placement(targets, slices, WEIGHTS[name])
+        self.placement.settle(trace)
+        self.owners = self.placement.owners(trace)
 
     def apply(self, event: Event, targets: Targets) -> list[str]:
-        """Carries one event out and returns the owners after it."""
+        """Applies one event and returns the resulting owner of each key."""
         if event.joined:
-            self.placed.join(event.joined, targets[event.joined])
+            self.placement.join(event.joined, targets[event.joined])
         if event.left:
-            self.placed.leave(event.left, event.trace)
+            self.placement.leave(event.left, event.trace)
         if event.lost:
-            self.placed.lose(event.lost)
-        self.placed.settle(event.trace)
-        return self.placed.owners(event.trace)
+            self.placement.lose(event.lost)
+        self.placement.settle(event.trace)
+        return self.placement.owners(event.trace)
 
 
 class _Baseline:
@@ -111,7 +111,7 @@
         self.owners = assign(trace, sorted(targets))
 
     def apply(self, event: Event, targets: Targets) -> list[str]:
-        """Carries one event out and returns the owners after it."""
+        """Applies one event and returns the resulting owner of each key."""
         return self._assign(event.trace, sorted(targets))
 
 
@@ -120,7 +120,7 @@
 
 
 def targets_of(name: str) -> Targets:
-    """Returns the targets of a deployment's divided service."""
+    """Returns region and zone per target of the sharded service."""
     return {
         vm.id: (vm.region, vm.zone)
         for vm in deployments.DEPLOYMENTS[name].vms()
@@ -130,18 +130,18 @@
 
 def cases(targets: Targets, trace: Trace) -> dict[str, list[Event]]:
     """Returns the events of each case."""
-    kept = tuple(trace)
+    initial = tuple(trace)
     first, *_ = sorted(targets)
     hot: list[Event] = []
     for seed in range(_HOT_CHANGES):
-        before = hot[-1].trace if hot else kept
+        before = hot[-1].trace if hot else initial
         hot.append(Event(tuple(traces.move_hottest(before, seed))))
     return {
-        "one loss": [Event(kept, lost=first)],
-        "one planned stop": [Event(kept, left=first)],
-        "one new target": [Event(kept, joined="fresh")],
+        "one loss": [Event(initial, lost=first)],
+        "one planned stop": [Event(initial, left=first)],
+        "one new target": [Event(initial, joined="fresh")],
         "rolling replacement of targets": [
-            Event(kept, left=old, joined=f"fresh-{i}")
+            Event(initial, left=old, joined=f"fresh-{i}")
             for i, old in enumerate(sorted(targets))
         ],
         "hot keys moving": hot,
@@ -149,18 +149,18 @@
 
 
 def _after(targets: Targets, event: Event) -> Targets:
-    gone = {event.lost, event.left}
-    after = {t: place for t, place in targets.items() if t not in gone}
+    removed = {event.lost, event.left}
+    after = {t: locality for t, locality in targets.items() if t not in removed}
     if event.joined:
-        place = targets.get(event.left) or next(iter(targets.values()))
-        after[event.joined] = place
+        locality = targets.get(event.left) or next(iter(targets.values()))
+        after[event.joined] = locality
     return after
 
 
 def _measure(
-    scheme: _Ours | _Baseline, targets: Targets, events: list[Event]
+    scheme: _CorePlacement | _Baseline, targets: Targets, events: list[Event]
 ) -> tuple[float, float, float, float]:
-    """Returns worst imbalance, its p99, mean churn and mean least churn."""
+    """Returns worst imbalance, worst p99, mean churn and mean least churn."""
     worst = p99 = churn = least = 0.0
     owners = scheme.owners
     for event in events:
@@ -180,7 +180,7 @@
 
 
 def rows(name: str, exponent: float) -> Iterator[Row]:
-    """Yields all rows of one deployment and one law of load."""
+    """Yields all rows of one deployment and one Zipf exponent."""
     targets = targets_of(name)
     trace = traces.zipf(KEYS, exponent, _SEED)
     hottest = max(key.load for key in trace)
@@ -188,13 +188,19 @@
     for (case, events), scheme in itertools.product(
         cases(targets, trace).items(), schemes
     ):
-        made: _Ours | _Baseline
+        scheme_state: _CorePlacement | _Baseline
         if scheme == "mimosastile":
-            made = _Ours(name, targets, trace)
+            scheme_state = _CorePlacement(name, targets, trace)
         else:
-            made = _Baseline(baselines.BASELINES[scheme], targets, trace)
-        worst, p99, churn, least = _measure(made, targets, events)
-        slices = len(made.placed.block.slices) if isinstance(made, _Ours) else 0
+            scheme_state = _Baseline(
+                baselines.BASELINES[scheme], targets, trace
+            )
+        worst, p99, churn, least = _measure(scheme_state, targets, events)
+        slices = (
+            len(scheme_state.placement.block.slices)
+            if isinstance(scheme_state, _CorePlacement)
+            else 0
+        )
         count = len(_after(targets, events[-1]))
         yield Row(
             name,
@@ -220,8 +226,8 @@
     ]
 
 
-def table(found: Sequence[Row]) -> str:
-    """Returns rows as text for people."""
+def table(results: Sequence[Row]) -> str:
+    """Formats rows as a text table."""
     head = (
         f"{'deployment':<12}{'zipf':>5} {'case':<32}{'scheme':<13}"
         f"{'max/mean':>9}{'p99':>7}{'floor':>7}{'churn':>9}{'least':>9}"
@@ -231,6 +237,6 @@
         f"{r.deployment:<12}{r.exponent:>5} {r.case:<32}{r.scheme:<13}"
         f"{r.imbalance:>9.3f}{r.imbalance_p99:>7.3f}{r.floor:>7.3f}"
         f"{r.churn:>9.4f}{r.least:>9.4f}{r.slices:>8}"
-        for r in found
+        for r in results
     ]
     return "\n".join([head, *lines])
--- a/packages/mimosastile-standins/src/mimosastile_standins/policy.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/policy.py
@@ -1,8 +1,8 @@
-"""A model of the request path for measuring policy in virtual time.
+"""Simulation of the request path that compares policies in virtual time.
 
-The decisions are the core's own: queues, limits, balance, retries, pacing.
-Targets are no more than slots, a service time and a connection limit. Baseline
-strategies replace one decision each and see the same arrivals.
+Queues, limits, load balancing, retries and pacing are the core's own code.
+A simulated target has slots, a service time and a connection limit only. Each
+baseline strategy replaces one decision and gets the same arrivals.
 """
 
 import asyncio
@@ -22,26 +22,28 @@
 from mimosastile_standins import deployments
 from mimosastile_standins import virtual
 
-_REPORT_SECONDS = 0.1
-_FOR_EVER = 1e9
-_DEAL_SECONDS = 0.1
-_ASK_PAUSES = (0.0, 0.06)
+_REPORT_INTERVAL_SECONDS = 0.1
+_UNLIMITED_BURST = 1e9
+_SLOT_SHARE_SECONDS = 0.1
+_SHARE_REQUEST_DELAYS_SECONDS = (0.0, 0.06)
 
 
 class Strategy(msgspec.Struct, frozen=True):
-    """Which decisions are the product's and which a baseline's.
+    """Selects for each decision the product's policy or a baseline's.
 
     Attributes:
         name: Name in the report.
-        fair: Fair queue with early refusal at the keeper; else first come,
-            first served.
-        queued: Slots are counted at the keeper; else everything is sent on
+        fair: Fair queue with early rejection at the keeper, the entry VM
+            through which alone a target gets requests and grants; otherwise
+            first come, first served.
+        queued: The keeper counts slots; otherwise every request is forwarded
             and waits at the target.
-        limited: Members' limits are kept.
-        balanced: Least loaded of two; else plain round robin.
+        limited: Members' limits are enforced.
+        balanced: Power of two choices; otherwise plain round robin.
         budgeted: Retries draw on a budget.
-        paced: What crosses the link is paced by class.
-        dealt: Slots are dealt out among entry VMs instead of one queue.
+        paced: Traffic on the link is paced by priority class.
+        dealt: Each target's slots are divided among the entry VMs instead of
+            being assigned from one queue.
     """
 
     name: str
@@ -64,15 +66,15 @@
 
 
 class Load(msgspec.Struct, frozen=True):
-    """A stream of like requests.
+    """A stream of requests with equal properties.
 
     Attributes:
-        member: Who sends.
-        service: What is asked.
-        rate: Requests a second.
-        seconds: Mean time that a target needs for one.
-        priority: Their class.
-        idempotent: Whether they may run twice.
+        member: The member that sends the requests.
+        service: The requested service.
+        rate: Requests per second.
+        seconds: Mean service time of a request at a target.
+        priority: Priority class of the requests.
+        idempotent: Whether a request may run more than once.
         deadline: Seconds until the caller gives up.
     """
 
@@ -86,14 +88,14 @@
 
 
 class Record(msgspec.Struct):
-    """What became of one request.
+    """The outcome of one request.
 
     Attributes:
-        load: The stream it belongs to.
-        began: When it came.
-        seconds: Time until its caller had the answer.
-        failure: Why it failed, None if it did not.
-        sends: How often a target began to run it.
+        load: The stream that the request belongs to.
+        began: Arrival time in virtual seconds.
+        seconds: Time from arrival to the caller's response.
+        failure: Kind of the failure, None on success.
+        sends: Number of times that a target started to run the request.
     """
 
     load: Load
@@ -104,19 +106,19 @@
 
 
 class FakeTarget:
-    """Slots, a service time and a connection limit.
+    """A target with slots, a service time and a connection limit.
 
     Attributes:
-        vm: Where it stands.
-        slots: Requests that it runs at a time.
-        alive: Whether it answers.
-        faulty: Share of its answers that are lost.
-        overrun: Largest number of requests at one time.
-        sent: Requests that reached it.
+        vm: The target's VM.
+        slots: Number of requests that run concurrently.
+        alive: Whether the target responds.
+        faulty: Fraction of responses that are lost.
+        overrun: Largest number of concurrent requests so far.
+        sent: Number of requests received.
     """
 
     def __init__(
-        self, vm: fleet.Vm, service: config.Service, chance: random.Random
+        self, vm: fleet.Vm, service: config.Service, generator: random.Random
     ) -> None:
         self.vm = vm
         self.slots = service.slots
@@ -124,125 +126,125 @@
         self.faulty = 0.0
         self.overrun = 0
         self.sent = 0
-        self._chance = chance
+        self._random = generator
         self._connections = service.connections
-        self._turns = asyncio.Semaphore(service.slots)
-        self._present = 0
+        self._free_slots = asyncio.Semaphore(service.slots)
+        self._request_count = 0
 
     async def run(self, record: Record) -> errors.ErrorKind | None:
-        """Runs a request; it waits inside if all slots are taken."""
-        if not self.alive or self._present >= self._connections:
+        """Runs a request; it waits at the target while all slots are in use."""
+        if not self.alive or self._request_count >= self._connections:
             return errors.ErrorKind.UNREACHABLE
-        self._present += 1
+        self._request_count += 1
         self.sent += 1
-        self.overrun = max(self.overrun, self._present)
+        self.overrun = max(self.overrun, self._request_count)
         try:
-            async with self._turns:
+            async with self._free_slots:
                 record.sends += 1
                 mean = record.load.seconds
-                # Two thirds of the time are the same for all requests.
-                spread = self._chance.expovariate(3 / mean)
+                # Two thirds of the service time are constant.
+                spread = self._random.expovariate(3 / mean)
                 await asyncio.sleep(mean * 2 / 3 + spread)
         finally:
-            self._present -= 1
-        if not self.alive or self._chance.random() < self.faulty:
+            self._request_count -= 1
+        if not self.alive or self._random.random() < self.faulty:
             return errors.ErrorKind.ANSWER_LOST
         return None
 
 
 class FirstComeQueue(queueing.TargetQueue):
-    """Baseline: one line for all, nobody refused before the deadline."""
+    """Baseline: one FIFO queue; no request is rejected before its deadline."""
 
     def __init__(self, slots: int, policy: config.Queue) -> None:
         super().__init__(slots, policy)
         self._share = slots
-        self._line: collections.deque[queueing.Ticket] = collections.deque()
+        self._queue: collections.deque[queueing.Ticket] = collections.deque()
         self._holders: set[queueing.Ticket] = set()
 
     @property
     def held(self) -> int:
-        """Slots that are held."""
+        """Number of slots in use."""
         return len(self._holders)
 
     @property
-    def line(self) -> int:
-        """Requests that wait."""
-        return len(self._line)
+    def queue_length(self) -> int:
+        """Number of waiting requests."""
+        return len(self._queue)
 
     def offer(
         self, ticket: queueing.Ticket, deadline: float, now: float
     ) -> errors.Failure | None | list[queueing.Action]:
-        """Takes a free slot or the end of the line."""
+        """Takes a free slot or appends the request to the queue."""
         if len(self._holders) < self._share:
             self._holders.add(ticket)
             return None
         ticket.latest = deadline
-        self._line.append(ticket)
+        self._queue.append(ticket)
         return []
 
     def leave(
         self, ticket: queueing.Ticket, now: float
     ) -> list[queueing.Action]:
-        """Gives a slot to the first in line."""
+        """Releases a slot or a queue entry and starts the next request."""
         if ticket in self._holders:
             self._holders.remove(ticket)
-        elif ticket in self._line:
-            self._line.remove(ticket)
+        elif ticket in self._queue:
+            self._queue.remove(ticket)
         return self.resize(self._share)
 
     def resize(self, share: int) -> list[queueing.Action]:
-        """Takes another number of slots and starts whom it can."""
+        """Sets the number of slots and starts requests while slots are free."""
         self._share = share
         actions: list[queueing.Action] = []
-        while self._line and len(self._holders) < share:
-            first = self._line.popleft()
+        while self._queue and len(self._holders) < share:
+            first = self._queue.popleft()
             self._holders.add(first)
             actions.append(queueing.Started(first))
         return actions
 
 
 class Gate:
-    """The queue of one target, or one VM's dealt share of its slots."""
+    """The queue of one target, or one VM's share of the target's slots."""
 
     def __init__(self, queue: queueing.TargetQueue) -> None:
         self.queue = queue
-        self._turns: dict[
+        self._waiters: dict[
             queueing.Ticket, asyncio.Future[errors.Failure | None]
         ] = {}
 
     async def enter(
         self, ticket: queueing.Ticket, deadline: float
     ) -> errors.ErrorKind | None:
-        """Waits for a slot; returns why there is none."""
+        """Waits for a slot; returns the failure's kind if none is granted."""
         now = virtual.now()
         outcome = self.queue.offer(ticket, deadline, now)
         if not isinstance(outcome, list):
             return outcome.kind if outcome else None
-        turn: asyncio.Future[errors.Failure | None] = (
+        waiter: asyncio.Future[errors.Failure | None] = (
             asyncio.get_running_loop().create_future()
         )
-        self._turns[ticket] = turn
+        self._waiters[ticket] = waiter
         self.carry_out(outcome)
         try:
             async with virtual.limit(max(ticket.latest - now, 0.0)):
-                refused = await turn
+                refused = await waiter
                 return refused.kind if refused else None
         except TimeoutError:
             self.leave(ticket)
             return errors.ErrorKind.QUEUE_TIMEOUT
         finally:
-            self._turns.pop(ticket, None)
+            self._waiters.pop(ticket, None)
 
     def leave(self, ticket: queueing.Ticket) -> None:
-        """Gives a slot or a place in the queue back."""
+        """Releases a slot or a queue entry."""
         self.carry_out(self.queue.leave(ticket, virtual.now()))
 
     def carry_out(self, actions: list[queueing.Action]) -> None:
-        """Tells waiting requests what the queue decided."""
+        """Passes the queue's decisions to the waiting requests."""
         for action in actions:
-            turn = self._turns.get(action.ticket)
-            if turn is not None and not turn.done():
-                turn.set_result(
+            waiter = self._waiters.get(action.ticket)
+            if waiter is not None and not waiter.done():
+                waiter.set_result(
                     action.failure
                     if isinstance(action, queueing.Refused)
                     else None
@@ -250,12 +252,12 @@
 
 
 class Model:
-    """A deployment at full size under one strategy.
+    """Simulation of a deployment at full size under one strategy.
 
     Attributes:
         targets: The targets by VM.
-        records: What became of all requests.
-        owners: Key to target, for services divided by key.
+        records: The outcomes of all requests.
+        changed: Set, and replaced, when a target is removed.
     """
 
     def __init__(
@@ -265,24 +267,24 @@
         seed: int,
         members: dict[str, config.Member],
     ) -> None:
-        """Builds it.
+        """Builds the simulation and starts its background tasks.
 
         Args:
-            deployment: Its places and services.
-            strategy: Who decides.
+            deployment: Its zones, VMs and services.
+            strategy: The policies to apply.
             seed: Seed of arrivals and service times.
             members: The members with shares and limits.
         """
         self._deployment = deployment
         self._strategy = strategy
-        self._chance = random.Random(seed)
+        self._random = random.Random(seed)
         self._members = members
         vms = deployment.vms()
         self._entries = [v for v in vms if v.role is fleet.Role.ENTRY]
         self._names = [v.id for v in self._entries]
         self.targets = {
             v.id: FakeTarget(
-                v, deployment.backends[v.service].service, self._chance
+                v, deployment.backends[v.service].service, self._random
             )
             for v in vms
             if v.role is fleet.Role.TARGET
@@ -300,36 +302,38 @@
         self._ledgers = {
             name: limits.Ledger(-10.0, whole=True) for name in members
         }
-        self._turn = 0
-        self._calls: set[asyncio.Task[None]] = set()
-        self._helpers = [asyncio.create_task(self._deal())]
+        self._round_robin_index = 0
+        self._call_tasks: set[asyncio.Task[None]] = set()
+        self._background_tasks = [asyncio.create_task(self._share_limits())]
         if strategy.dealt:
-            self._helpers.append(asyncio.create_task(self._deal_slots()))
+            self._background_tasks.append(
+                asyncio.create_task(self._share_slots())
+            )
 
     async def offer(self, load: Load, seconds: float) -> None:
-        """Sends a stream of requests, at random moments, for some time."""
+        """Sends a stream of requests with Poisson arrivals for `seconds`."""
         end = virtual.now() + seconds
         while virtual.now() < end:
-            await asyncio.sleep(self._chance.expovariate(load.rate))
+            await asyncio.sleep(self._random.expovariate(load.rate))
             task = asyncio.create_task(self._call(load))
-            self._calls.add(task)
-            task.add_done_callback(self._calls.discard)
+            self._call_tasks.add(task)
+            task.add_done_callback(self._call_tasks.discard)
 
     async def drain(self) -> None:
-        """Waits for all requests and ends the model's own tasks."""
-        while self._calls:
-            await asyncio.gather(*self._calls)
-        for task in self._helpers:
+        """Waits for all requests and cancels the background tasks."""
+        while self._call_tasks:
+            await asyncio.gather(*self._call_tasks)
+        for task in self._background_tasks:
             task.cancel()
 
-    def lose(self, target: str) -> None:
-        """Kills a target; those that run on it get no answer."""
+    def crash(self, target: str) -> None:
+        """Crashes a target; requests that run on it get no response."""
         self.targets[target].alive = False
 
-    def forget(self, target: str) -> None:
-        """Lets the list of VMs say that a target is gone."""
-        lost = self.targets.pop(target)
-        self._refresh(lost.vm.service)
+    def remove_target(self, target: str) -> None:
+        """Removes a target from the list of VMs."""
+        removed = self.targets.pop(target)
+        self._refresh(removed.vm.service)
         self.changed.set()
         self.changed = asyncio.Event()
 
@@ -340,17 +344,17 @@
     def _make_balancers(
         self,
     ) -> dict[tuple[str, str], balancing.Balancer]:
-        made = {
+        balancers = {
             (vm.id, service): balancing.Balancer(
                 balancing.Locality(vm.region, vm.zone)
             )
             for vm in self._entries
             for service in self._deployment.backends
         }
-        self._balancers = made
+        self._balancers = balancers
         for service in self._deployment.backends:
             self._refresh(service)
-        return made
+        return balancers
 
     def _refresh(self, service: str) -> None:
         candidates = [
@@ -366,13 +370,13 @@
     async def _call(self, load: Load) -> None:
         record = Record(load, virtual.now())
         self.records.append(record)
-        # The platform's balancer deals callers out evenly.
-        vm = self._entries[self._turn % len(self._entries)]
-        self._turn += 1
-        record.failure = await self._within_limits(vm, load, record)
+        # The platform's load balancer distributes calls evenly.
+        vm = self._entries[self._round_robin_index % len(self._entries)]
+        self._round_robin_index += 1
+        record.failure = await self._call_within_limits(vm, load, record)
         record.seconds = virtual.now() - record.began
 
-    async def _within_limits(
+    async def _call_within_limits(
         self, vm: fleet.Vm, load: Load, record: Record
     ) -> errors.ErrorKind | None:
         member = self._members[load.member]
@@ -381,7 +385,7 @@
             return await self._route(vm, load, record)
         allowance.record_arrival()
         admitted = self._admit(allowance, member)
-        if not admitted and not await self._ask(vm, load.member):
+        if not admitted and not await self._request_share(vm, load.member):
             return errors.ErrorKind.MEMBER_LIMIT
         try:
             return await self._route(vm, load, record)
@@ -394,12 +398,12 @@
         service = self._deployment.backends[load.service].service
         policy = service.retry
         if not self._strategy.budgeted:
-            policy = config.Retry(budget=1.0, burst=_FOR_EVER)
+            policy = config.Retry(budget=1.0, burst=_UNLIMITED_BURST)
         budget = self._budgets.setdefault(
             (vm.id, load.service), retries.Budget(policy)
         )
         budget.earn(policy)
-        key = self._chance.random()
+        key = self._random.random()
         attempts = retries.Attempts(
             idempotent=load.idempotent,
             streamed=False,
@@ -409,12 +413,12 @@
         while True:
             changed = self.changed
             target = self._choose(vm, load.service, key, attempts)
-            kind = await self._once(vm, target, load, record)
+            kind = await self._attempt(vm, target, load, record)
             if kind is None:
                 return None
             attempts.avoid |= {target}
             decision = attempts.after(
-                kind, policy, budget, virtual.now(), self._chance.random()
+                kind, policy, budget, virtual.now(), self._random.random()
             )
             if decision.step is retries.Step.GIVE_UP:
                 return kind
@@ -435,27 +439,27 @@
         if self._deployment.backends[service].service.key is not None:
             return names[int(key * len(names))]
         if not self._strategy.balanced:
-            self._turn += 1
-            return names[self._turn % len(names)]
+            self._round_robin_index += 1
+            return names[self._round_robin_index % len(names)]
         chosen = self._balancers[vm.id, service].choose(
             attempts.avoid,
             virtual.now(),
-            self._chance.random(),
-            self._chance.random(),
+            self._random.random(),
+            self._random.random(),
         )
         assert chosen is not None
         return chosen
 
-    async def _once(
+    async def _attempt(
         self, vm: fleet.Vm, target: str, load: Load, record: Record
     ) -> errors.ErrorKind | None:
         balancer = self._balancers[vm.id, load.service]
-        run = self.targets[target]
-        delay = self._delay(vm, run.vm)
+        simulated = self.targets[target]
+        delay = self._delay(vm, simulated.vm)
         began = virtual.now()
         balancer.begin(target)
         await asyncio.sleep(delay)
-        kind = await self._at_keeper(vm, run, load, record)
+        kind = await self._run_at_keeper(vm, simulated, load, record)
         await asyncio.sleep(delay)
         balancer.end(target)
         if kind is None:
@@ -466,25 +470,25 @@
             balancer.record_failure(target, virtual.now())
         return kind
 
-    async def _at_keeper(
-        self, vm: fleet.Vm, run: FakeTarget, load: Load, record: Record
+    async def _run_at_keeper(
+        self, vm: fleet.Vm, target: FakeTarget, load: Load, record: Record
     ) -> errors.ErrorKind | None:
         if not self._strategy.queued:
-            return await run.run(record)
-        gate = self._gate(vm, run, load.service)
+            return await target.run(record)
+        gate = self._gate(vm, target, load.service)
         member = self._members[load.member]
         ticket = queueing.Ticket(load.member, load.priority, member.share)
         refused = await gate.enter(ticket, record.began + load.deadline)
         if refused is not None:
             return refused
         try:
-            return await run.run(record)
+            return await target.run(record)
         finally:
             gate.leave(ticket)
 
-    def _gate(self, vm: fleet.Vm, run: FakeTarget, service: str) -> Gate:
-        at = (run.vm.id, vm.id if self._strategy.dealt else "")
-        gate = self._gates.get(at)
+    def _gate(self, vm: fleet.Vm, target: FakeTarget, service: str) -> Gate:
+        key = (target.vm.id, vm.id if self._strategy.dealt else "")
+        gate = self._gates.get(key)
         if gate is None:
             settings = self._deployment.backends[service].service
             kind: Callable[[int, config.Queue], queueing.TargetQueue] = (
@@ -492,27 +496,30 @@
             )
             slots = 0 if self._strategy.dealt else settings.slots
             gate = Gate(kind(slots, settings.queue))
-            self._gates[at] = gate
+            self._gates[key] = gate
         return gate
 
     def _delay(self, entry: fleet.Vm, target: fleet.Vm) -> float:
-        made = self._deployment
+        deployment = self._deployment
         if entry.region != target.region:
-            return made.between_regions
+            return deployment.between_regions
         if entry.zone != target.zone:
-            return made.between_zones
-        return made.in_zone
+            return deployment.between_zones
+        return deployment.in_zone
+
+    async def _request_share(self, vm: fleet.Vm, name: str) -> bool:
+        """Requests a larger share from the member's allocator.
 
-    async def _ask(self, vm: fleet.Vm, name: str) -> bool:
-        """Asks the member's dealer for a larger share, as the daemon does."""
+        The daemon's retries are simulated too.
+        """
         allowance = self._allowances[vm.id, name]
         if not allowance.may_request(virtual.now()):
             return False
-        at = self._entries[
+        allocator = self._entries[
             self._names.index(limits.allocator(name, self._names))
         ]
-        for pause in _ASK_PAUSES:
-            await asyncio.sleep(pause + 2 * self._delay(vm, at))
+        for delay in _SHARE_REQUEST_DELAYS_SECONDS:
+            await asyncio.sleep(delay + 2 * self._delay(vm, allocator))
             self._report(vm.id, name, 1)
             if self._admit(allowance, self._members[name]):
                 return True
@@ -526,10 +533,10 @@
             member.concurrency, member.rate, len(self._names), virtual.now()
         )
 
-    def _report(self, vm: str, name: str, asking: int = 0) -> None:
+    def _report(self, vm: str, name: str, requested: int = 0) -> None:
         now = virtual.now()
         allowance = self._allowances[vm, name]
-        need, _ = allowance.needs(now, asking)
+        need, _ = allowance.needs(now, requested)
         limit = self._members[name].concurrency
         if limit:
             share = self._ledgers[name].report(
@@ -537,25 +544,26 @@
             )
             allowance.grant(share, 0.0, now)
 
-    async def _deal(self) -> None:
-        """Deals the members' limits out among the entry VMs."""
+    async def _share_limits(self) -> None:
+        """Divides the members' limits among the entry VMs."""
         while True:
             for vm, name in self._allowances:
                 self._report(vm, name)
-            await asyncio.sleep(_REPORT_SECONDS)
+            await asyncio.sleep(_REPORT_INTERVAL_SECONDS)
 
-    async def _deal_slots(self) -> None:
-        """Deals each target's slots out among entry VMs by need.
+    async def _share_slots(self) -> None:
+        """Divides each target's slots among the entry VMs by need.
 
-        Better than can be had: reports and shares travel in no time.
+        The baseline is better than any real one: reports and shares are
+        exchanged without delay.
         """
         while True:
-            for target, run in self.targets.items():
-                service = self._deployment.backends[run.vm.service].service
-                self._deal_target(target, service.slots)
-            await asyncio.sleep(_DEAL_SECONDS)
+            for name, target in self.targets.items():
+                service = self._deployment.backends[target.vm.service].service
+                self._share_target_slots(name, service.slots)
+            await asyncio.sleep(_SLOT_SHARE_SECONDS)
 
-    def _deal_target(self, target: str, slots: int) -> None:
+    def _share_target_slots(self, target: str, slots: int) -> None:
         gates = [
             gate for (name, _), gate in self._gates.items() if name == target
         ]
@@ -565,12 +573,12 @@
             if isinstance(gate.queue, FirstComeQueue)
         ]
         shares = {gate: queue.held for gate, queue in queues}
-        wanted = {gate: queue.line for gate, queue in queues}
+        wanted = {gate: queue.queue_length for gate, queue in queues}
         for _ in range(slots - sum(shares.values())):
             if not queues:
                 return
-            neediest = max(shares, key=lambda g: (wanted[g], -shares[g]))
-            shares[neediest] += 1
-            wanted[neediest] -= 1
+            recipient = max(shares, key=lambda g: (wanted[g], -shares[g]))
+            shares[recipient] += 1
+            wanted[recipient] -= 1
         for gate, queue in queues:
             gate.carry_out(queue.resize(shares[gate]))
--- a/packages/mimosastile-standins/src/mimosastile_standins/policy_cases.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/policy_cases.py
@@ -1,4 +1,4 @@
-"""Cases of the policy measure and the figures that each one yields."""
+"""Cases of the policy simulation and the metrics computed for each."""
 
 import asyncio
 import collections
@@ -21,21 +21,21 @@
 _SECONDS = 8.0
 _MEAN_SECONDS = 0.05
 _MEMBERS = 5
-_SURGE = 10.0
-_RUN_LATE = 2.0
-"""Seconds at the start that are left out: queues are empty then."""
+_SURGE_FACTOR = 10.0
+_WARM_UP_SECONDS = 2.0
+"""The start is excluded because queues are still empty."""
 
 Figures = dict[str, float]
 
 
 class Row(msgspec.Struct, frozen=True):
-    """One line of the report.
+    """Metrics of one case under one strategy.
 
     Attributes:
-        case: The case.
-        deployment: The deployment.
-        strategy: Who decided.
-        figures: Figures by name.
+        case: Name of the case.
+        deployment: Name of the deployment.
+        strategy: Name of the strategy.
+        figures: Metrics by name.
     """
 
     case: str
@@ -45,7 +45,7 @@
 
 
 def percentile(values: Iterable[float], share: float) -> float:
-    """Returns a percentile, 0 for no values."""
+    """Returns the percentile at a fraction of 0 to 1; 0 without values."""
     ordered = sorted(values)
     if not ordered:
         return 0.0
@@ -53,10 +53,10 @@
 
 
 def jain(values: Iterable[float]) -> float:
-    """Returns Jain's index of fairness: 1 if all are equal."""
-    known = list(values)
-    squares = sum(v * v for v in known)
-    return sum(known) ** 2 / (len(known) * squares) if squares else 1.0
+    """Returns Jain's fairness index: 1 if all are equal, 1 without values."""
+    numbers = list(values)
+    squares = sum(v * v for v in numbers)
+    return sum(numbers) ** 2 / (len(numbers) * squares) if squares else 1.0
 
 
 def _service(deployment: deployments.Deployment, keyed: bool) -> str:
@@ -68,13 +68,13 @@
 
 
 def _capacity(deployment: deployments.Deployment, service: str) -> float:
-    """Returns the requests a second that a service can run."""
+    """Returns a service's capacity in requests per second."""
     backend = deployment.backends[service]
     return backend.targets * backend.service.slots / _MEAN_SECONDS
 
 
 def _members(slots: int = 0) -> dict[str, config.Member]:
-    """Returns equal members, with a limit of concurrency if one is given."""
+    """Returns equal members; `slots` is a concurrency limit, 0 for none."""
     member = config.Member(concurrency=slots)
     return {f"member-{n}": member for n in range(_MEMBERS)}
 
@@ -82,7 +82,7 @@
 def _loads(
     deployment: deployments.Deployment, service: str, share: float
 ) -> list[policy.Load]:
-    """Returns equal streams of all members that add up to a share."""
+    """Returns equal streams that sum to a fraction of the capacity."""
     rate = share * _capacity(deployment, service) / _MEMBERS
     return [
         policy.Load(f"member-{n}", service, rate, _MEAN_SECONDS)
@@ -90,20 +90,20 @@
     ]
 
 
-async def _play(
+async def _simulate(
     model: policy.Model, loads: Iterable[policy.Load], seconds: float
 ) -> list[policy.Record]:
     await asyncio.gather(*(model.offer(load, seconds) for load in loads))
     await model.drain()
-    return [r for r in model.records if r.began >= _RUN_LATE]
+    return [r for r in model.records if r.began >= _WARM_UP_SECONDS]
 
 
 def _figures(records: Iterable[policy.Record]) -> Figures:
-    known = list(records)
-    good = [r.seconds for r in known if r.failure is None]
+    outcomes = list(records)
+    good = [r.seconds for r in outcomes if r.failure is None]
     return {
-        "requests": len(known),
-        "success": len(good) / max(len(known), 1),
+        "requests": len(outcomes),
+        "success": len(good) / max(len(outcomes), 1),
         "p50_ms": percentile(good, 0.5) * 1000,
         "p99_ms": percentile(good, 0.99) * 1000,
     }
@@ -127,27 +127,29 @@
 async def surge(
     deployment: deployments.Deployment, strategy: policy.Strategy
 ) -> Figures:
-    """One member sends ten times its usual load; how are its rivals?"""
+    """Measures the other members while one sends ten times its load."""
     service = _service(deployment, keyed=True)
     backend = deployment.backends[service]
     members = _members(backend.targets * backend.service.slots * 2 // 5)
     runs = []
-    for factor in (1.0, _SURGE):
+    for factor in (1.0, _SURGE_FACTOR):
         loads = _loads(deployment, service, 0.4)
         loads[0] = msgspec.structs.replace(
             loads[0], rate=loads[0].rate * factor
         )
         model = policy.Model(deployment, strategy, _SEED, members)
-        runs.append(await _play(model, loads, _SECONDS))
+        runs.append(await _simulate(model, loads, _SECONDS))
     calm, busy = (
         _figures(r for r in run if r.load.member != "member-0") for run in runs
     )
     served = collections.Counter(
         r.load.member for r in runs[1] if r.failure is None
     )
-    # Whoever asked for more than an even share is counted with the share.
+    # Demand above an even share is capped at that share.
     even = sum(served.values()) / _MEMBERS
-    got = [min(served[m] / min(even, o), 1.0) for m, o in _offered(runs[1])]
+    served_shares = [
+        min(served[m] / min(even, o), 1.0) for m, o in _offered(runs[1])
+    ]
     return {
         "rival_p99_calm_ms": calm["p99_ms"],
         "rival_p99_surge_ms": busy["p99_ms"],
@@ -156,7 +158,7 @@
         "surger_success": _figures(
             r for r in runs[1] if r.load.member == "member-0"
         )["success"],
-        "jain": jain(got),
+        "jain": jain(served_shares),
     }
 
 
@@ -168,7 +170,7 @@
 async def lost_server(
     deployment: deployments.Deployment, strategy: policy.Strategy
 ) -> Figures:
-    """A server dies under 80% load; the list says so two seconds later."""
+    """Crashes a target under 80% load; it leaves the list 2 s later."""
     service = _service(deployment, keyed=False)
     model = policy.Model(deployment, strategy, _SEED, _members())
     halves = itertools.cycle((True, False))
@@ -177,65 +179,65 @@
         for load in _loads(deployment, service, 0.8)
     ]
 
-    async def lose() -> None:
+    async def crash_target() -> None:
         await virtual.pause(4.0)
-        lost = model.targets_of(service)[0]
-        model.lose(lost)
+        crashed = model.targets_of(service)[0]
+        model.crash(crashed)
         await virtual.pause(2.0)
-        model.forget(lost)
+        model.remove_target(crashed)
 
-    loss = asyncio.create_task(lose())
-    records = await _play(model, loads, _SECONDS)
-    await loss
+    crash = asyncio.create_task(crash_target())
+    records = await _simulate(model, loads, _SECONDS)
+    await crash
     return _ratio_figures(model, records)
 
 
 async def brown_out(
     deployment: deployments.Deployment, strategy: policy.Strategy
 ) -> Figures:
-    """Half of a service's servers lose nine in ten answers for a while."""
+    """Half of a service's targets lose 90% of their responses for 4 s."""
     service = _service(deployment, keyed=False)
     model = policy.Model(deployment, strategy, _SEED, _members())
     half = model.targets_of(service)[::2]
 
-    async def fade() -> None:
+    async def degrade() -> None:
         await virtual.pause(3.0)
         for faulty in (0.9, 0.0):
             for target in half:
                 model.targets[target].faulty = faulty
             await virtual.pause(4.0)
 
-    fading = asyncio.create_task(fade())
+    degradation = asyncio.create_task(degrade())
     loads = _loads(deployment, service, 0.4)
-    records = await _play(model, loads, _SECONDS)
-    await fading
+    records = await _simulate(model, loads, _SECONDS)
+    await degradation
     return _ratio_figures(model, records)
 
 
 async def slots(
     deployment: deployments.Deployment, strategy: policy.Strategy
 ) -> Figures:
-    """Where the queue stands: 70% load on the service divided by key."""
+    """Compares queue locations at 70% load on the service sharded by key."""
     service = _service(deployment, keyed=True)
     model = policy.Model(deployment, strategy, _SEED, _members())
     loads = _loads(deployment, service, 0.7)
-    return _ratio_figures(model, await _play(model, loads, _SECONDS))
+    return _ratio_figures(model, await _simulate(model, loads, _SECONDS))
 
 
 async def link(
     deployment: deployments.Deployment, strategy: policy.Strategy
 ) -> Figures:
-    """Ten archive downloads fill the link while the desk works."""
+    """Ten archive downloads saturate the link beside interactive traffic."""
     del deployment
-    alone = await policy_link.play(strategy.paced, downloads=False)
-    beside = await policy_link.play(strategy.paced, downloads=True)
+    alone = await policy_link.simulate(strategy.paced, downloads=False)
+    with_downloads = await policy_link.simulate(strategy.paced, downloads=True)
     calm = percentile(alone.desk, 0.99) * 1000
-    busy = percentile(beside.desk, 0.99) * 1000
+    busy = percentile(with_downloads.desk, 0.99) * 1000
     return {
         "desk_p99_calm_ms": calm,
         "desk_p99_busy_ms": busy,
         "desk_p99_ratio": busy / calm,
-        "bulk_share": policy_link.bulk_share(beside),
+        "bulk_share": policy_link.bulk_share(with_downloads),
     }
 
 
@@ -244,32 +246,34 @@
 ]
 
 _NO_LIMIT = policy.Strategy("fair queue alone", limited=False)
-_LINE_ALONE = policy.Strategy("one line alone", fair=False, limited=False)
-_STORM = policy.Strategy(
+_FIFO_ALONE = policy.Strategy("one line alone", fair=False, limited=False)
+_NO_BUDGET = policy.Strategy(
     "round robin, no budget", fair=False, balanced=False, budgeted=False
 )
 _UNPACED = policy.Strategy("no pacing", paced=False)
-_DEALT = policy.Strategy("slots dealt out", fair=False, dealt=True)
+_SHARED_SLOTS = policy.Strategy("slots dealt out", fair=False, dealt=True)
 CASES: dict[str, tuple[Case, tuple[policy.Strategy, ...]]] = {
-    "surge": (surge, (*policy.STRATEGIES, _NO_LIMIT, _LINE_ALONE)),
-    "lost-server": (lost_server, (*policy.STRATEGIES, _STORM)),
-    "brown-out": (brown_out, (*policy.STRATEGIES, _STORM)),
+    "surge": (surge, (*policy.STRATEGIES, _NO_LIMIT, _FIFO_ALONE)),
+    "lost-server": (lost_server, (*policy.STRATEGIES, _NO_BUDGET)),
+    "brown-out": (brown_out, (*policy.STRATEGIES, _NO_BUDGET)),
     "link": (link, (policy.PRODUCT, _UNPACED)),
-    "slots": (slots, (*policy.STRATEGIES[:2], _DEALT)),
+    "slots": (slots, (*policy.STRATEGIES[:2], _SHARED_SLOTS)),
 }
-"""The cases by name, with the strategies that are compared."""
+"""The cases by name, with the strategies to compare."""
 
 
 def rows(deployment: str, case: str) -> list[Row]:
-    """Plays one case under all its strategies.
+    """Runs one case under each of its strategies.
 
     Args:
         deployment: Name of the deployment.
         case: Name of the case.
     """
-    made = deployments.DEPLOYMENTS[deployment]
-    play, strategies = CASES[case]
+    model_deployment = deployments.DEPLOYMENTS[deployment]
+    run_case, strategies = CASES[case]
     return [
-        Row(case, deployment, s.name, virtual.run(play(made, s)))
+        Row(
+            case, deployment, s.name, virtual.run(run_case(model_deployment, s))
+        )
         for s in strategies
     ]
--- a/tests/standins/test_comparing.py
+++ b/tests/standins/test_comparing.py
@@ -1,4 +1,4 @@
-"""Tests of comparing results."""
+"""Tests of the comparison of results."""
 
 import json
 
@@ -7,17 +7,17 @@
 from mimosastile_standins import comparing
 
 
-def _folder(path, rows):
+def _write_results(path, rows):
     path.mkdir()
     (path / "cost.json").write_text(json.dumps(rows))
     return path
 
 
 class TestDifferences:
-    """Two folders of results."""
+    """Differences between two directories of results."""
 
     @pytest.mark.parametrize(
-        ("before", "after", "told"),
+        ("before", "after", "expected"),
         [
             ({"p99": 10.0}, {"p99": 10.5}, []),
             ({"p99": 10.0}, {"p99": 12.0}, ["cost a p99: 10 -> 12"]),
@@ -25,15 +25,17 @@
             ({"p99": True}, {"p99": False}, []),
         ],
     )
-    def test_tells_what_changed_by_a_tenth(self, tmp_path, before, after, told):
-        """Less is noise."""
-        former = _folder(tmp_path / "old", [{"case": "a"} | before])
-        latter = _folder(tmp_path / "new", [{"case": "a"} | after])
-        assert list(comparing.differences(former, latter)) == told
-
-    def test_tells_of_rows_that_one_side_lacks(self, tmp_path):
-        """A case that is gone is no improvement."""
-        former = _folder(tmp_path / "old", [{"case": "a"}])
-        latter = _folder(tmp_path / "new", [{"case": "b"}])
-        told = list(comparing.differences(former, latter))
-        assert told == ["cost a: gone", "cost b: new"]
+    def test_reports_changes_above_ten_percent(
+        self, tmp_path, before, after, expected
+    ):
+        """Smaller changes are noise."""
+        former = _write_results(tmp_path / "old", [{"case": "a"} | before])
+        latter = _write_results(tmp_path / "new", [{"case": "a"} | after])
+        assert list(comparing.differences(former, latter)) == expected
+
+    def test_reports_rows_missing_on_one_side(self, tmp_path):
+        """A removed case must not pass for an improvement."""
+        former = _write_results(tmp_path / "old", [{"case": "a"}])
+        latter = _write_results(tmp_path / "new", [{"case": "b"}])
+        reported = list(comparing.differences(former, latter))
+        assert reported == ["cost a: gone", "cost b: new"]
--- a/tests/standins/test_measures.py
+++ b/tests/standins/test_measures.py
@@ -24,40 +24,40 @@
 
 @pytest.mark.parametrize("name", baselines.BASELINES)
 class TestBaselines:
-    """What placement is compared with."""
+    """Baseline assignment algorithms."""
 
     def test_every_key_has_a_listed_owner(self, name):
-        """And the same one each time."""
+        """The owners do not depend on the order of the targets."""
         assign = baselines.BASELINES[name]
         owners = assign(TRACE, list(TARGETS))
         assert set(owners) <= set(TARGETS)
         assert owners == assign(TRACE, sorted(TARGETS, reverse=True))
 
-    def test_loss_moves_as_many_keys_as_it_is_known_for(self, name):
-        """Rendezvous moves the least, modulo nearly all."""
+    def test_removing_a_target_moves_the_expected_number_of_keys(self, name):
+        """Rendezvous hashing moves the fewest keys, modulo nearly all."""
         assign = baselines.BASELINES[name]
         before = assign(TRACE, list(TARGETS))
         after = assign(TRACE, list(TARGETS)[1:])
         moved = sum(a != b for a, b in zip(before, after, strict=True))
         lost = before.count("t0")
-        most = {"modulo": 2000, "rendezvous": lost, "bounded": 4 * lost}
-        assert lost <= moved <= most[name]
+        max_moved = {"modulo": 2000, "rendezvous": lost, "bounded": 4 * lost}
+        assert lost <= moved <= max_moved[name]
 
 
 class TestBounded:
     """The bound of consistent hashing with bounded loads."""
 
     def test_no_target_is_over_the_bound(self):
-        """By load."""
+        """The bound holds for load, not for the number of keys."""
         loads = _loads(baselines.bounded(TRACE, list(TARGETS)))
         assert max(loads.values()) <= 1.15 / len(TARGETS) + 1e-9
 
 
 class TestPlacement:
-    """The core driven by events alone."""
+    """The core's placement, driven by events without time."""
 
-    def test_planned_stop_moves_only_what_it_must(self):
-        """And load is even after it."""
+    def test_planned_stop_moves_only_the_keys_of_the_target(self):
+        """The load is balanced afterwards."""
         placed = traces.Placement(TARGETS, 64, config.Placement())
         placed.settle(TRACE)
         before = placed.owners(TRACE)
@@ -70,8 +70,8 @@
         del loads["t0"]
         assert max(loads.values()) * 7 <= 1.15
 
-    def test_hot_keys_that_move_are_evened_out(self):
-        """The hottest 520 are others now."""
+    def test_moved_hot_keys_are_rebalanced(self):
+        """The hottest 520 keys change."""
         placed = traces.Placement(TARGETS, 64, config.Placement())
         placed.settle(TRACE)
         moved = traces.move_hottest(TRACE, 5)
@@ -83,27 +83,27 @@
 
 
 class TestOutages:
-    """Unavailable time, here of the small deployment."""
+    """Unavailable time in the small deployment."""
 
-    def test_planned_stop_fails_nobody(self):
-        """No request is refused."""
+    def test_planned_stop_fails_no_request(self):
+        """All requests succeed and the outage stays below 0.5 s."""
         row = outages.row("small", "one planned stop")
         assert row.failed == 0
         assert row.worst < 0.5
 
 
 class TestSlopes:
-    """Lines through measured points."""
+    """Linear fits through measured points."""
 
     def test_line_is_recovered(self):
-        """Base and slope of points on a line."""
+        """The fit recovers base and slope of points on a line."""
         points = [slopes.Point(n, 3.0 + 2.0 * n) for n in (1, 2, 5, 9)]
-        made = slopes.fit("x", "bytes", "things", points)
-        assert made.base == pytest.approx(3.0)
-        assert made.slope == pytest.approx(2.0)
+        fitted = slopes.fit("x", "bytes", "things", points)
+        assert fitted.base == pytest.approx(3.0)
+        assert fitted.slope == pytest.approx(2.0)
 
     def test_presence_does_not_grow_with_the_zone(self):
-        """Nor does the digest with the table."""
+        """A VM sends equally many messages in zones of any size."""
         sent, _ = slopes.presence_slopes()
         assert abs(sent.slope) < 1e-6
 
@@ -120,13 +120,13 @@
             ("slopes", slopes.Slope, 18),
         ],
     )
-    def test_can_be_read_and_are_whole(self, name, row, least):
-        """Each figure of the pages can be traced to them."""
+    def test_decode_with_the_expected_number_of_rows(self, name, row, least):
+        """The pages take their figures from these files."""
         value = (RESULTS / f"{name}.json").read_bytes()
         assert len(msgspec.json.decode(value, type=list[row])) >= least
 
     def test_slopes_have_four_sizes(self):
-        """Fewer would not show a bend."""
+        """Fewer points would not show a deviation from a line."""
         value = (RESULTS / "slopes.json").read_bytes()
         found = msgspec.json.decode(value, type=list[slopes.Slope])
         assert all(len(slope.points) >= 4 for slope in found)
--- a/tests/standins/test_policy.py
+++ b/tests/standins/test_policy.py
@@ -1,4 +1,4 @@
-"""Tests of the policy model."""
+"""Tests of the policy simulation."""
 
 import pytest
 
@@ -12,12 +12,12 @@
 
 
 class TestModel:
-    """The model keeps what the product promises."""
+    """The simulation keeps the product's guarantees."""
 
-    def test_slots_hold_and_nothing_is_lost(self):
-        """A short run of the small deployment, with little load."""
+    def test_slot_limits_hold_and_all_requests_succeed(self):
+        """At low load on the small deployment."""
 
-        async def story():
+        async def simulate():
             model = policy.Model(
                 deployments.SMALL,
                 policy.PRODUCT,
@@ -29,36 +29,39 @@
             await model.drain()
             return model
 
-        model = virtual.run(story())
+        model = virtual.run(simulate())
         assert all(t.overrun <= t.slots for t in model.targets.values())
         assert {r.failure for r in model.records} == {None}
 
 
 class TestLink:
-    """Ten downloads fill the link between regions."""
+    """Ten downloads saturate the link between regions."""
 
-    def test_desk_keeps_its_time_and_downloads_the_rest(self):
-        """Within 1.2 of its time alone."""
+    def test_pacing_keeps_interactive_latency_and_uses_the_link(self):
+        """The 99th percentile stays below 1.2 times that without downloads."""
 
-        async def story():
-            alone = await policy_link.play(paced=True, downloads=False)
-            beside = await policy_link.play(paced=True, downloads=True)
-            return alone, beside
+        async def simulate():
+            alone = await policy_link.simulate(paced=True, downloads=False)
+            with_downloads = await policy_link.simulate(
+                paced=True, downloads=True
+            )
+            return alone, with_downloads
 
-        alone, beside = virtual.run(story())
+        alone, with_downloads = virtual.run(simulate())
         calm, busy = (
-            policy_cases.percentile(o.desk, 0.99) for o in (alone, beside)
+            policy_cases.percentile(o.desk, 0.99)
+            for o in (alone, with_downloads)
         )
         assert busy < calm * 1.2
-        assert policy_link.bulk_share(beside) > 0.7
+        assert policy_link.bulk_share(with_downloads) > 0.7
 
 
 class TestJain:
-    """The index of fairness."""
+    """Jain's fairness index."""
 
     @pytest.mark.parametrize(
         ("values", "expected"), [([2, 2], 1.0), ([1, 0], 0.5), ([], 1.0)]
     )
     def test_index(self, values, expected):
-        """1 for equals, 1/n if one has all."""
+        """1 for equal values, 1/n if one has everything."""
         assert policy_cases.jain(values) == expected
