--- a/packages/mimosastile-standins/src/mimosastile_standins/capacity.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/capacity.py
@@ -1,7 +1,7 @@
-"""Works the page on capacity out from committed results.
+"""Generates the capacity page from committed measurement results.
 
-Every figure of the page is either an aim, an assumption named there, or
-computed here from a slope in `measurements/`, so that none can drift.
+Every number on the page is a stated aim, a stated assumption, or computed here
+from the results in `measurements/`, so that page and results cannot diverge.
 """
 
 from collections.abc import Iterator
@@ -34,7 +34,7 @@
 
 
 class Sizes(msgspec.Struct, frozen=True):
-    """Sizes that follow from the aims and the assumptions."""
+    """Deployment sizes derived from the aims and the assumptions."""
 
     targets: float = DAEMONS * TARGETS_PER_DAEMON
     slices: float = DAEMONS * TARGETS_PER_DAEMON * SLICES_PER_TARGET + HOT_KEYS
@@ -44,12 +44,12 @@
 
     @property
     def blocks(self) -> float:
-        """Blocks over all services."""
+        """Number of blocks of all services."""
         return self.targets / TARGETS_PER_BLOCK
 
     @property
     def slices_per_block(self) -> float:
-        """Slices in one block."""
+        """Mean number of slices per block."""
         return self.slices / self.blocks
 
 
@@ -58,12 +58,12 @@
 
     Attributes:
         role: The role.
-        what: What is counted.
-        figure: The figure at full size.
-        limit: The aim, empty if there is none of its own.
-        source: The slope that it comes from.
-        mechanism: What carries it.
-        reached: "yes", or what is missing.
+        what: The measured quantity.
+        figure: Its value at full size.
+        limit: The aim, empty if there is none for this quantity.
+        source: The results that the value is computed from.
+        mechanism: The design that determines the value.
+        reached: "yes", or the reason why the aim is not reached.
     """
 
     role: str
@@ -76,7 +76,7 @@
 
 
 class Results:
-    """The committed results, by name."""
+    """The committed measurement results, by name."""
 
     __slots__ = ("_bench", "_propagation", "_slopes", "_sweep")
 
@@ -84,12 +84,12 @@
         """Reads the results.
 
         Args:
-            folder: The folder `measurements`.
+            folder: The directory `measurements`.
         """
-        found = msgspec.json.decode(
+        fitted = msgspec.json.decode(
             (folder / "slopes.json").read_bytes(), type=list[slopes.Slope]
         )
-        self._slopes = {(s.name, s.by): s for s in found}
+        self._slopes = {(s.name, s.by): s for s in fitted}
         self._bench = json.loads((folder / "bench.json").read_text())
         self._propagation = json.loads(
             (folder / "propagation.json").read_text()
@@ -99,27 +99,27 @@
 
     @property
     def sweep(self) -> sweeping.Sweep:
-        """The gateway's day at several sizes."""
+        """Results of the gateway's one-day run at several sizes."""
         return self._sweep
 
     @property
     def slopes(self) -> list[slopes.Slope]:
-        """All slopes."""
+        """All fitted slopes."""
         return list(self._slopes.values())
 
     def at(self, name: str, size: float, by: str = "") -> float:
-        """Returns the fitted cost at a size."""
+        """Returns the fitted cost at a size, in the slope's unit."""
         slope = next(
             s for (n, b), s in self._slopes.items() if n == name and by in b
         )
         return slope.base + slope.slope * size
 
     def each(self, name: str, by: str = "") -> float:
-        """Returns the cost of one more."""
+        """Returns the fitted cost of one more unit of size."""
         return self.at(name, 1.0, by) - self.at(name, 0.0, by)
 
     def bench(self, hop: str, concurrency: int = 64) -> dict[str, Any]:
-        """Returns the bench's line for answers of 1 KB."""
+        """Returns the benchmark's row for responses of 1 KB."""
         return next(
             row
             for row in self._bench
@@ -128,14 +128,14 @@
         )
 
     def propagation(self, way: str) -> dict[str, Any]:
-        """Returns the largest measured size of one way."""
+        """Returns the row of one propagation method at the largest size."""
         rows = (row for row in self._propagation if row["way"] == way)
-        found: dict[str, Any] = max(rows, key=lambda row: int(row["vms"]))
-        return found
+        largest: dict[str, Any] = max(rows, key=lambda row: int(row["vms"]))
+        return largest
 
 
 def rows(results: Results, sizes: Sizes) -> Iterator[Row]:
-    """Yields the lines of the table of roles."""
+    """Yields the rows of the table of roles."""
     yield from _request_path(results)
     yield from _keeper(results)
     yield from _tables(results, sizes)
@@ -185,7 +185,7 @@
 
 def _keeper(results: Results) -> Iterator[Row]:
     share = results.each("keeper renewals, processor") * TARGETS_PER_DAEMON
-    octets = results.each("keeper renewals, both ways") * TARGETS_PER_DAEMON
+    byte_rate = results.each("keeper renewals, both ways") * TARGETS_PER_DAEMON
     exchanges = _RENEWALS_PER_SECOND * TARGETS_PER_DAEMON
     http = float(results.bench("bare")["cpu_us"]) * exchanges / 1e6
     source = "slopes, keeper renewals"
@@ -210,7 +210,7 @@
     yield Row(
         "keeper",
         "bytes a second, payload",
-        f"{octets / 1e3:.1f} KB/s",
+        f"{byte_rate / 1e3:.1f} KB/s",
         "20 KB/s",
         source,
         "a renewal carries no slices",
@@ -281,12 +281,12 @@
 
 def _presence(results: Results, sizes: Sizes) -> Iterator[Row]:
     sent = results.at("presence messages sent by a VM", sizes.zone_daemons)
-    octets = results.at("presence bytes sent by a VM", sizes.zone_daemons)
+    byte_rate = results.at("presence bytes sent by a VM", sizes.zone_daemons)
     http = float(results.bench("bare")["cpu_us"]) * sent / 1e6
     yield Row(
         "presence",
         "bytes a second, payload",
-        f"{octets / 1e3:.1f} KB/s",
+        f"{byte_rate / 1e3:.1f} KB/s",
         "20 KB/s",
         "slopes, presence bytes",
         "a ring in the zone, one peer in each other zone",
@@ -317,16 +317,16 @@
 
 
 def _watching(results: Results, sizes: Sizes) -> Iterator[Row]:
-    few = results.propagation("few watch, peers tell")
+    watching = results.propagation("few watch, peers tell")
     watchers = _WATCHERS_PER_ZONE * ZONES
-    rest = float(few["at_rest"]) / 4 * ZONES
+    idle_calls = float(watching["at_rest"]) / 4 * ZONES
     moves = sizes.block_changes * (2 + watchers)
     patches = sizes.config_changes * (4 + watchers)
     hops = results.at("hops of a change", sizes.zone_daemons)
     yield Row(
         "store",
         "calls a second at rest",
-        f"{rest:.1f}",
+        f"{idle_calls:.1f}",
         "2,000",
         "propagation.json, four zones at 88 VMs, by zone",
         "two watchers a zone, peers tell the rest",
@@ -347,7 +347,7 @@
         f"{hops:.0f} hops",
         "8 s",
         "slopes, hops of a change; propagation.json: worst"
-        f" {float(few['worst']):.3f} s at {few['vms']} VMs",
+        f" {float(watching['worst']):.3f} s at {watching['vms']} VMs",
         "watch, push along a tree, digests as a net",
         "yes",
     )
@@ -429,9 +429,9 @@
 
 
 def page(results: Results) -> str:
-    """Returns the page."""
+    """Returns the capacity page as Markdown."""
     sizes = Sizes()
-    given = (
+    assumptions = (
         ("daemons", f"{DAEMONS:,}", "aim"),
         ("keys in use", f"{KEYS / 1e9:.1f} billion", "aim"),
         (
@@ -456,7 +456,7 @@
         ),
     )
     lines = [
-        *(f"| {' | '.join(row)} |" for row in given),
+        *(f"| {' | '.join(row)} |" for row in assumptions),
         "\n## By role, for one daemon unless the store is named\n",
         "| role | what | at full size | aim | from | carried by | reached |",
         "|---|---|---|---|---|---|---|",
--- a/packages/mimosastile-standins/src/mimosastile_standins/slopes.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/slopes.py
@@ -1,4 +1,4 @@
-"""Costs by size, measured at several sizes, for the page on capacity."""
+"""Measures costs at several sizes and fits slopes for the capacity page."""
 
 import gc
 import time
@@ -29,8 +29,8 @@
     """One measured value.
 
     Attributes:
-        size: The size that was varied.
-        value: The cost.
+        size: The varied size.
+        value: The cost at that size.
     """
 
     size: int
@@ -38,15 +38,15 @@
 
 
 class Slope(msgspec.Struct, frozen=True):
-    """A cost over sizes, with the straight line through the points.
+    """A cost by size, with a fitted straight line.
 
     Attributes:
-        name: What was measured.
+        name: The measured quantity.
         unit: Unit of the values.
-        by: What the size counts.
+        by: The items that the size counts.
         points: The measured points.
-        base: Cost at size 0 of the fitted line.
-        slope: Cost of one more.
+        base: Cost at size 0 on the fitted line.
+        slope: Fitted cost of one more item.
     """
 
     name: str
@@ -58,33 +58,33 @@
 
 
 def fit(name: str, unit: str, by: str, points: list[Point]) -> Slope:
-    """Returns a slope by least squares."""
+    """Fits a straight line to the points by least squares."""
     count = len(points)
     mean_x = sum(p.size for p in points) / count
     mean_y = sum(p.value for p in points) / count
     spread = sum((p.size - mean_x) ** 2 for p in points)
-    common = sum((p.size - mean_x) * (p.value - mean_y) for p in points)
-    slope = common / spread if spread else 0.0
+    covariance = sum((p.size - mean_x) * (p.value - mean_y) for p in points)
+    slope = covariance / spread if spread else 0.0
     return Slope(name, unit, by, tuple(points), mean_y - slope * mean_x, slope)
 
 
 def block_of(targets: int, slices: int) -> tables.Block:
-    """Returns a block with owners and keepers, as in operation."""
-    pieces = tuple(
+    """Returns a block with owners and keepers, as in production."""
+    block_slices = tuple(
         tables.Slice(first, last, f"service-{i % targets}", 1000 + i)
         for i, (first, last) in enumerate(keys.even_ranges(slices))
     )
-    named = {
+    keeper_refs = {
         f"service-{i}": tables.KeeperRef(
             f"entry-zone-{i % 11}", f"{i:032x}", 1000 + i
         )
         for i in range(targets)
     }
-    return tables.Block("service", 0, 10_000, pieces, named)
+    return tables.Block("service", 0, 10_000, block_slices, keeper_refs)
 
 
-def _best(work: object, repeats: int = _REPEATS) -> float:
-    """Returns the least of several processor times, in seconds."""
+def _shortest_seconds(work: object, repeats: int = _REPEATS) -> float:
+    """Returns the shortest CPU time of several repeats, in seconds."""
     assert callable(work)
     times = []
     for _ in range(repeats):
@@ -100,11 +100,11 @@
 
 
 def table_slopes() -> list[Slope]:
-    """Returns costs of a table by its slices."""
-    octets, memory, lookup, encode, decode, index = [], [], [], [], [], []
+    """Returns the costs of a table by its number of slices."""
+    byte_points, memory, lookup, encode, decode, index = [], [], [], [], [], []
     for count in (144, 576, 2304, 4608):
         block, value = _sizes(count)
-        octets.append(Point(count, len(value)))
+        byte_points.append(Point(count, len(value)))
         gc.collect()
         tracemalloc.start()
         kept = tables.decode(value).unwrap()
@@ -113,28 +113,33 @@
         tracemalloc.stop()
         positions = [keys.key_hash(f"k{i}") for i in range(_LOOKUPS)]
 
-        def look(
+        def look_up(
             table: tables.Table = table, positions: list[int] = positions
         ) -> None:
             for position in positions:
                 table.locate(position)
 
-        lookup.append(Point(count, _best(look) / _LOOKUPS * 1e6))
+        lookup.append(Point(count, _shortest_seconds(look_up) / _LOOKUPS * 1e6))
         encode.append(
-            Point(count, _best(lambda b=block: tables.encode(b)) * 1e3)
+            Point(
+                count, _shortest_seconds(lambda b=block: tables.encode(b)) * 1e3
+            )
         )
         decode.append(
-            Point(count, _best(lambda v=value: tables.decode(v)) * 1e3)
+            Point(
+                count, _shortest_seconds(lambda v=value: tables.decode(v)) * 1e3
+            )
         )
         index.append(
             Point(
                 count,
-                _best(lambda b=kept: tables.Table("service", [b])) * 1e3,
+                _shortest_seconds(lambda b=kept: tables.Table("service", [b]))
+                * 1e3,
             )
         )
     by = "slices, 8 a target"
     return [
-        fit("table size in the store", "bytes", by, octets),
+        fit("table size in the store", "bytes", by, byte_points),
         fit("table in memory, with its index", "bytes", by, memory),
         fit("look-up of a key", "us", by, lookup),
         fit("encoding a block", "ms", by, encode),
@@ -144,11 +149,11 @@
 
 
 def target_slopes() -> list[Slope]:
-    """Returns what a target adds to a table of 1,152 slices."""
-    octets, memory = [], []
+    """Returns the costs of a table of 1,152 slices by targets."""
+    byte_points, memory = [], []
     for targets in (18, 72, 144, 288):
         value = tables.encode(block_of(targets, 1152))
-        octets.append(Point(targets, len(value)))
+        byte_points.append(Point(targets, len(value)))
         gc.collect()
         tracemalloc.start()
         kept = tables.Table("service", [tables.decode(value).unwrap()])
@@ -157,13 +162,13 @@
         del kept
     by = "targets, 1,152 slices"
     return [
-        fit("table size in the store", "bytes", by, octets),
+        fit("table size in the store", "bytes", by, byte_points),
         fit("table in memory, with its index", "bytes", by, memory),
     ]
 
 
 def plan_slopes() -> list[Slope]:
-    """Returns the time of a placement plan by targets."""
+    """Returns the CPU time of a placement plan by targets."""
     even: list[Point] = []
     uneven: list[Point] = []
     for targets in (18, 72, 144, 288):
@@ -189,7 +194,7 @@
                     block.slices, loads, candidates, config.Placement()
                 )
 
-            points.append(Point(targets, _best(work, 3) * 1e3))
+            points.append(Point(targets, _shortest_seconds(work, 3) * 1e3))
     return [
         fit("plan with nothing to do", "ms", "targets", even),
         fit("plan that evens a target out", "ms", "targets", uneven),
@@ -211,43 +216,50 @@
 
 
 def presence_slopes() -> list[Slope]:
-    """Returns presence messages and bytes by the VMs of a zone.
+    """Returns the presence messages and bytes sent by a VM, by zone size.
 
-    The core's detectors of one VM and its peers run against each other for
-    20 s of their own time; what is counted is what one VM sends.
+    The core's failure detectors of one VM and its peers exchange probes for
+    20 s of simulated time. Only the probes and replies that the VM sends count.
     """
-    sent, octets = [], []
+    sent, byte_points = [], []
     for size in (3, 11, 100, 622):
         vms = _zone(size)
-        me = vms[0].id
-        peers = presence.choose_peers(me, "zone-a", vms, frozenset())
-        names = [me, *sorted(peers.near)]
+        own_id = vms[0].id
+        peers = presence.choose_peers(own_id, "zone-a", vms, frozenset())
+        names = [own_id, *sorted(peers.near)]
         detectors = {
             name: presence.Detector(name, presence.Timing(), 0.0)
             for name in names
         }
         for name in names:
-            own = presence.choose_peers(name, "zone-a", vms, frozenset())
-            known = presence.Peers(own.near & set(names), frozenset())
-            detectors[name].follow(known, names, 0.0)
-        count = _presence_run(me, detectors, 20.0)
-        message = len(messages.encode(messages.Presence(me)))
+            all_peers = presence.choose_peers(name, "zone-a", vms, frozenset())
+            simulated_peers = presence.Peers(
+                all_peers.near & set(names), frozenset()
+            )
+            detectors[name].follow(simulated_peers, names, 0.0)
+        count = _count_sent_messages(own_id, detectors, 20.0)
+        message = len(messages.encode(messages.Presence(own_id)))
         sent.append(Point(size, count / 20.0))
-        octets.append(Point(size, count * message / 20.0))
+        byte_points.append(Point(size, count * message / 20.0))
     return [
         fit("presence messages sent by a VM", "1/s", "VMs of a zone", sent),
-        fit("presence bytes sent by a VM", "bytes/s", "VMs of a zone", octets),
+        fit(
+            "presence bytes sent by a VM",
+            "bytes/s",
+            "VMs of a zone",
+            byte_points,
+        ),
     ]
 
 
-def _presence_run(
-    me: str, detectors: dict[str, presence.Detector], seconds: float
+def _count_sent_messages(
+    own_id: str, detectors: dict[str, presence.Detector], seconds: float
 ) -> int:
     count, now = 0, 0.0
     while now < seconds:
         for name, detector in detectors.items():
             for peer in detector.tick(now).probes:
-                count += me in (name, peer)
+                count += own_id in (name, peer)
                 detectors[peer].receive(name, (), now)
                 detector.receive(peer, (), now)
         now += 0.005
@@ -255,7 +267,7 @@
 
 
 def _move_bytes(block: tables.Block) -> int:
-    """Returns the size of the push that tells of one moved slice."""
+    """Returns the size in bytes of the push for one moved slice."""
     first = block.slices[0].first
     after = moves.start_moves(block, {first: "another-target"}).unwrap()
     change = differences.diff(block, after)
@@ -264,7 +276,7 @@
 
 
 def message_slopes() -> list[Slope]:
-    """Returns sizes of the messages that carry state."""
+    """Returns the sizes of the messages that carry cluster state."""
     digest, delta, pull, listing, report = [], [], [], [], []
     moved = []
     for count in (144, 576, 2304, 4608):
@@ -285,19 +297,19 @@
                 for i in range(blocks)
             )
         )
-        asked = held.pull("entry")
-        pull.append(Point(blocks, len(messages.encode(asked))))
+        request = held.pull("entry")
+        pull.append(Point(blocks, len(messages.encode(request))))
     for size in (47, 200, 800, 3200):
-        told = messages.Listing("e", "e/r", 1, 0.5, tuple(_zone(size)), ())
-        listing.append(Point(size, len(messages.encode(told))))
+        listed = messages.Listing("e", "e/r", 1, 0.5, tuple(_zone(size)), ())
+        listing.append(Point(size, len(messages.encode(listed))))
     for targets in (2, 6, 18, 54):
         names = tuple(f"service-{i}" for i in range(targets))
         slices = tuple(
             messages.SliceReport(i << 50, 0.125, i << 50, 0.0625)
             for i in range(targets * _SLICES_PER_TARGET)
         )
-        summed = messages.LoadReport("entry", "service", slices, names)
-        report.append(Point(targets, len(messages.encode(summed))))
+        load_report = messages.LoadReport("entry", "service", slices, names)
+        report.append(Point(targets, len(messages.encode(load_report))))
     return [
         fit("digest", "bytes", "slices", digest),
         fit("delta of one block", "bytes", "slices", delta),
@@ -309,9 +321,13 @@
 
 
 def keeper_slopes() -> list[Slope]:
-    """Returns what a keeper's renewals cost by targets, transport excluded."""
+    """Returns the cost of a keeper's grant renewals, without the transport.
+
+    The keeper is the entry VM through which alone a target gets requests and
+    grants.
+    """
     timing = grants.Timing()
-    cpu, octets = [], []
+    cpu, byte_points = [], []
     for targets in (5, 20, 80, 320):
         block = tables.BlockId("service", 0)
         pairs = [
@@ -345,16 +361,18 @@
                 )
                 kept.handle_reply(renewal, reply, 0.3)
 
-        cpu.append(Point(targets, _best(work) / timing.renew * 1e3))
-        octets.append(Point(targets, size / timing.renew))
+        cpu.append(Point(targets, _shortest_seconds(work) / timing.renew * 1e3))
+        byte_points.append(Point(targets, size / timing.renew))
     return [
         fit("keeper renewals, processor", "ms/s", "kept targets", cpu),
-        fit("keeper renewals, both ways", "bytes/s", "kept targets", octets),
+        fit(
+            "keeper renewals, both ways", "bytes/s", "kept targets", byte_points
+        ),
     ]
 
 
 def spread_slopes() -> list[Slope]:
-    """Returns how far and how often a change is told within a zone."""
+    """Returns hops and messages of a change's dissemination in a zone."""
     hops, copies = [], []
     for size in (3, 11, 100, 622):
         members = [f"e{i}" for i in range(size)]
@@ -378,7 +396,7 @@
 
 
 def all_slopes() -> list[Slope]:
-    """Measures everything that needs no running deployment."""
+    """Measures all costs that need no running deployment."""
     return [
         *table_slopes(),
         *target_slopes(),
@@ -391,7 +409,7 @@
 
 
 def table(found: list[Slope]) -> str:
-    """Returns slopes as text for people."""
+    """Formats slopes as text."""
     lines = []
     for slope in found:
         points = ", ".join(f"{p.size}: {p.value:.4g}" for p in slope.points)
--- a/packages/mimosastile-standins/src/mimosastile_standins/sweeping.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/sweeping.py
@@ -1,4 +1,4 @@
-"""How the load of a gateway grows with the VMs, from a committed sweep."""
+"""Growth of a gateway's load with the number of VMs, from a sweep."""
 
 from collections.abc import Iterable
 from collections.abc import Iterator
@@ -8,18 +8,18 @@
 
 import msgspec
 
-_LEAST_POWER = 0.0
-_MOST_POWER = 2.0
-"""Bounds on a fitted power: three sizes say no more than that."""
+_MIN_POWER = 0.0
+_MAX_POWER = 2.0
+"""Bounds on a fitted exponent: three sizes support no more than that."""
 
 
 class Share(msgspec.Struct, frozen=True):
-    """A share of the whole day at each size.
+    """A fraction of the whole day at each size.
 
     Attributes:
-        name: What it is a share of.
-        before: On the code of the sweep before it.
-        after: On the present code.
+        name: The measured quantity.
+        before: Values of the previous sweep's code.
+        after: Values of this sweep's code.
     """
 
     name: str
@@ -31,12 +31,13 @@
     """One load or time at each size.
 
     Attributes:
-        name: What was measured.
-        unit: Its unit.
+        name: The measured quantity.
+        unit: Unit of the values.
         limit: The users' aim for one daemon, None if there is none.
-        before: Of the busiest daemon, or the longest, on the code before.
-        middle: Of the middle daemon; None for times.
-        busiest: Of the busiest daemon, or the longest time.
+        before: Load of the busiest daemon, or the longest time, on the previous
+            sweep's code.
+        middle: Load of the median daemon; None for times.
+        busiest: Load of the busiest daemon, or the longest time.
     """
 
     name: str
@@ -48,12 +49,12 @@
 
 
 class Sweep(msgspec.Struct, frozen=True):
-    """One day at several sizes.
+    """Results of one day at several sizes.
 
     Attributes:
         sizes: Numbers of VMs.
         targets: Numbers of targets.
-        shares: Shares of the day.
+        shares: Fractions of the day.
         series: Loads and times.
     """
 
@@ -70,16 +71,16 @@
         path: The file.
 
     Raises:
-        msgspec.ValidationError: It is none.
+        msgspec.ValidationError: The file is not a sweep.
     """
     return msgspec.json.decode(path.read_bytes(), type=Sweep)
 
 
 def power(sizes: Sequence[int], values: Sequence[float]) -> float | None:
-    """Returns the power of the size with which a value grows.
+    """Returns the exponent of the power law by which a value grows.
 
-    None if there are fewer than two positive values. It is fitted by least
-    squares to the logarithms and kept from 0 to 2.
+    The exponent is fitted by least squares to the logarithms and clamped to 0
+    to 2. Returns None if there are fewer than two positive values.
     """
     points = [
         (math.log(size), math.log(value))
@@ -92,11 +93,11 @@
     mean_y = sum(y for _, y in points) / len(points)
     spread = sum((x - mean_x) ** 2 for x, _ in points)
     slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
-    return min(max(slope, _LEAST_POWER), _MOST_POWER)
+    return min(max(slope, _MIN_POWER), _MAX_POWER)
 
 
 def table(sweep: Sweep, daemons: int) -> str:
-    """Returns the tables of the page, worked out for a number of daemons."""
+    """Returns the page's tables, extrapolated to a number of daemons."""
     heads = [
         f"{vms} VMs, {targets:,} targets"
         for vms, targets in zip(sweep.sizes, sweep.targets, strict=True)
@@ -130,23 +131,23 @@
 
 
 def _series(sweep: Sweep, series: Series, daemons: int) -> list[str]:
-    grown = power(sweep.sizes, series.busiest)
+    exponent = power(sweep.sizes, series.busiest)
     last = series.busiest[-1]
-    there = (
-        last * (daemons / sweep.sizes[-1]) ** grown
-        if grown is not None
+    extrapolated = (
+        last * (daemons / sweep.sizes[-1]) ** exponent
+        if exponent is not None
         else None
     )
     reached = ""
-    if series.limit is not None and there is not None:
-        reached = "yes" if there <= series.limit else "no"
+    if series.limit is not None and extrapolated is not None:
+        reached = "yes" if extrapolated <= series.limit else "no"
     return [
         f"{series.name}, {series.unit}",
         *(f"{v:g}" for v in series.busiest),
         " / ".join(f"{v:g}" for v in series.before),
         " / ".join(f"{v:g}" for v in series.middle or ()),
-        "" if grown is None else f"{grown:.2f}",
-        "" if there is None else f"{there:,.3g}",
+        "" if exponent is None else f"{exponent:.2f}",
+        "" if extrapolated is None else f"{extrapolated:,.3g}",
         "" if series.limit is None else f"{series.limit:g}",
         reached,
     ]
--- a/tests/standins/test_capacity.py
+++ b/tests/standins/test_capacity.py
@@ -1,4 +1,4 @@
-"""Tests of the page on capacity."""
+"""Tests of the capacity page."""
 
 import pathlib
 
@@ -8,15 +8,15 @@
 
 
 class TestPage:
-    """The committed page."""
+    """The committed capacity page."""
 
-    def test_says_what_the_committed_results_say(self):
-        """`make capacity` mends a difference."""
-        made = capacity.page(capacity.Results(ROOT / "measurements"))
+    def test_matches_the_committed_results(self):
+        """`make capacity` regenerates the page after a change of the results."""
+        generated = capacity.page(capacity.Results(ROOT / "measurements"))
         committed = (ROOT / "docs" / "CAPACITY.md").read_text(encoding="utf-8")
-        assert committed == made
+        assert committed == generated
 
     def test_every_slope_has_four_sizes(self):
-        """Fewer points are no slope."""
+        """Fewer points do not support a fitted slope."""
         results = capacity.Results(ROOT / "measurements")
         assert all(len(s.points) >= 4 for s in results.slopes)
--- a/tests/standins/test_sweeping.py
+++ b/tests/standins/test_sweeping.py
@@ -1,4 +1,4 @@
-"""Growth of a gateway's load, as fitted to a committed sweep."""
+"""Tests of the fitted growth of a gateway's load."""
 
 import pathlib
 
@@ -11,7 +11,7 @@
 
 
 class TestPower:
-    """The fitted power."""
+    """The fitted exponent."""
 
     @pytest.mark.parametrize(
         ("values", "expected"),
@@ -26,18 +26,18 @@
         ],
     )
     def test_fitted(self, values, expected):
-        """Guards against a page that carries a wrong power on."""
-        found = sweeping.power((30, 100, 300), values)
+        """Guards against a wrong extrapolation on the capacity page."""
+        exponent = sweeping.power((30, 100, 300), values)
         if expected is None:
-            assert found is None
+            assert exponent is None
         else:
-            assert found == pytest.approx(expected, abs=0.01)
+            assert exponent == pytest.approx(expected, abs=0.01)
 
 
 class TestCommitted:
     """The committed sweep."""
 
-    def test_whole(self):
+    def test_every_series_has_a_value_for_each_size(self):
         """Every row has a value for each of at least three sizes."""
         sweep = sweeping.read(ROOT / "measurements" / "sweep.json")
         sizes = len(sweep.sizes)
@@ -48,8 +48,8 @@
             for values in (series.before, series.busiest)
         )
 
-    def test_not_a_sweep(self, tmp_path):
-        """A file without sizes is refused by the name of what it lacks."""
+    def test_rejects_a_file_that_is_no_sweep(self, tmp_path):
+        """The error names the missing field."""
         path = tmp_path / "sweep.json"
         path.write_text("{}")
         with pytest.raises(msgspec.ValidationError, match="sizes"):
