--- a/packages/mimosastile-standins/src/mimosastile_standins/capacity.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/capacity.py
@@ -107,16 +107,16 @@
         """All fitted slopes."""
         return list(self._slopes.values())
 
-    def at(self, name: str, size: float, by: str = "") -> float:
+    def cost_at(self, name: str, size: float, by: str = "") -> float:
         """Returns the fitted cost at a size, in the slope's unit."""
         slope = next(
             s for (n, b), s in self._slopes.items() if n == name and by in b
         )
         return slope.base + slope.slope * size
 
-    def each(self, name: str, by: str = "") -> float:
+    def cost_per_item(self, name: str, by: str = "") -> float:
         """Returns the fitted cost of one more unit of size."""
-        return self.at(name, 1.0, by) - self.at(name, 0.0, by)
+        return self.cost_at(name, 1.0, by) - self.cost_at(name, 0.0, by)
 
     def bench(self, hop: str, concurrency: int = 64) -> dict[str, Any]:
         """Returns the benchmark's row for responses of 1 KB."""
@@ -184,8 +184,12 @@
 
 
 def _keeper(results: Results) -> Iterator[Row]:
-    share = results.each("keeper renewals, processor") * TARGETS_PER_DAEMON
-    byte_rate = results.each("keeper renewals, both ways") * TARGETS_PER_DAEMON
+    share = (
+        results.cost_per_item("keeper renewals, processor") * TARGETS_PER_DAEMON
+    )
+    byte_rate = (
+        results.cost_per_item("keeper renewals, both ways") * TARGETS_PER_DAEMON
+    )
     exchanges = _RENEWALS_PER_SECOND * TARGETS_PER_DAEMON
     http = float(results.bench("bare")["cpu_us"]) * exchanges / 1e6
     source = "slopes, keeper renewals"
@@ -220,14 +224,15 @@
 
 def _tables(results: Results, sizes: Sizes) -> Iterator[Row]:
     memory = (
-        results.each("table in memory, with its index", "8 a") * sizes.slices
+        results.cost_per_item("table in memory, with its index", "8 a")
+        * sizes.slices
     )
-    block = results.at("table size in the store", sizes.slices_per_block)
-    push = results.at("push of one moved slice", sizes.slices_per_block)
+    block = results.cost_at("table size in the store", sizes.slices_per_block)
+    push = results.cost_at("push of one moved slice", sizes.slices_per_block)
     stream = push * sizes.block_changes
     cost = (
-        results.at("decoding a block", sizes.slices_per_block)
-        + results.at("indexing a block", sizes.slices_per_block)
+        results.cost_at("decoding a block", sizes.slices_per_block)
+        + results.cost_at("indexing a block", sizes.slices_per_block)
     ) * sizes.block_changes
     yield Row(
         "table",
@@ -265,7 +270,7 @@
         "changed slices are pushed, whole blocks only to who missed one",
         "yes",
     )
-    plan = results.at("plan that evens a target out", TARGETS_PER_BLOCK)
+    plan = results.cost_at("plan that evens a target out", TARGETS_PER_BLOCK)
     yield Row(
         "placement",
         "one plan of one block",
@@ -280,8 +285,10 @@
 
 
 def _presence(results: Results, sizes: Sizes) -> Iterator[Row]:
-    sent = results.at("presence messages sent by a VM", sizes.zone_daemons)
-    byte_rate = results.at("presence bytes sent by a VM", sizes.zone_daemons)
+    sent = results.cost_at("presence messages sent by a VM", sizes.zone_daemons)
+    byte_rate = results.cost_at(
+        "presence bytes sent by a VM", sizes.zone_daemons
+    )
     http = float(results.bench("bare")["cpu_us"]) * sent / 1e6
     yield Row(
         "presence",
@@ -302,7 +309,7 @@
         "with the keeper's exchanges, no: datagrams instead of HTTP for these"
         " two would free most of it",
     )
-    listing = results.at("list of VMs", DAEMONS + sizes.targets)
+    listing = results.cost_at("list of VMs", DAEMONS + sizes.targets)
     yield Row(
         "list of VMs",
         "one reading, told to every daemon when it changes",
@@ -322,7 +329,7 @@
     idle_calls = float(watching["at_rest"]) / 4 * ZONES
     moves = sizes.block_changes * (2 + watchers)
     patches = sizes.config_changes * (4 + watchers)
-    hops = results.at("hops of a change", sizes.zone_daemons)
+    hops = results.cost_at("hops of a change", sizes.zone_daemons)
     yield Row(
         "store",
         "calls a second at rest",
--- a/packages/mimosastile-standins/src/mimosastile_standins/policy.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/policy.py
@@ -113,7 +113,7 @@
         slots: Number of requests that run concurrently.
         alive: Whether the target responds.
         faulty: Fraction of responses that are lost.
-        overrun: Largest number of concurrent requests so far.
+        max_concurrency: Largest number of concurrent requests so far.
         sent: Number of requests received.
     """
 
@@ -124,7 +124,7 @@
         self.slots = service.slots
         self.alive = True
         self.faulty = 0.0
-        self.overrun = 0
+        self.max_concurrency = 0
         self.sent = 0
         self._random = generator
         self._connections = service.connections
@@ -137,7 +137,7 @@
             return errors.ErrorKind.UNREACHABLE
         self._request_count += 1
         self.sent += 1
-        self.overrun = max(self.overrun, self._request_count)
+        self.max_concurrency = max(self.max_concurrency, self._request_count)
         try:
             async with self._free_slots:
                 record.sends += 1
@@ -224,7 +224,7 @@
             asyncio.get_running_loop().create_future()
         )
         self._waiters[ticket] = waiter
-        self.carry_out(outcome)
+        self.apply(outcome)
         try:
             async with virtual.limit(max(ticket.latest - now, 0.0)):
                 refused = await waiter
@@ -237,9 +237,9 @@
 
     def leave(self, ticket: queueing.Ticket) -> None:
         """Releases a slot or a queue entry."""
-        self.carry_out(self.queue.leave(ticket, virtual.now()))
+        self.apply(self.queue.leave(ticket, virtual.now()))
 
-    def carry_out(self, actions: list[queueing.Action]) -> None:
+    def apply(self, actions: list[queueing.Action]) -> None:
         """Passes the queue's decisions to the waiting requests."""
         for action in actions:
             waiter = self._waiters.get(action.ticket)
@@ -581,4 +581,4 @@
             shares[recipient] += 1
             wanted[recipient] -= 1
         for gate, queue in queues:
-            gate.carry_out(queue.resize(shares[gate]))
+            gate.apply(queue.resize(shares[gate]))
--- a/packages/mimosastile-standins/src/mimosastile_standins/policy_cases.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/policy_cases.py
@@ -120,7 +120,9 @@
         "sent_per_offered": sends / max(len(records), 1),
         "ran_twice": twice,
         "perhaps": kinds[errors.ErrorKind.ANSWER_LOST],
-        "overrun": sum(t.overrun > t.slots for t in model.targets.values()),
+        "overrun": sum(
+            t.max_concurrency > t.slots for t in model.targets.values()
+        ),
     }
 
 
--- a/tests/standins/test_capacity.py
+++ b/tests/standins/test_capacity.py
@@ -11,7 +11,7 @@
     """The committed capacity page."""
 
     def test_matches_the_committed_results(self):
-        """`make capacity` regenerates the page after a change of the results."""
+        """`make capacity` regenerates the page from changed results."""
         generated = capacity.page(capacity.Results(ROOT / "measurements"))
         committed = (ROOT / "docs" / "CAPACITY.md").read_text(encoding="utf-8")
         assert committed == generated
--- a/tests/standins/test_policy.py
+++ b/tests/standins/test_policy.py
@@ -30,7 +30,7 @@
             return model
 
         model = virtual.run(simulate())
-        assert all(t.overrun <= t.slots for t in model.targets.values())
+        assert all(t.max_concurrency <= t.slots for t in model.targets.values())
         assert {r.failure for r in model.records} == {None}
 
 
