--- a/packages/mimosastile-standins/src/mimosastile_standins/bench.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/bench.py
@@ -196,11 +196,11 @@
 
     async def wait_for(self, name: str) -> list[int]:
         """Waits until a role is published and returns its ports."""
-        found = self._path / name
+        port_file = self._path / name
         async with asyncio.timeout(_WAIT_TIMEOUT_SECONDS):
-            while not found.exists():
+            while not port_file.exists():
                 await asyncio.sleep(_POLL_SECONDS)
-        return [int(port) for port in found.read_text().split()]
+        return [int(port) for port in port_file.read_text().split()]
 
 
 async def _listen(app: App) -> int:
@@ -275,7 +275,7 @@
     numbers = itertools.count()
     began = time.perf_counter()
 
-    async def work() -> None:
+    async def send_requests() -> None:
         while time.perf_counter() - began < seconds:
             url = f"http://{HOST}:{port}{path_of(next(numbers), size)}"
             sent = time.perf_counter()
@@ -288,7 +288,7 @@
                 )
             times.record_value(int((time.perf_counter() - sent) * 1e6))
 
-    await asyncio.gather(*(work() for _ in range(concurrency)))
+    await asyncio.gather(*(send_requests() for _ in range(concurrency)))
     return times, time.perf_counter() - began
 
 
@@ -369,8 +369,10 @@
 
 
 def _median(rounds: list[Cell], hop: str) -> Cell:
-    own = sorted((c for c in rounds if c.hop == hop), key=lambda c: c.cpu_us)
-    return own[len(own) // 2]
+    rounds_of_hop = sorted(
+        (c for c in rounds if c.hop == hop), key=lambda c: c.cpu_us
+    )
+    return rounds_of_hop[len(rounds_of_hop) // 2]
 
 
 async def decisions(concurrency: int, seconds: float) -> Cell:
@@ -383,14 +385,14 @@
         times = histogram.HdrHistogram(1, _HIGHEST_MICROSECONDS, 3)
         before, began = usage(), time.perf_counter()
 
-        async def work() -> None:
+        async def send_requests() -> None:
             while time.perf_counter() - began < seconds:
                 sent = time.perf_counter()
                 await request(path_of(next(numbers), SIZES[0]))
                 times.record_value(int((time.perf_counter() - sent) * 1e6))
                 await asyncio.sleep(0)
 
-        await asyncio.gather(*(work() for _ in range(concurrency)))
+        await asyncio.gather(*(send_requests() for _ in range(concurrency)))
         elapsed, after = time.perf_counter() - began, usage()
     count = times.get_total_count()
     return Cell(
--- a/packages/mimosastile-standins/src/mimosastile_standins/measures.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/measures.py
@@ -165,17 +165,17 @@
     owners = scheme.owners
     for event in events:
         targets = _after(targets, event)
-        newer = scheme.apply(event, targets)
-        loads = traces.target_loads(event.trace, newer, sorted(targets))
+        new_owners = scheme.apply(event, targets)
+        loads = traces.target_loads(event.trace, new_owners, sorted(targets))
         measured = balance_plan.measure_imbalance(loads)
         worst = max(worst, measured.worst)
         p99 = max(p99, measured.p99)
-        pairs = list(zip(owners, newer, strict=True))
+        pairs = list(zip(owners, new_owners, strict=True))
         churn += sum(a != b for a, b in pairs) / len(pairs)
         least += sum(a in (event.lost, event.left) for a, _ in pairs) / len(
             pairs
         )
-        owners = newer
+        owners = new_owners
     return worst, p99, churn / len(events), least / len(events)
 
 
--- a/packages/mimosastile-standins/src/mimosastile_standins/policy_cases.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/policy_cases.py
@@ -100,12 +100,12 @@
 
 def _figures(records: Iterable[policy.Record]) -> Figures:
     outcomes = list(records)
-    good = [r.seconds for r in outcomes if r.failure is None]
+    latencies = [r.seconds for r in outcomes if r.failure is None]
     return {
         "requests": len(outcomes),
-        "success": len(good) / max(len(outcomes), 1),
-        "p50_ms": percentile(good, 0.5) * 1000,
-        "p99_ms": percentile(good, 0.99) * 1000,
+        "success": len(latencies) / max(len(outcomes), 1),
+        "p50_ms": percentile(latencies, 0.5) * 1000,
+        "p99_ms": percentile(latencies, 0.99) * 1000,
     }
 
 
--- a/packages/mimosastile-standins/src/mimosastile_standins/slopes.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/slopes.py
@@ -83,13 +83,13 @@
     return tables.Block("service", 0, 10_000, block_slices, keeper_refs)
 
 
-def _shortest_seconds(work: object, repeats: int = _REPEATS) -> float:
+def _shortest_seconds(function: object, repeats: int = _REPEATS) -> float:
     """Returns the shortest CPU time of several repeats, in seconds."""
-    assert callable(work)
+    assert callable(function)
     times = []
     for _ in range(repeats):
         began = time.process_time()
-        work()
+        function()
         times.append(time.process_time() - began)
     return min(times)
 
@@ -107,8 +107,8 @@
         byte_points.append(Point(count, len(value)))
         gc.collect()
         tracemalloc.start()
-        kept = tables.decode(value).unwrap()
-        table = tables.Table("service", [kept])
+        decoded_block = tables.decode(value).unwrap()
+        table = tables.Table("service", [decoded_block])
         memory.append(Point(count, tracemalloc.get_traced_memory()[0]))
         tracemalloc.stop()
         positions = [keys.key_hash(f"k{i}") for i in range(_LOOKUPS)]
@@ -133,7 +133,9 @@
         index.append(
             Point(
                 count,
-                _shortest_seconds(lambda b=kept: tables.Table("service", [b]))
+                _shortest_seconds(
+                    lambda b=decoded_block: tables.Table("service", [b])
+                )
                 * 1e3,
             )
         )
@@ -156,10 +158,10 @@
         byte_points.append(Point(targets, len(value)))
         gc.collect()
         tracemalloc.start()
-        kept = tables.Table("service", [tables.decode(value).unwrap()])
+        indexed_table = tables.Table("service", [tables.decode(value).unwrap()])
         memory.append(Point(targets, tracemalloc.get_traced_memory()[0]))
         tracemalloc.stop()
-        del kept
+        del indexed_table
     by = "targets, 1,152 slices"
     return [
         fit("table size in the store", "bytes", by, byte_points),
@@ -185,7 +187,7 @@
                 for i, piece in enumerate(block.slices)
             }
 
-            def work(
+            def make_plan(
                 block: tables.Block = block,
                 loads: dict[int, balance_plan.SliceLoad] = loads,
                 candidates: list[balance_plan.Candidate] = candidates,
@@ -194,7 +196,7 @@
                     block.slices, loads, candidates, config.Placement()
                 )
 
-            points.append(Point(targets, _shortest_seconds(work, 3) * 1e3))
+            points.append(Point(targets, _shortest_seconds(make_plan, 3) * 1e3))
     return [
         fit("plan with nothing to do", "ms", "targets", even),
         fit("plan that evens a target out", "ms", "targets", uneven),
@@ -280,28 +282,32 @@
     digest, delta, pull, listing, report = [], [], [], [], []
     moved = []
     for count in (144, 576, 2304, 4608):
-        held = replica.Replica()
+        table_replica = replica.Replica()
         block, _ = _sizes(count)
-        held.offer_blocks((block,))
-        sent = messages.Digest("entry", 7, held.tables_digest(), "r", 3, 0.5)
+        table_replica.offer_blocks((block,))
+        sent = messages.Digest(
+            "entry", 7, table_replica.tables_digest(), "r", 3, 0.5
+        )
         digest.append(Point(count, len(messages.encode(sent))))
-        whole = held.delta("entry", messages.Pull("entry", 0, ()))
+        whole = table_replica.delta("entry", messages.Pull("entry", 0, ()))
         pushed = messages.Push("entry", whole)
         delta.append(Point(count, len(messages.encode(pushed))))
         moved.append(Point(count, _move_bytes(block)))
     for blocks in (1, 8, 64, 256):
-        held = replica.Replica()
-        held.offer_blocks(
+        table_replica = replica.Replica()
+        table_replica.offer_blocks(
             tuple(
                 msgspec.structs.replace(block_of(1, 1), index=i)
                 for i in range(blocks)
             )
         )
-        request = held.pull("entry")
+        request = table_replica.pull("entry")
         pull.append(Point(blocks, len(messages.encode(request))))
     for size in (47, 200, 800, 3200):
-        listed = messages.Listing("e", "e/r", 1, 0.5, tuple(_zone(size)), ())
-        listing.append(Point(size, len(messages.encode(listed))))
+        fleet_list = messages.Listing(
+            "e", "e/r", 1, 0.5, tuple(_zone(size)), ()
+        )
+        listing.append(Point(size, len(messages.encode(fleet_list))))
     for targets in (2, 6, 18, 54):
         names = tuple(f"service-{i}" for i in range(targets))
         slices = tuple(
@@ -337,31 +343,35 @@
             )
             for i in range(targets)
         ]
-        for kept, held in pairs:
-            kept.set_wanted((grants.HeldSlice(0, 9, 1),))
+        for kept_target, target_holder in pairs:
+            kept_target.set_wanted((grants.HeldSlice(0, 9, 1),))
             for at in (0.1, 0.2):
-                sent = kept.message()
-                kept.handle_reply(sent, held.receive(sent, at), at)
+                sent = kept_target.message()
+                kept_target.handle_reply(
+                    sent, target_holder.receive(sent, at), at
+                )
         size = 0
-        for kept, held in pairs:
-            renewal = kept.message()
-            answer = held.receive(renewal, 0.3)
+        for kept_target, target_holder in pairs:
+            renewal = kept_target.message()
+            answer = target_holder.receive(renewal, 0.3)
             size += len(msgspec.json.encode(renewal))
             size += len(msgspec.json.encode(answer))
 
-        def work(
+        def renew_all(
             pairs: list[tuple[grants.KeptTarget, holder.Holder]] = pairs,
         ) -> None:
-            for kept, held in pairs:
-                renewal = kept.message()
+            for kept_target, target_holder in pairs:
+                renewal = kept_target.message()
                 msgspec.json.encode(renewal)
-                reply = held.receive(renewal, 0.3)
+                reply = target_holder.receive(renewal, 0.3)
                 msgspec.json.decode(
                     msgspec.json.encode(reply), type=grants.GrantReply
                 )
-                kept.handle_reply(renewal, reply, 0.3)
+                kept_target.handle_reply(renewal, reply, 0.3)
 
-        cpu.append(Point(targets, _shortest_seconds(work) / timing.renew * 1e3))
+        cpu.append(
+            Point(targets, _shortest_seconds(renew_all) / timing.renew * 1e3)
+        )
         byte_points.append(Point(targets, size / timing.renew))
     return [
         fit("keeper renewals, processor", "ms/s", "kept targets", cpu),
@@ -408,10 +418,10 @@
     ]
 
 
-def table(found: list[Slope]) -> str:
+def table(fitted: list[Slope]) -> str:
     """Formats slopes as text."""
     lines = []
-    for slope in found:
+    for slope in fitted:
         points = ", ".join(f"{p.size}: {p.value:.4g}" for p in slope.points)
         lines.append(
             f"{slope.name} [{slope.unit}] by {slope.by}: {points};"
--- a/packages/mimosastile-standins/src/mimosastile_standins/spreading.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/spreading.py
@@ -169,10 +169,10 @@
     document = config.Document()
 
     async def write(number: int) -> None:
-        held = memory_store.entries.get(_KEY)
+        current = memory_store.entries.get(_KEY)
         value = msgspec.json.encode(config.Version(number, document))
         await memory_store.compare_and_swap(
-            _KEY, value, held.revision if held else 0
+            _KEY, value, current.revision if current else 0
         )
 
     await write(1)
