--- a/packages/mimosastile-entry/src/mimosastile_entry/_listeners.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_listeners.py
@@ -79,9 +79,7 @@
             _operations.application(kernel, forward), self._signer
         )
         if not self._signer.enabled:
-            logging.warning(
-                "%s peer authentication is disabled: no keys are set.", _PREFIX
-            )
+            logging.warning("%s peers are not authenticated.", _PREFIX)
         self._apps = [callers, forward]
         vm = self._settings.vm
         tls: _tls.TlsService = kernel.find("tls")
--- a/packages/mimosastile-entry/src/mimosastile_entry/_state.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_state.py
@@ -372,7 +372,7 @@
                     blocks.append(decoded.ok_value)
                 else:
                     logging.error(
-                        "%s cannot decode block %s: %s.",
+                        "%s %s is damaged: %s.",
                         _PREFIX,
                         entry.key,
                         decoded.err_value,
@@ -383,9 +383,7 @@
         decoded = config.decode_version(value)
         if isinstance(decoded, result.Err):
             logging.error(
-                "%s cannot decode the configuration: %s.",
-                _PREFIX,
-                decoded.err_value,
+                "%s configuration is damaged: %s.", _PREFIX, decoded.err_value
             )
         elif self._replica.offer_config(decoded.ok_value):
             logging.info(
--- a/packages/mimosastile-gateway/src/mimosastile_gateway/http_client.py
+++ b/packages/mimosastile-gateway/src/mimosastile_gateway/http_client.py
@@ -275,7 +275,7 @@
         except httptools.HttpParserError as error:
             # A response that was already complete stays valid, but the
             # connection must not be reused.
-            self._fail(f"invalid HTTP response: {error}")
+            self._fail(f"no answer in the protocol: {error}")
             self.abort()
 
     def eof_received(self) -> bool:
@@ -283,7 +283,7 @@
         if self._until_close and self._response is not None:
             self._finish()
         else:
-            self._fail("closed before the response was complete")
+            self._fail("closed before the answer was whole")
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
