--- a/packages/mimosastile-standins/src/mimosastile_standins/fault_proxy.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/fault_proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy between a process and what it calls, with faults."""
+"""Loopback TCP proxy that injects faults into the connections it forwards."""
 
 import asyncio
 import contextlib
@@ -6,14 +6,14 @@
 import socket
 import struct
 
-_PIECE = 1 << 16
-_STOP_PAUSE = 0.01
-"""Seconds between two looks whether all connections have ended."""
-_RESET = struct.pack("ii", 1, 0)
+_CHUNK_BYTES = 1 << 16
+_STOP_POLL_SECONDS = 0.01
+"""Seconds between checks whether all connections have ended."""
+_LINGER_RESET = struct.pack("ii", 1, 0)
 
 
 class LinkFault(enum.Enum):
-    """What a link does to what crosses it."""
+    """Faults of a link."""
 
     NONE = "none"
     DELAY = "delay"
@@ -23,75 +23,75 @@
     CUT_BACK = "cut back"
 
     def stops(self, *, back: bool) -> bool:
-        """Whether nothing passes in a direction."""
+        """Whether the fault drops all data in a direction."""
         one_way = LinkFault.CUT_BACK if back else LinkFault.CUT_THERE
         return self in (LinkFault.SILENT, one_way)
 
 
 class FaultProxy:
-    """Passes TCP connections on, as well as its fault lets it.
+    """Forwards TCP connections, subject to the current fault.
 
-    A connection that was open while a link was silent stays silent for good,
-    as one that a firewall has forgotten: only new ones work afterwards.
+    A connection that was open while the link was silent stays silent, like one
+    whose state a firewall has dropped. Only new connections work afterwards.
 
     Attributes:
-        fault: What the link does now; set it with `set_fault`.
+        fault: Current fault; change it with `set_fault`.
     """
 
     __slots__ = ("_connections", "_delay", "_server", "_target", "fault")
 
     def __init__(self, target: str) -> None:
-        """Makes one that does not listen yet.
+        """Initializes a proxy that does not listen yet.
 
         Args:
-            target: Host and port that connections go to.
+            target: Host and port to which connections are forwarded.
         """
         self._target = target
         self._delay = 0.0
-        self._connections: set[_Pair] = set()
+        self._connections: set[_ConnectionPair] = set()
         self._server: asyncio.Server | None = None
         self.fault = LinkFault.NONE
 
     @property
     def delay(self) -> float:
-        """Seconds that each piece waits."""
+        """Seconds by which each chunk is delayed."""
         return self._delay if self.fault is LinkFault.DELAY else 0.0
 
     async def start(self) -> str:
-        """Listens on loopback; returns the address."""
+        """Listens on the loopback interface and returns the address."""
         self._server = await asyncio.start_server(
-            self._accept, "127.0.0.1", 0, limit=_PIECE
+            self._accept, "127.0.0.1", 0, limit=_CHUNK_BYTES
         )
         host, port = self._server.sockets[0].getsockname()
         return f"{host}:{port}"
 
     async def stop(self) -> None:
-        """Ends all connections and stops listening."""
+        """Resets all connections and stops listening."""
         if self._server is not None:
             self._server.close()
         while self._connections:
             for pair in list(self._connections):
                 pair.reset()
-            await asyncio.sleep(_STOP_PAUSE)
+            await asyncio.sleep(_STOP_POLL_SECONDS)
 
     def set_fault(self, fault: LinkFault, delay: float = 0.0) -> None:
-        """Changes what the link does.
+        """Sets the fault of the link.
 
         Args:
-            fault: The fault; NONE heals it.
-            delay: Seconds that each piece waits, for DELAY.
+            fault: The fault; NONE removes it.
+            delay: Seconds by which DELAY delays each chunk.
         """
         self.fault = fault
         self._delay = delay
         for pair in list(self._connections):
             if fault is LinkFault.RESET:
                 pair.reset()
-            pair.note(fault)
+            pair.apply_fault(fault)
 
     async def _accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        pair = _Pair(self, reader, writer)
+        pair = _ConnectionPair(self, reader, writer)
         self._connections.add(pair)
         try:
             await pair.run(self._target)
@@ -99,8 +99,8 @@
             self._connections.discard(pair)
 
 
-class _Pair:
-    """One connection and its continuation."""
+class _ConnectionPair:
+    """An accepted connection and the one that it is forwarded to."""
 
     __slots__ = ("_muted", "_proxy", "_reader", "_writer", "_writers")
 
@@ -115,29 +115,31 @@
         self._writer = writer
         self._writers = [writer]
         self._muted: set[bool] = set()
-        self.note(proxy.fault)
+        self.apply_fault(proxy.fault)
 
-    def note(self, fault: LinkFault) -> None:
-        """Mutes directions that a fault stops, for good."""
+    def apply_fault(self, fault: LinkFault) -> None:
+        """Mutes permanently the directions that a fault stops."""
         self._muted |= {b for b in (False, True) if fault.stops(back=b)}
 
     def reset(self) -> None:
-        """Resets both ends."""
+        """Resets both connections."""
         for writer in self._writers:
             sock = writer.get_extra_info("socket")
             with contextlib.suppress(OSError):
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
+                sock.setsockopt(
+                    socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET
+                )
             writer.transport.abort()
 
     async def run(self, target: str) -> None:
-        """Passes bytes both ways until one end closes."""
+        """Forwards bytes in both directions until one end closes."""
         if self._proxy.fault is LinkFault.RESET:
             self.reset()
             return
         host, _, port = target.rpartition(":")
         try:
             reader, writer = await asyncio.open_connection(
-                host, int(port), limit=_PIECE
+                host, int(port), limit=_CHUNK_BYTES
             )
         except OSError:
             self.reset()
@@ -145,25 +147,25 @@
         self._writers.append(writer)
         with contextlib.suppress(OSError):
             await asyncio.gather(
-                self._pass(self._reader, writer, back=False),
-                self._pass(reader, self._writer, back=True),
+                self._forward(self._reader, writer, back=False),
+                self._forward(reader, self._writer, back=True),
             )
         for each in self._writers:
             each.close()
 
-    async def _pass(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         *,
         back: bool,
     ) -> None:
-        while piece := await reader.read(_PIECE):
+        while chunk := await reader.read(_CHUNK_BYTES):
             if self._proxy.delay:
                 await asyncio.sleep(self._proxy.delay)
             if back in self._muted:
                 continue
-            writer.write(piece)
+            writer.write(chunk)
             await writer.drain()
         if back not in self._muted and writer.can_write_eof():
             writer.write_eof()
--- a/packages/mimosastile-standins/src/mimosastile_standins/soak.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/soak.py
@@ -1,14 +1,14 @@
-"""A randomized soak: real daemons, faults from outside, promises checked.
+"""Randomized soak test of real daemons under injected faults.
 
-Daemons are processes of their own; the store and the targets are stand-ins in
-this one, reached through proxies. Faults come in series and overlap, drawn
-from a seed. While they go on, callers keep their connections open and send
-requests of both kinds; afterwards everything heals, and service has to be
-back.
+The daemons run as separate processes. The store and the targets are stand-ins
+in this process, reached through proxies. A seed determines the faults, which
+come in series and overlap. Meanwhile callers keep their connections open and
+send idempotent and non-idempotent requests. Then all faults are removed, and
+the service must recover.
 
-Not played: links between daemons (a daemon listens where it says it is
-reached) and clocks (setting them takes rights that a test has not). Paused
-processes stand for both.
+The soak injects no faults on links between daemons, as a daemon listens on the
+address that it advertises, and none in clocks, as setting them takes privileges
+that a test lacks. Paused processes substitute for both.
 """
 
 import asyncio
@@ -35,31 +35,32 @@
 from mimosastile_standins import soak_oracle
 
 _RECOVERY_SECONDS = 15.0
-"""From the end of the last fault until service is back, as promised."""
-_JUDGED_SECONDS = 4.0
-_SERVED_LEAST = 0.95
-"""Share of requests served once all is well again. The rest is left for
-requests that a target fails on."""
-_PLANNED_CALM = 3.0
-"""Seconds without another fault after which a planned stop owes answers."""
-_PAUSE_SECONDS = 0.05
+"""Guaranteed maximum time from the end of the last fault to recovery."""
+_RECOVERED_SECONDS = 4.0
+_MIN_SERVED_SHARE = 0.95
+"""Least share of requests served after recovery. The remainder allows for
+requests that a target fails."""
+_UNDISTURBED_SECONDS = 3.0
+"""Seconds without other faults after which a daemon that stops as planned must
+respond to all requests."""
+_MEAN_PAUSE_SECONDS = 0.05
 _DEADLINE_MS = 2000
-_START_SECONDS = 30.0
-_RULES_KEPT = 6
-"""Versions whose routes stay; a probe of an older one ends."""
-_PROBE_SECONDS = 0.2
+_START_TIMEOUT_SECONDS = 30.0
+_MAX_KEPT_RULES = 6
+"""Configuration versions whose routes are kept. Probes of older ones end."""
+_PROBE_INTERVAL_SECONDS = 0.2
 _OK = 200
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """How large a soak is and how long it goes on.
+    """Size and duration of a soak.
 
     Attributes:
-        seed: Of all that is drawn.
-        seconds: For which faults come.
-        vms: Daemons.
-        targets: Targets of each of the two services.
-        callers: Callers, each with a connection of its own.
+        seed: Seed of all random choices.
+        seconds: Duration of fault injection.
+        vms: Number of daemons.
+        targets: Number of targets of each of the two services.
+        callers: Number of callers, each with its own connection.
         out: Folder for settings, logs and the verdict.
     """
 
@@ -72,16 +73,16 @@
 
 
 class Verdict(msgspec.Struct):
-    """What came out of a soak.
+    """Result of a soak.
 
     Attributes:
-        seed: Its seed.
-        wrong: Broken promises.
-        faults: What was done, with seconds from the start.
-        attempts: Callers' attempts by status.
-        served_after: Share of requests served after the last fault.
-        runs: Requests that targets ran.
-        lateness: How late changes were in force at VMs in touch.
+        seed: Seed of the soak.
+        wrong: Violated guarantees.
+        faults: Injected faults, with seconds from the start.
+        attempts: Number of callers' attempts by status.
+        served_after: Share of requests served after recovery.
+        runs: Number of requests that targets executed.
+        lateness: Delay of changes at VMs that were not disturbed.
     """
 
     seed: int
@@ -93,8 +94,8 @@
     lateness: soak_lateness.Lateness
 
 
-class _Member:
-    """One target with the proxy before it."""
+class _ProxiedTarget:
+    """A target and the proxy in front of it."""
 
     __slots__ = ("proxy", "target", "zone")
 
@@ -110,80 +111,80 @@
 
 
 class Soak:
-    """One run."""
+    """One execution of a soak plan."""
 
     __slots__ = (
-        "_attempts",
-        "_began",
-        "_chance",
+        "_attempt_numbers",
         "_daemons",
-        "_disturbed_at",
         "_faults",
+        "_feedback",
         "_in_rotation",
-        "_lag",
-        "_members",
-        "_names",
-        "_notices",
+        "_last_fault_at",
+        "_lateness",
         "_oracle",
         "_plan",
         "_pool",
         "_probes",
         "_proxies",
+        "_rng",
         "_rules",
+        "_started_at",
+        "_stopping",
         "_store",
         "_store_address",
-        "_stopping",
-        "_versions",
+        "_target_numbers",
+        "_targets",
+        "_version_numbers",
     )
 
     def __init__(self, plan: Plan) -> None:
-        """Makes one that has not begun."""
+        """Initializes a soak without starting it."""
         self._plan = plan
-        self._chance = random.Random(plan.seed)
+        self._rng = random.Random(plan.seed)
         self._oracle = soak_oracle.SoakOracle()
-        self._notices = soak_notices.Notices()
-        self._lag = soak_lateness.Lag(self._notices)
+        self._feedback = soak_notices.FeedbackChecker()
+        self._lateness = soak_lateness.LatenessChecker(self._feedback)
         self._rules: dict[int, dict[str, Any]] = {}
         self._probes: set[asyncio.Task[None]] = set()
         self._store = platform_store.PlatformStore()
         self._store_address = ""
         self._daemons: list[soak_daemons.SoakDaemon] = []
         self._proxies: dict[str, fault_proxy.FaultProxy] = {}
-        self._members: dict[str, _Member] = {}
+        self._targets: dict[str, _ProxiedTarget] = {}
         self._in_rotation: list[soak_daemons.SoakDaemon] = []
         self._pool = http_client.Pool(2.0)
-        self._attempts = itertools.count(1)
-        self._names = itertools.count(1)
-        self._versions = itertools.count(2)
+        self._attempt_numbers = itertools.count(1)
+        self._target_numbers = itertools.count(1)
+        self._version_numbers = itertools.count(2)
         self._faults: list[str] = []
-        self._disturbed_at = float("-inf")
-        self._began = 0.0
+        self._last_fault_at = float("-inf")
+        self._started_at = 0.0
         self._stopping = False
 
     async def run(self) -> Verdict:
-        """Plays it and returns the verdict."""
+        """Executes the plan and returns the verdict."""
         try:
-            await self._begin()
-            beside = [
+            await self._start()
+            background = [
                 asyncio.create_task(work)
                 for work in (
-                    self._balance(),
-                    self._watch_owners(),
-                    *(self._call(i) for i in range(self._plan.callers)),
+                    self._update_rotation(),
+                    self._check_owners(),
+                    *(self._run_caller(i) for i in range(self._plan.callers)),
                 )
             ]
-            await self._disturb()
-            healed = time.monotonic()
-            await asyncio.sleep(_RECOVERY_SECONDS + _JUDGED_SECONDS)
+            await self._inject_faults()
+            healed_at = time.monotonic()
+            await asyncio.sleep(_RECOVERY_SECONDS + _RECOVERED_SECONDS)
             self._stopping = True
-            await asyncio.gather(*beside)
-            return self._judge(healed + _RECOVERY_SECONDS)
+            await asyncio.gather(*background)
+            return self._make_verdict(healed_at + _RECOVERY_SECONDS)
         finally:
-            await self._end()
+            await self._stop()
 
-    # The world.
+    # Processes and stand-ins.
 
-    async def _begin(self) -> None:
+    async def _start(self) -> None:
         self._store_address = await self._store.start()
         self._store.put("op/config", platform_world.configuration())
         for service in (platform_world.KEYED, platform_world.PLAIN):
@@ -196,27 +197,27 @@
             self._proxies[daemon.name] = proxy
             self._daemons.append(daemon)
             await daemon.start()
-        async with asyncio.timeout(_START_SECONDS):
+        async with asyncio.timeout(_START_TIMEOUT_SECONDS):
             while not await self._all_ready():
                 await asyncio.sleep(0.2)
         self._in_rotation = list(self._daemons)
-        await asyncio.sleep(_PLANNED_CALM)
-        self._began = time.monotonic()
+        await asyncio.sleep(_UNDISTURBED_SECONDS)
+        self._started_at = time.monotonic()
 
-    async def _end(self) -> None:
+    async def _stop(self) -> None:
         for daemon in self._daemons:
-            await daemon.end()
-        for member in self._members.values():
-            member.target.stop()
-            await member.proxy.stop()
+            await daemon.stop()
+        for proxied in self._targets.values():
+            proxied.target.stop()
+            await proxied.proxy.stop()
         for proxy in self._proxies.values():
             await proxy.stop()
         self._store.stop()
         self._pool.close()
 
     async def _add_target(self, service: str, name: str = "") -> None:
-        """Starts a target, under a name that it may have had before."""
-        number = next(self._names)
+        """Starts a target under a new name or that of a former incarnation."""
+        number = next(self._target_numbers)
         name = name or f"t-{number}"
         target = platform_target.PlatformTarget(
             name,
@@ -225,11 +226,11 @@
             keyed=service == platform_world.KEYED,
             work=0.01,
         )
-        target.arrivals = self._notices.arrivals
+        target.arrivals = self._feedback.arrivals
         proxy = fault_proxy.FaultProxy(await target.start())
         zone = f"zone-{'ab'[number % 2]}"
-        member = _Member(target, proxy, zone)
-        self._members[name] = member
+        proxied = _ProxiedTarget(target, proxy, zone)
+        self._targets[name] = proxied
         address = await proxy.start()
         self._store.put(
             f"servers/{name}",
@@ -237,14 +238,14 @@
         )
 
     async def _all_ready(self) -> bool:
-        answers = await asyncio.gather(*map(self._is_ready, self._daemons))
-        return all(answers)
+        responses = await asyncio.gather(*map(self._is_ready, self._daemons))
+        return all(responses)
 
     async def _is_ready(self, daemon: soak_daemons.SoakDaemon) -> bool:
         try:
-            answer = await http_client.call(
+            response = await http_client.call(
                 self._pool,
-                daemon.ready,
+                daemon.ready_address,
                 "GET",
                 "/readiness",
                 None,
@@ -254,90 +255,92 @@
             )
         except (http_client.NotSentError, http_client.ResponseLostError):
             return False
-        return answer.status == 200
+        return response.status == 200
 
-    async def _balance(self) -> None:
-        """Takes daemons out after two bad answers in a row."""
+    async def _update_rotation(self) -> None:
+        """Removes daemons from rotation after two failed health checks."""
         misses: collections.Counter[str] = collections.Counter()
         while not self._stopping:
-            answers = await asyncio.gather(*map(self._is_ready, self._daemons))
-            for daemon, ready in zip(self._daemons, answers, strict=True):
+            responses = await asyncio.gather(
+                *map(self._is_ready, self._daemons)
+            )
+            for daemon, ready in zip(self._daemons, responses, strict=True):
                 misses[daemon.name] = 0 if ready else misses[daemon.name] + 1
-            able = [d for d in self._daemons if misses[d.name] < 2]
-            self._in_rotation = able or list(self._daemons)
+            healthy = [d for d in self._daemons if misses[d.name] < 2]
+            self._in_rotation = healthy or list(self._daemons)
             await asyncio.sleep(1.0)
 
-    async def _watch_owners(self) -> None:
+    async def _check_owners(self) -> None:
         while not self._stopping:
             self._oracle.check_owners(
                 [
-                    member.target
-                    for member in self._members.values()
-                    if member.target.service == platform_world.KEYED
+                    proxied.target
+                    for proxied in self._targets.values()
+                    if proxied.target.service == platform_world.KEYED
                 ]
             )
             await asyncio.sleep(0.02)
 
     # Callers.
 
-    async def _call(self, number: int) -> None:
-        """One caller: keeps its connection for as long as it stays open."""
-        chance = random.Random(f"{self._plan.seed}/{number}")
+    async def _run_caller(self, number: int) -> None:
+        """Sends a caller's requests, reusing its connection while open."""
+        rng = random.Random(f"{self._plan.seed}/{number}")
         connection: http_client.Connection | None = None
         daemon = self._daemons[0]
         while not self._stopping:
             if connection is None or not connection.reusable:
-                daemon = chance.choice(self._in_rotation)
+                daemon = rng.choice(self._in_rotation)
                 try:
                     connection = await self._pool.connect(
-                        daemon.callers, 0.0, 1.0
+                        daemon.callers_address, 0.0, 1.0
                     )
                 except http_client.NotSentError:
                     await asyncio.sleep(0.2)
                     continue
-            outcome = await self._ask(connection, daemon, chance)
+            outcome = await self._send_request(connection, daemon, rng)
             if outcome is None:
                 connection = None
                 continue
-            self._oracle.ended(outcome)
+            self._oracle.record_outcome(outcome)
             if outcome.status == 0:
                 connection.abort()
                 connection = None
-            await asyncio.sleep(_PAUSE_SECONDS * chance.random() * 2)
+            await asyncio.sleep(_MEAN_PAUSE_SECONDS * rng.random() * 2)
         if connection is not None:
             connection.close()
 
-    async def _ask(
+    async def _send_request(
         self,
         connection: http_client.Connection,
         daemon: soak_daemons.SoakDaemon,
-        chance: random.Random,
+        rng: random.Random,
     ) -> soak_oracle.Outcome | None:
-        """Sends one request; None if the connection had been closed."""
-        attempt = f"a{next(self._attempts)}"
-        repeatable = chance.random() < 0.7
+        """Sends one request; returns None if the connection was closed."""
+        attempt = f"a{next(self._attempt_numbers)}"
+        repeatable = rng.random() < 0.7
         path, method, body = "/read/x", "GET", None
         headers: list[tuple[bytes, bytes]] = [
             (b"X-Attempt-Id", attempt.encode()),
             (b"X-Deadline-Ms", b"%d" % _DEADLINE_MS),
         ]
         if repeatable:
-            headers.append((b"X-Shard-Key", b"%d" % chance.randrange(65536)))
+            headers.append((b"X-Shard-Key", b"%d" % rng.randrange(65536)))
         else:
             path, method, body = f"/issue/{attempt}", "POST", b"letter"
         request = http_client.request(
             platform_world.HOST, method, path, body, headers
         )
         began = time.monotonic()
-        self._notices.sent(attempt, daemon.name, began)
-        status, answer, echoed = 0, b"", ""
+        self._feedback.record_request(attempt, daemon.name, began)
+        status, body_received, echoed = 0, b"", ""
         try:
-            reply = connection.start(request)
+            response = connection.start(request)
             async with asyncio.timeout(_DEADLINE_MS / 1000 + 0.5):
-                await connection.wait_complete(reply, 1 << 30)
-            status, answer = reply.status, reply.take()
-            echoed = (reply.header(b"x-attempt-id") or b"").decode()
-            self._note_passed(attempt, daemon, reply)
+                await connection.wait_complete(response, 1 << 30)
+            status, body_received = response.status, response.take()
+            echoed = (response.header(b"x-attempt-id") or b"").decode()
+            self._record_feedback(attempt, daemon, response)
         except http_client.NotSentError:
             return None
         except (http_client.ResponseLostError, TimeoutError):
@@ -348,23 +351,23 @@
             began,
             daemon.name,
             status,
-            answer,
+            body_received,
             echoed,
-            self._owes_answer(daemon, began),
+            self._must_respond(daemon, began),
         )
 
-    def _note_passed(
+    def _record_feedback(
         self,
         attempt: str,
         daemon: soak_daemons.SoakDaemon,
-        reply: http_client.IncomingResponse,
+        response: http_client.IncomingResponse,
     ) -> None:
-        """Notes what a target has said in an answer that was passed on."""
-        limited = reply.header(b"server-limit") is not None
-        leaving = reply.header(b"server-leaving") is not None
+        """Records the target feedback in a response that a daemon forwarded."""
+        limited = response.header(b"server-limit") is not None
+        leaving = response.header(b"server-leaving") is not None
         if limited or leaving:
-            self._notices.passed(
-                soak_notices.Passed(
+            self._feedback.record_feedback(
+                soak_notices.ForwardedFeedback(
                     attempt,
                     daemon.name,
                     time.monotonic(),
@@ -373,192 +376,198 @@
                 )
             )
 
-    def _owes_answer(
+    def _must_respond(
         self, daemon: soak_daemons.SoakDaemon, began: float
     ) -> bool:
-        """Whether a stop by plan is all that happens to a daemon."""
-        calm = began - self._disturbed_at > _PLANNED_CALM
-        alive = began - daemon.disturbed_at > _PLANNED_CALM
-        return daemon.stopping_since is not None and calm and alive
+        """Whether a planned stop is the only disturbance of a daemon."""
+        no_fault = began - self._last_fault_at > _UNDISTURBED_SECONDS
+        no_signal = began - daemon.signalled_at > _UNDISTURBED_SECONDS
+        return daemon.stopping_since is not None and no_fault and no_signal
 
     # Faults.
 
-    async def _disturb(self) -> None:
-        """Lets faults come, one, in series or several at once."""
+    async def _inject_faults(self) -> None:
+        """Injects faults, singly, in series or concurrently."""
         ends = time.monotonic() + self._plan.seconds
         under_way: list[asyncio.Future[None]] = []
         kinds: list[Callable[[], Awaitable[None]]] = [
             self._signal_vms,
             self._pause_vms,
-            self._spoil_store,
-            self._cut_vms_from_store,
-            self._spoil_target_links,
+            self._inject_store_fault,
+            self._inject_store_link_fault,
+            self._inject_target_link_fault,
             self._restart_targets,
             self._replace_targets,
             self._limit_targets,
-            self._turn_away,
-            self._configure,
+            self._shed_requests,
+            self._change_configuration,
         ]
         while time.monotonic() < ends:
-            kind = self._chance.choice(kinds)
-            for _ in range(self._chance.choice((1, 1, 2, 3))):
+            kind = self._rng.choice(kinds)
+            for _ in range(self._rng.choice((1, 1, 2, 3))):
                 under_way.append(asyncio.ensure_future(kind()))
-                await asyncio.sleep(self._chance.uniform(0.05, 1.0))
-            await asyncio.sleep(self._chance.choice((0.0, 0.5, 2.0, 5.0)))
+                await asyncio.sleep(self._rng.uniform(0.05, 1.0))
+            await asyncio.sleep(self._rng.choice((0.0, 0.5, 2.0, 5.0)))
         await asyncio.gather(*under_way)
-        self._say("healed")
+        self._record_fault("healed")
 
-    def _say(self, what: str) -> None:
-        seconds = time.monotonic() - self._began
+    def _record_fault(self, what: str) -> None:
+        seconds = time.monotonic() - self._started_at
         self._faults.append(f"{seconds:7.2f} {what}")
 
-    def _some(self, count: int) -> list[soak_daemons.SoakDaemon]:
-        return self._chance.sample(
-            self._daemons, min(count, len(self._daemons))
-        )
+    def _sample_daemons(self, count: int) -> list[soak_daemons.SoakDaemon]:
+        return self._rng.sample(self._daemons, min(count, len(self._daemons)))
 
     async def _signal_vms(self) -> None:
-        number = self._chance.choice(
+        signal_number = self._rng.choice(
             (signal.SIGTERM, signal.SIGTERM, signal.SIGKILL, signal.SIGHUP)
         )
-        for daemon in self._some(self._chance.choice((1, 1, 2, 4))):
-            self._say(f"{number.name} {daemon.name}")
-            if number is signal.SIGKILL:
-                self._disturbed_at = time.monotonic()
-            if number is not signal.SIGHUP:
-                self._notices.disturb(daemon.name, time.monotonic())
-            daemon.send(number)
-            await asyncio.sleep(self._chance.uniform(0.0, 1.0))
+        for daemon in self._sample_daemons(self._rng.choice((1, 1, 2, 4))):
+            self._record_fault(f"{signal_number.name} {daemon.name}")
+            if signal_number is signal.SIGKILL:
+                self._last_fault_at = time.monotonic()
+            if signal_number is not signal.SIGHUP:
+                self._feedback.record_vm_fault(daemon.name, time.monotonic())
+            daemon.send_signal(signal_number)
+            await asyncio.sleep(self._rng.uniform(0.0, 1.0))
 
     async def _pause_vms(self) -> None:
-        chosen = self._some(self._chance.choice((1, 1, 2)))
-        seconds = self._chance.uniform(0.2, 4.0)
-        self._say(f"pause {[d.name for d in chosen]} for {seconds:.1f} s")
+        chosen = self._sample_daemons(self._rng.choice((1, 1, 2)))
+        seconds = self._rng.uniform(0.2, 4.0)
+        self._record_fault(
+            f"paused {[d.name for d in chosen]} for {seconds:.1f} s"
+        )
         for daemon in chosen:
-            daemon.send(signal.SIGSTOP)
-            self._notices.disturb(daemon.name, time.monotonic())
-        await self._while_disturbed(seconds)
+            daemon.send_signal(signal.SIGSTOP)
+            self._feedback.record_vm_fault(daemon.name, time.monotonic())
+        await self._wait_during_fault(seconds)
         for daemon in chosen:
-            daemon.send(signal.SIGCONT)
-            self._notices.disturb(daemon.name, time.monotonic())
+            daemon.send_signal(signal.SIGCONT)
+            self._feedback.record_vm_fault(daemon.name, time.monotonic())
 
-    async def _spoil_store(self) -> None:
+    async def _inject_store_fault(self) -> None:
         moods = platform_store.Mood
-        mood = self._chance.choice(
+        mood = self._rng.choice(
             (moods.BUSY, moods.SILENT, moods.LOSES_ANSWERS, moods.WELL)
         )
-        seconds = self._chance.uniform(0.5, 5.0)
-        self._say(f"store {mood.value} for {seconds:.1f} s")
+        seconds = self._rng.uniform(0.5, 5.0)
+        self._record_fault(f"store {mood.value} for {seconds:.1f} s")
         if mood is moods.WELL:
             self._store.drop_history()
         self._store.mood = mood
         began = time.monotonic()
-        await self._while_disturbed(seconds)
+        await self._wait_during_fault(seconds)
         self._store.mood = moods.WELL
-        self._notices.trouble(began, time.monotonic())
+        self._feedback.record_link_fault(began, time.monotonic())
 
-    async def _cut_vms_from_store(self) -> None:
+    async def _inject_store_link_fault(self) -> None:
         fault = self._draw_link_fault()
-        chosen = self._some(self._chance.choice((1, 2, 3)))
-        seconds = self._chance.uniform(0.5, 5.0)
-        self._say(
+        chosen = self._sample_daemons(self._rng.choice((1, 2, 3)))
+        seconds = self._rng.uniform(0.5, 5.0)
+        self._record_fault(
             f"store link {fault.value} for {[d.name for d in chosen]},"
             f" {seconds:.1f} s"
         )
         proxies = [self._proxies[daemon.name] for daemon in chosen]
         for daemon in chosen:
-            self._notices.disturb(daemon.name, time.monotonic())
-        await self._spoil_links(proxies, fault, seconds)
+            self._feedback.record_vm_fault(daemon.name, time.monotonic())
+        await self._apply_link_fault(proxies, fault, seconds)
         for daemon in chosen:
-            self._notices.disturb(daemon.name, time.monotonic())
+            self._feedback.record_vm_fault(daemon.name, time.monotonic())
 
-    async def _spoil_target_links(self) -> None:
+    async def _inject_target_link_fault(self) -> None:
         fault = self._draw_link_fault()
-        names = self._chance.sample(sorted(self._members), 2)
-        seconds = self._chance.uniform(0.5, 5.0)
-        self._say(f"target link {fault.value} for {names}, {seconds:.1f} s")
-        proxies = [self._members[name].proxy for name in names]
-        await self._spoil_links(proxies, fault, seconds)
+        names = self._rng.sample(sorted(self._targets), 2)
+        seconds = self._rng.uniform(0.5, 5.0)
+        self._record_fault(
+            f"target link {fault.value} for {names}, {seconds:.1f} s"
+        )
+        proxies = [self._targets[name].proxy for name in names]
+        await self._apply_link_fault(proxies, fault, seconds)
 
     def _draw_link_fault(self) -> fault_proxy.LinkFault:
         faults = [f for f in fault_proxy.LinkFault if f.value != "none"]
-        return self._chance.choice(faults)
+        return self._rng.choice(faults)
 
-    async def _spoil_links(
+    async def _apply_link_fault(
         self,
         proxies: list[fault_proxy.FaultProxy],
         fault: fault_proxy.LinkFault,
         seconds: float,
     ) -> None:
-        delay = self._chance.uniform(0.01, 0.6)
+        delay = self._rng.uniform(0.01, 0.6)
         for proxy in proxies:
             proxy.set_fault(fault, delay)
         began = time.monotonic()
-        await self._while_disturbed(seconds)
-        self._notices.trouble(began, time.monotonic())
+        await self._wait_during_fault(seconds)
+        self._feedback.record_link_fault(began, time.monotonic())
         for proxy in proxies:
             proxy.set_fault(fault_proxy.LinkFault.NONE)
 
     async def _restart_targets(self) -> None:
-        """A target dies and comes back under its name, knowing nothing."""
-        name = self._chance.choice(sorted(self._members))
-        self._say(f"target {name} dies and comes back")
-        member = self._members.pop(name)
-        member.target.stop()
-        await member.proxy.stop()
-        await self._while_disturbed(self._chance.uniform(0.1, 4.0))
-        await self._add_target(member.target.service, name)
+        """Crashes a target and restarts it under its name without state."""
+        name = self._rng.choice(sorted(self._targets))
+        self._record_fault(f"target {name} crashes and restarts")
+        proxied = self._targets.pop(name)
+        proxied.target.stop()
+        await proxied.proxy.stop()
+        await self._wait_during_fault(self._rng.uniform(0.1, 4.0))
+        await self._add_target(proxied.target.service, name)
 
     async def _replace_targets(self) -> None:
-        """A target leaves as planned; another one comes first."""
-        name = self._chance.choice(sorted(self._members))
-        self._say(f"target {name} leaves")
-        member = self._members[name]
-        await self._add_target(member.target.service)
-        leaving = member.target.registration("draining", "", member.zone)
+        """Replaces a target as planned; its successor starts first."""
+        name = self._rng.choice(sorted(self._targets))
+        self._record_fault(f"target {name} leaves")
+        proxied = self._targets[name]
+        await self._add_target(proxied.target.service)
+        leaving = proxied.target.registration("draining", "", proxied.zone)
         leaving["Address"] = await self._address_of(name)
-        # Its answers and its registration say so, in either order.
+        # Its responses and its registration announce this in either order.
         loop = asyncio.get_running_loop()
-        said, shown = self._chance.choice(((0, 3), (3, 0), (0, 0)))
-        loop.call_later(said, setattr, member.target, "leaving", True)
-        await self._while_disturbed(shown)
+        feedback_delay, registration_delay = self._rng.choice(
+            ((0, 3), (3, 0), (0, 0))
+        )
+        loop.call_later(
+            feedback_delay, setattr, proxied.target, "leaving", True
+        )
+        await self._wait_during_fault(registration_delay)
         self._store.put(f"servers/{name}", leaving)
-        self._notices.registered(member.target, time.monotonic())
-        await self._while_disturbed(self._chance.uniform(4.0, 8.0))
-        if self._members.get(name) is member:
+        self._feedback.record_leaving(proxied.target, time.monotonic())
+        await self._wait_during_fault(self._rng.uniform(4.0, 8.0))
+        if self._targets.get(name) is proxied:
             self._store.remove(f"servers/{name}")
-            del self._members[name]
-            member.target.stop()
-            await member.proxy.stop()
+            del self._targets[name]
+            proxied.target.stop()
+            await proxied.proxy.stop()
 
     async def _limit_targets(self) -> None:
-        """Targets in need name limits, change them and name none again."""
+        """Makes targets set a rate limit in their responses for a time."""
         free = [
             name
-            for name, member in sorted(self._members.items())
-            if member.target.limit is None
+            for name, proxied in sorted(self._targets.items())
+            if proxied.target.limit is None
         ]
-        names = self._chance.sample(free, min(len(free), 2))
-        targets = [self._members[name].target for name in names]
-        rate = self._chance.choice((0.4, 3.1, 6.1))
-        self._say(f"targets {names} name a limit of {rate}")
+        names = self._rng.sample(free, min(len(free), 2))
+        targets = [self._targets[name].target for name in names]
+        rate = self._rng.choice((0.4, 3.1, 6.1))
+        self._record_fault(f"targets {names} set a limit of {rate} requests/s")
         began = time.monotonic()
         for target in targets:
             target.limit = rate
-        await self._while_disturbed(self._chance.uniform(6.0, 12.0))
+        await self._wait_during_fault(self._rng.uniform(6.0, 12.0))
         for target in targets:
-            self._notices.limited(target, rate, began, time.monotonic())
+            self._feedback.record_limit(target, rate, began, time.monotonic())
             target.limit = None
 
-    async def _turn_away(self) -> None:
-        """A target rejects requests and says for how long it wants none."""
-        name = self._chance.choice(sorted(self._members))
-        target = self._members[name].target
-        seconds = self._chance.uniform(1.0, 4.0)
-        self._say(f"target {name} wants nothing for {seconds:.1f} s")
+    async def _shed_requests(self) -> None:
+        """Makes a target shed requests and ask for backoff."""
+        name = self._rng.choice(sorted(self._targets))
+        target = self._targets[name].target
+        seconds = self._rng.uniform(1.0, 4.0)
+        self._record_fault(f"target {name} asks for backoff of {seconds:.1f} s")
         target.rest = seconds
         target.fault = platform_target.Fault.SHED
-        await self._while_disturbed(seconds)
+        await self._wait_during_fault(seconds)
         target.fault = platform_target.Fault.NONE
         target.rest = 0.0
 
@@ -566,14 +575,14 @@
         value = self._store.value(f"servers/{name}") or b"{}"
         return str(msgspec.json.decode(value).get("Address", ""))
 
-    async def _configure(self) -> None:
-        version = next(self._versions)
-        self._say(f"configuration {version}")
-        timeout = self._chance.choice((1500, 2000, 2500))
+    async def _change_configuration(self) -> None:
+        version = next(self._version_numbers)
+        self._record_fault(f"configuration {version}")
+        timeout = self._rng.choice((1500, 2000, 2500))
         self._rules[version] = platform_world.rule(
             f"v{version}", "idempotent", f"/v{version}/", platform_world.PLAIN
         )
-        while len(self._rules) > _RULES_KEPT:
+        while len(self._rules) > _MAX_KEPT_RULES:
             del self._rules[min(self._rules)]
         self._store.put(
             "op/config",
@@ -583,7 +592,7 @@
                 extra=tuple(self._rules.values()),
             ),
         )
-        self._lag.written(version, time.monotonic())
+        self._lateness.record_version(version, time.monotonic())
         for daemon in self._daemons:
             probe = asyncio.create_task(self._probe(daemon, version))
             self._probes.add(probe)
@@ -592,24 +601,24 @@
     async def _probe(
         self, daemon: soak_daemons.SoakDaemon, version: int
     ) -> None:
-        """Asks a daemon for a new route until it knows it."""
+        """Requests a new route from a daemon until it serves the route."""
         while version in self._rules and not self._stopping:
-            sent = time.monotonic()
+            sent_at = time.monotonic()
             status = await self._probe_once(daemon, version)
             if version not in self._rules:
                 return
-            self._lag.probed(
-                soak_lateness.Probe(daemon.name, version, sent, status)
+            self._lateness.record_probe(
+                soak_lateness.Probe(daemon.name, version, sent_at, status)
             )
             if status == _OK:
                 return
-            await asyncio.sleep(_PROBE_SECONDS)
+            await asyncio.sleep(_PROBE_INTERVAL_SECONDS)
 
     async def _probe_once(
         self, daemon: soak_daemons.SoakDaemon, version: int
     ) -> int:
-        """Returns the status of a request on a new route, 0 for none."""
-        attempt = f"p{next(self._attempts)}"
+        """Requests a new route; returns the status, 0 without a response."""
+        attempt = f"p{next(self._attempt_numbers)}"
         request = http_client.request(
             platform_world.HOST,
             "GET",
@@ -621,14 +630,16 @@
             ),
         )
         try:
-            connection = await self._pool.connect(daemon.callers, 0.0, 0.5)
+            connection = await self._pool.connect(
+                daemon.callers_address, 0.0, 0.5
+            )
         except http_client.NotSentError:
             return 0
         try:
-            reply = connection.start(request)
+            response = connection.start(request)
             async with asyncio.timeout(_DEADLINE_MS / 1000):
-                await connection.wait_complete(reply, 1 << 30)
-            return reply.status
+                await connection.wait_complete(response, 1 << 30)
+            return response.status
         except (
             http_client.NotSentError,
             http_client.ResponseLostError,
@@ -638,45 +649,47 @@
         finally:
             connection.abort()
 
-    async def _while_disturbed(self, seconds: float) -> None:
+    async def _wait_during_fault(self, seconds: float) -> None:
         ends = time.monotonic() + seconds
         while (left := ends - time.monotonic()) > 0:
-            self._disturbed_at = time.monotonic()
+            self._last_fault_at = time.monotonic()
             await asyncio.sleep(min(left, 0.2))
-        self._disturbed_at = time.monotonic()
+        self._last_fault_at = time.monotonic()
 
-    # The verdict.
+    # Verdict.
 
-    def _judge(self, recovered: float) -> Verdict:
+    def _make_verdict(self, recovered: float) -> Verdict:
         oracle = self._oracle
         oracle.finish()
-        oracle.wrong.extend(self._notices.wrong())
-        oracle.wrong.extend(self._lag.wrong())
-        share = oracle.served_share(recovered, recovered + _JUDGED_SECONDS)
-        if share < _SERVED_LEAST:
-            oracle.wrong.append(f"only {share:.3f} served after recovery")
-        oracle.wrong.extend(
-            f"{daemon.name} ended by itself {daemon.unasked_ends} times"
+        oracle.violations.extend(self._feedback.violations())
+        oracle.violations.extend(self._lateness.violations())
+        share = oracle.served_share(recovered, recovered + _RECOVERED_SECONDS)
+        if share < _MIN_SERVED_SHARE:
+            oracle.violations.append(
+                f"only {share:.3f} of requests served after recovery"
+            )
+        oracle.violations.extend(
+            f"{daemon.name} exited unexpectedly {daemon.unexpected_exits} times"
             for daemon in self._daemons
-            if daemon.unasked_ends
+            if daemon.unexpected_exits
         )
         counts = collections.Counter(str(o.status) for o in oracle.outcomes)
         return Verdict(
             self._plan.seed,
-            oracle.wrong,
+            oracle.violations,
             self._faults,
             dict(counts),
             round(share, 4),
             len(oracle.runs),
-            self._lag.report(),
+            self._lateness.report(),
         )
 
 
 async def run(plan: Plan) -> Verdict:
-    """Plays a soak and writes its verdict beside its logs.
+    """Executes a soak and writes its verdict next to its logs.
 
     Args:
-        plan: How large it is and how long it goes on.
+        plan: Size and duration of the soak.
 
     Returns:
         The verdict.
--- a/packages/mimosastile-standins/src/mimosastile_standins/soak_daemons.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/soak_daemons.py
@@ -1,4 +1,4 @@
-"""Real daemons as separate processes, as the platform runs them."""
+"""Runs real daemons as separate processes, as the platform does."""
 
 import asyncio
 import contextlib
@@ -11,9 +11,9 @@
 _ROOT = pathlib.Path(__file__).resolve().parents[4]
 _START = _ROOT / "platform" / "start.py"
 _GRACE_SECONDS = 6
-"""From SIGTERM to the forced end, as the platform has it."""
+"""Time from SIGTERM to SIGKILL, as on the platform."""
 _FIRST_NETWORK, _NETWORKS = 64, 128
-"""Loopback networks; runs beside each other take different ones."""
+"""Loopback networks. Concurrent soaks use different ones."""
 _CALLERS_PORT, _READY_PORT, _PEERS_PORT = 18548, 18542, 17540
 
 _SETTINGS = """
@@ -36,41 +36,42 @@
 
 
 class SoakDaemon:
-    """One daemon's process, started again whenever it has ended.
+    """A daemon process that is restarted whenever it exits.
 
     Attributes:
-        name: Identifier of its VM.
-        callers: Address of its callers' side.
-        ready: Address of the balancer's question.
-        disturbed_at: Time of the last signal other than SIGTERM and SIGHUP.
-        stopping_since: Time of SIGTERM, None while it was not asked to stop.
-        unasked_ends: How often it ended by itself.
+        name: Identifier of the VM.
+        callers_address: Address for callers.
+        ready_address: Address for the load balancer's readiness check.
+        signalled_at: Time of the last signal other than SIGTERM and SIGHUP.
+        stopping_since: Time of SIGTERM, None before it.
+        store: Address of the store.
+        unexpected_exits: Number of exits without a preceding signal.
     """
 
     __slots__ = (
         "_folder",
-        "_grace",
+        "_grace_timer",
         "_ip",
+        "_keep_running",
         "_process",
-        "_watcher",
-        "_wanted",
+        "_supervisor",
         "_zone",
-        "callers",
-        "disturbed_at",
+        "callers_address",
         "name",
-        "ready",
+        "ready_address",
+        "signalled_at",
         "stopping_since",
         "store",
-        "unasked_ends",
+        "unexpected_exits",
     )
 
     def __init__(self, number: int, store: str, folder: pathlib.Path) -> None:
-        """Makes one that is not started.
+        """Initializes a daemon without starting it.
 
         Args:
-            number: Its number, from 1; gives it an address of its own.
-            store: Address at which it finds the store.
-            folder: For its settings and its log.
+            number: Number of the daemon, from 1; determines its address.
+            store: Address of the store.
+            folder: Folder for the settings and the log.
         """
         self.name = f"vm-{number}"
         self.store = store
@@ -78,18 +79,18 @@
         network = _FIRST_NETWORK + os.getpid() % _NETWORKS
         self._ip = f"127.{network}.{1 + number // 250}.{1 + number % 250}"
         self._zone = "ab"[number % 2]
-        self.callers = f"{self._ip}:{_CALLERS_PORT}"
-        self.ready = f"{self._ip}:{_READY_PORT}"
+        self.callers_address = f"{self._ip}:{_CALLERS_PORT}"
+        self.ready_address = f"{self._ip}:{_READY_PORT}"
         self._process: asyncio.subprocess.Process | None = None
-        self._watcher: asyncio.Task[None] | None = None
-        self._wanted = False
-        self._grace: asyncio.Task[None] | None = None
-        self.disturbed_at = float("-inf")
+        self._supervisor: asyncio.Task[None] | None = None
+        self._keep_running = False
+        self._grace_timer: asyncio.Task[None] | None = None
+        self.signalled_at = float("-inf")
         self.stopping_since: float | None = None
-        self.unasked_ends = 0
+        self.unexpected_exits = 0
 
     async def start(self) -> None:
-        """Starts its process and keeps it running."""
+        """Starts the process and restarts it whenever it exits."""
         self._folder.mkdir(parents=True, exist_ok=True)
         path = self._folder / f"{self.name}.toml"
         path.write_text(
@@ -106,9 +107,9 @@
             ),
             encoding="utf-8",
         )
-        self._wanted = True
+        self._keep_running = True
         await self._launch(path)
-        self._watcher = asyncio.create_task(self._keep(path))
+        self._supervisor = asyncio.create_task(self._supervise(path))
 
     async def _launch(self, path: pathlib.Path) -> None:
         environment = {**os.environ, "MIMOSASTILE_NODE_FILE": str(path)}
@@ -124,40 +125,44 @@
             )
         self.stopping_since = None
 
-    async def _keep(self, path: pathlib.Path) -> None:
-        while self._wanted and self._process is not None:
+    async def _supervise(self, path: pathlib.Path) -> None:
+        while self._keep_running and self._process is not None:
             await self._process.wait()
-            asked = self.stopping_since is not None
-            killed = time.monotonic() - self.disturbed_at < 1.0
-            if self._wanted and not asked and not killed:
-                self.unasked_ends += 1
+            stopping = self.stopping_since is not None
+            killed = time.monotonic() - self.signalled_at < 1.0
+            if self._keep_running and not stopping and not killed:
+                self.unexpected_exits += 1
             await asyncio.sleep(0.3)
-            if self._wanted:
+            if self._keep_running:
                 await self._launch(path)
 
-    def send(self, number: signal.Signals) -> None:
-        """Sends a signal to its process, if there is one."""
+    def send_signal(self, number: signal.Signals) -> None:
+        """Sends a signal to the process if it is running."""
         if self._process is None or self._process.returncode is not None:
             return
         if number is signal.SIGTERM:
             self.stopping_since = time.monotonic()
-            self._grace = asyncio.create_task(self._force(self._process))
+            self._grace_timer = asyncio.create_task(
+                self._kill_after_grace(self._process)
+            )
         elif number is not signal.SIGHUP:
-            self.disturbed_at = time.monotonic()
+            self.signalled_at = time.monotonic()
         with contextlib.suppress(ProcessLookupError):
             self._process.send_signal(number)
 
-    async def _force(self, process: asyncio.subprocess.Process) -> None:
-        """Ends a process that has not stopped within its time."""
+    async def _kill_after_grace(
+        self, process: asyncio.subprocess.Process
+    ) -> None:
+        """Kills a process that is still running after the grace period."""
         await asyncio.sleep(_GRACE_SECONDS)
         if process.returncode is None:
-            self.disturbed_at = time.monotonic()
+            self.signalled_at = time.monotonic()
             process.kill()
 
-    async def end(self) -> None:
-        """Ends its process for good."""
-        self._wanted = False
-        for task in (self._watcher, self._grace):
+    async def stop(self) -> None:
+        """Kills the process and does not restart it."""
+        self._keep_running = False
+        for task in (self._supervisor, self._grace_timer):
             if task is not None:
                 task.cancel()
         if self._process is not None and self._process.returncode is None:
--- a/packages/mimosastile-standins/src/mimosastile_standins/soak_lateness.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/soak_lateness.py
@@ -1,7 +1,8 @@
-"""How long after its acknowledgement a change is in force, seen from outside.
+"""Measures from outside how soon an acknowledged change takes effect.
 
-Probes of routes that a version has added show by which version a VM handles
-requests; arrivals at targets show which VMs still send to one that leaves.
+Probes of routes that a configuration version added show which version a VM
+applies. Arrivals at targets show which VMs still send requests to a leaving
+target.
 """
 
 from collections.abc import Iterator
@@ -12,18 +13,18 @@
 from mimosastile_standins import soak_notices
 
 APPLY_SECONDS = 2.0
-"""The daemons' default: time within which a version has to be in force."""
+"""Default time limit within which a daemon must apply a version."""
 _NOT_FOUND = 404
 
 
 class Probe(msgspec.Struct, frozen=True):
-    """One request on a route that a version has added.
+    """A request on a route that a configuration version added.
 
     Attributes:
-        vm: Who got it.
-        version: The version.
-        sent: When it was sent.
-        status: The answer's status, 0 if there was none.
+        vm: VM that received the request.
+        version: Configuration version that added the route.
+        sent: Time at which the request was sent.
+        status: Status of the response, 0 without a response.
     """
 
     vm: str
@@ -33,15 +34,15 @@
 
 
 class Lateness(msgspec.Struct, frozen=True):
-    """The latest effect of old knowledge, and what was left to its bound.
+    """Longest observed use of outdated state, and the margin to its limit.
 
     Attributes:
         configuration: Seconds from a version's acknowledgement to the last
             request that a VM handled by an older one.
-        configuration_margin: Seconds from there to the bound.
-        leaving: Seconds from the acknowledgement of a leaving to the last
-            request that a VM sent to the target.
-        leaving_margin: Seconds from there to the bound.
+        configuration_margin: Seconds from there to the limit.
+        leaving: Seconds from the acknowledgement that a target leaves to the
+            last request that a VM sent to the target.
+        leaving_margin: Seconds from there to the limit.
     """
 
     configuration: float
@@ -50,55 +51,59 @@
     leaving_margin: float
 
 
-class Lag:
-    """Collects acknowledgements and probes, and judges them.
+class LatenessChecker:
+    """Checks from acknowledgements and probes that changes apply in time.
 
-    VMs count that nothing has excused since shortly before the
+    Only VMs count that no fault has affected since shortly before the
     acknowledgement.
     """
 
-    __slots__ = ("_notices", "_probes", "_written")
+    __slots__ = ("_acknowledged", "_feedback", "_probes")
 
-    def __init__(self, notices: soak_notices.Notices) -> None:
-        """Makes one without probes.
+    def __init__(self, feedback: soak_notices.FeedbackChecker) -> None:
+        """Initializes a checker without probes.
 
         Args:
-            notices: Knows who is excused, and what targets register.
+            feedback: Records faults of VMs and registrations of targets.
         """
-        self._notices = notices
-        self._written: dict[int, float] = {}
+        self._feedback = feedback
+        self._acknowledged: dict[int, float] = {}
         self._probes: list[Probe] = []
 
-    def written(self, version: int, at: float) -> None:
-        """Notes that the store has acknowledged a version."""
-        self._written[version] = at
+    def record_version(self, version: int, at: float) -> None:
+        """Records the time at which the store acknowledged a version."""
+        self._acknowledged[version] = at
 
-    def probed(self, probe: Probe) -> None:
-        """Notes the outcome of a probe."""
+    def record_probe(self, probe: Probe) -> None:
+        """Records the outcome of a probe."""
         self._probes.append(probe)
 
-    def _behind(self) -> Iterator[tuple[Probe, float]]:
-        """Yields probes handled by older versions, with their lateness."""
+    def _late_probes(self) -> Iterator[tuple[Probe, float]]:
+        """Yields probes that an older version handled, with the delay."""
         for probe in self._probes:
-            written = self._written[probe.version]
-            bound = self._notices.in_touch(probe.vm, written, probe.sent)
-            if probe.status == _NOT_FOUND and bound:
-                yield probe, probe.sent - written
-
-    def wrong(self) -> list[str]:
-        """Returns what was too late, as sentences."""
+            acknowledged = self._acknowledged[probe.version]
+            must_apply = self._feedback.must_apply(
+                probe.vm, acknowledged, probe.sent
+            )
+            if probe.status == _NOT_FOUND and must_apply:
+                yield probe, probe.sent - acknowledged
+
+    def violations(self) -> list[str]:
+        """Returns a message for each change that applied too late."""
         return [
-            f"{probe.vm} handled a request by a version before"
-            f" {probe.version}, {late:.2f} s after that"
-            for probe, late in self._behind()
+            f"{probe.vm} applied a version older than"
+            f" {probe.version}, {late:.2f} s after its acknowledgement"
+            for probe, late in self._late_probes()
             if late > APPLY_SECONDS
         ]
 
     def report(self) -> Lateness:
-        """Returns the latest effects of old knowledge."""
-        behind = (late for _, late in self._behind())
-        version = max(itertools.chain(behind, (0.0,)))
-        leaving = max(itertools.chain(self._notices.after_leaving(), (0.0,)))
+        """Returns the longest observed uses of outdated state."""
+        delays = (late for _, late in self._late_probes())
+        version = max(itertools.chain(delays, (0.0,)))
+        leaving = max(
+            itertools.chain(self._feedback.delays_after_leaving(), (0.0,))
+        )
         return Lateness(
             round(version, 3),
             round(APPLY_SECONDS - version, 3),
--- a/packages/mimosastile-standins/src/mimosastile_standins/soak_notices.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/soak_notices.py
@@ -1,7 +1,7 @@
-"""Whether what targets say of themselves is kept, judged after a soak.
+"""Checks after a soak that VMs complied with target feedback.
 
-Callers see which VM has passed on what a target said, targets see which
-requests reach them afterwards.
+Callers observe which VM forwarded the feedback of a target, and targets observe
+which requests reach them afterwards.
 """
 
 import collections
@@ -14,26 +14,27 @@
 
 CONTACT_SECONDS = 3.0
 DRAIN_SECONDS = 2.0
-"""The daemons' defaults: time until all VMs keep to what is new, and until a
-target that leaves gets nothing more."""
-_TOLD_SECONDS = 0.5
-"""Time after which a VM that was told is bound."""
-_LIMIT_WINDOW = 4.0
+"""Defaults of the daemons: time until all VMs apply an update, and until a
+leaving target receives no more requests."""
+_COMPLY_SECONDS = 0.5
+"""Time after which a VM must comply with feedback that it received."""
+_LIMIT_WINDOW_SECONDS = 4.0
 _LIMIT_FACTOR = 1.5
 _LIMIT_SLACK = 5
-_REST_REQUESTS = 2
-"""The users' bounds on what a limited target and one that rests get."""
+_BACKOFF_REQUESTS = 2
+"""Limits guaranteed to users: requests to a rate-limited target, and requests
+of one VM to a target during its backoff."""
 
-_Run = tuple[str, int]
+_Incarnation = tuple[str, int]
 
 
 class _Limited(msgspec.Struct, frozen=True):
-    """A time in which a target has named a limit.
+    """A period in which a target set a rate limit.
 
     Attributes:
-        rate: Requests a second.
-        began: Since when.
-        ended: Until when.
+        rate: Requests per second.
+        began: Start time.
+        ended: End time.
     """
 
     rate: float
@@ -41,15 +42,15 @@
     ended: float
 
 
-class Passed(msgspec.Struct, frozen=True):
-    """An answer of a target that a VM has passed on.
+class ForwardedFeedback(msgspec.Struct, frozen=True):
+    """A target's response with feedback that a VM forwarded.
 
     Attributes:
-        attempt: The caller's attempt.
-        vm: Who passed it on.
-        at: When the caller had it.
-        limited: Whether it names a limit.
-        leaving: Whether it says that the target leaves.
+        attempt: Identifier of the caller's attempt.
+        vm: VM that forwarded the response.
+        at: Time at which the caller received the response.
+        limited: Whether the response sets a rate limit.
+        leaving: Whether the response announces that the target leaves.
     """
 
     attempt: str
@@ -59,206 +60,234 @@
     leaving: bool = False
 
 
-class Notices:
-    """Collects what targets say, what reaches them, and who is excused.
+class FeedbackChecker:
+    """Checks compliance of VMs with target feedback, except during faults.
 
     Attributes:
-        arrivals: Requests that have reached targets; targets write it.
+        arrivals: Requests that reached targets, appended by the targets.
     """
 
     __slots__ = (
-        "_disturbed",
+        "_forwarded",
         "_limits",
-        "_passed",
+        "_link_faults",
         "_registered",
         "_sent",
-        "_trouble",
+        "_vm_faults",
         "arrivals",
     )
 
     def __init__(self) -> None:
         self.arrivals: list[platform_target.Arrival] = []
         self._sent: dict[str, tuple[str, float]] = {}
-        self._passed: list[Passed] = []
-        self._disturbed: dict[str, list[float]] = collections.defaultdict(list)
-        self._trouble: list[tuple[float, float]] = []
-        self._limits: dict[_Run, list[_Limited]] = {}
-        self._registered: dict[_Run, float] = {}
-
-    def sent(self, attempt: str, vm: str, at: float) -> None:
-        """Notes a caller's request."""
+        self._forwarded: list[ForwardedFeedback] = []
+        self._vm_faults: dict[str, list[float]] = collections.defaultdict(list)
+        self._link_faults: list[tuple[float, float]] = []
+        self._limits: dict[_Incarnation, list[_Limited]] = {}
+        self._registered: dict[_Incarnation, float] = {}
+
+    def record_request(self, attempt: str, vm: str, at: float) -> None:
+        """Records a caller's request."""
         self._sent[attempt] = vm, at
 
-    def passed(self, answer: Passed) -> None:
-        """Notes an answer that says something of its target."""
-        self._passed.append(answer)
+    def record_feedback(self, response: ForwardedFeedback) -> None:
+        """Records a forwarded response with target feedback."""
+        self._forwarded.append(response)
 
-    def disturb(self, vm: str, at: float) -> None:
-        """Notes a restart, a pause or a cut of a VM, which excuses it."""
-        self._disturbed[vm].append(at)
+    def record_vm_fault(self, vm: str, at: float) -> None:
+        """Records a restart, pause or partition of a VM, which exempts it."""
+        self._vm_faults[vm].append(at)
 
-    def trouble(self, began: float, ended: float) -> None:
-        """Notes a time in which links to targets or the store were harmed."""
-        self._trouble.append((began, ended))
+    def record_link_fault(self, began: float, ended: float) -> None:
+        """Records a period with faults on links to targets or the store."""
+        self._link_faults.append((began, ended))
 
-    def limited(
+    def record_limit(
         self,
         target: platform_target.PlatformTarget,
         rate: float,
         began: float,
         ended: float,
     ) -> None:
-        """Notes for how long a target has named a limit."""
+        """Records a period in which a target set a rate limit."""
         times = self._limits.setdefault((target.id, target.born), [])
         times.append(_Limited(rate, began, ended))
 
-    def registered(
+    def record_leaving(
         self, target: platform_target.PlatformTarget, at: float
     ) -> None:
-        """Notes that the store shows that a target leaves."""
+        """Records when the store acknowledged that a target leaves."""
         self._registered[target.id, target.born] = at
 
-    # The verdict.
+    # Verdict.
 
-    def wrong(self) -> list[str]:
-        """Returns what was not kept, as sentences."""
-        by_run: dict[_Run, list[platform_target.Arrival]] = {}
+    def violations(self) -> list[str]:
+        """Returns a message for each violation."""
+        by_incarnation: dict[_Incarnation, list[platform_target.Arrival]] = {}
         for arrival in self.arrivals:
-            run = arrival.target, arrival.born
-            by_run.setdefault(run, []).append(arrival)
+            incarnation = arrival.target, arrival.born
+            by_incarnation.setdefault(incarnation, []).append(arrival)
         return [
             *itertools.chain.from_iterable(
                 itertools.chain(
-                    self._over_limit(run, arrivals),
-                    self._after_leaving(run, arrivals),
-                    self._in_rest(arrivals),
+                    self._limit_violations(incarnation, arrivals),
+                    self._leaving_violations(incarnation, arrivals),
+                    self._backoff_violations(arrivals),
                 )
-                for run, arrivals in by_run.items()
+                for incarnation, arrivals in by_incarnation.items()
             )
         ]
 
-    def _told(
-        self, arrivals: list[platform_target.Arrival], what: str
+    def _feedback_times(
+        self, arrivals: list[platform_target.Arrival], kind: str
     ) -> dict[str, list[float]]:
-        """Returns when VMs passed on answers of a run that say something."""
+        """Returns by VM when it forwarded feedback of an incarnation."""
         attempts = {arrival.attempt for arrival in arrivals}
-        told: dict[str, list[float]] = collections.defaultdict(list)
-        for answer in self._passed:
-            if getattr(answer, what) and answer.attempt in attempts:
-                told[answer.vm].append(answer.at)
-        return told
-
-    def _calm(self, vm: str, since: float, until: float) -> bool:
-        """Whether nothing has excused a VM for some time."""
-        times = self._disturbed[vm]
+        feedback_times: dict[str, list[float]] = collections.defaultdict(list)
+        for response in self._forwarded:
+            if getattr(response, kind) and response.attempt in attempts:
+                feedback_times[response.vm].append(response.at)
+        return feedback_times
+
+    def _vm_undisturbed(self, vm: str, since: float, until: float) -> bool:
+        """Whether no fault affected a VM during a period."""
+        times = self._vm_faults[vm]
         return not any(since <= at <= until for at in times)
 
-    def _well(self, since: float, until: float) -> bool:
-        """Whether no link was harmed for some time."""
+    def _links_healthy(self, since: float, until: float) -> bool:
+        """Whether no link had a fault during a period."""
         return not any(
-            began <= until and since <= ended for began, ended in self._trouble
+            began <= until and since <= ended
+            for began, ended in self._link_faults
         )
 
-    def in_touch(self, vm: str, acknowledged: float, until: float) -> bool:
-        """Whether a VM is bound by what was acknowledged at some time."""
+    def must_apply(self, vm: str, acknowledged: float, until: float) -> bool:
+        """Whether no fault exempts a VM from applying a change in time."""
         since = acknowledged - CONTACT_SECONDS
-        return self._calm(vm, since, until) and self._well(since, until)
+        return self._vm_undisturbed(vm, since, until) and self._links_healthy(
+            since, until
+        )
 
-    def _over_limit(
-        self, run: _Run, arrivals: list[platform_target.Arrival]
+    def _limit_violations(
+        self, incarnation: _Incarnation, arrivals: list[platform_target.Arrival]
     ) -> Iterator[str]:
-        """Yields windows in which a limited target got too much."""
-        told = self._told(arrivals, "limited")
-        for named in self._limits.get(run, ()):
-            counted = [a.at for a in arrivals if self._counts(a, named, told)]
-            allowed = _LIMIT_FACTOR * named.rate * _LIMIT_WINDOW + _LIMIT_SLACK
+        """Yields the first excess over each limit that a target set."""
+        feedback_times = self._feedback_times(arrivals, "limited")
+        for limit in self._limits.get(incarnation, ()):
+            counted = [
+                a.at
+                for a in arrivals
+                if self._must_comply(a, limit, feedback_times)
+            ]
+            allowed = (
+                _LIMIT_FACTOR * limit.rate * _LIMIT_WINDOW_SECONDS
+                + _LIMIT_SLACK
+            )
             over = (
                 got
                 for at in counted
-                if at > named.began + CONTACT_SECONDS
-                and self._well(at - 2 * _LIMIT_WINDOW, at)
-                and (got := _within(counted, at)) > allowed
+                if at > limit.began + CONTACT_SECONDS
+                and self._links_healthy(at - 2 * _LIMIT_WINDOW_SECONDS, at)
+                and (got := _count_in_window(counted, at)) > allowed
             )
             for got in itertools.islice(over, 1):
-                yield f"{run[0]} named {named.rate} and got {got} in 4 s"
+                yield (
+                    f"{incarnation[0]} set a limit of {limit.rate} requests/s"
+                    f" and got {got} in 4 s"
+                )
 
-    def _counts(
+    def _must_comply(
         self,
         arrival: platform_target.Arrival,
-        named: _Limited,
-        told: dict[str, list[float]],
+        limit: _Limited,
+        feedback_times: dict[str, list[float]],
     ) -> bool:
-        """Whether a request is one of a VM that knew of a limit."""
-        if not named.began <= arrival.at <= named.ended:
+        """Whether the VM that sent a request had to comply with a limit."""
+        if not limit.began <= arrival.at <= limit.ended:
             return False
         if arrival.attempt not in self._sent:
             return False
         vm, _ = self._sent[arrival.attempt]
-        heard = [
+        received = [
             at
-            for at in told[vm]
-            if named.began <= at <= arrival.at - _TOLD_SECONDS
+            for at in feedback_times[vm]
+            if limit.began <= at <= arrival.at - _COMPLY_SECONDS
         ]
-        since = arrival.at - 2 * _LIMIT_WINDOW
-        return bool(heard) and self._calm(vm, since, arrival.at)
+        since = arrival.at - 2 * _LIMIT_WINDOW_SECONDS
+        return bool(received) and self._vm_undisturbed(vm, since, arrival.at)
 
-    def _after_leaving(
-        self, run: _Run, arrivals: list[platform_target.Arrival]
+    def _leaving_violations(
+        self, incarnation: _Incarnation, arrivals: list[platform_target.Arrival]
     ) -> Iterator[str]:
-        """Yields requests for a target that had left for their VM."""
-        told = self._told(arrivals, "leaving")
+        """Yields requests that VMs sent to a leaving target too late."""
+        feedback_times = self._feedback_times(arrivals, "leaving")
         for arrival in arrivals:
             if arrival.attempt not in self._sent:
                 continue
             vm, sent = self._sent[arrival.attempt]
-            heard = min(told[vm], default=sent)
-            if sent > heard + DRAIN_SECONDS and self._calm(vm, heard, sent):
-                yield f"{vm} sent {arrival.attempt} to {run[0]}, as it left"
-            late = self._after_registered(arrival)
+            received = min(feedback_times[vm], default=sent)
+            if sent > received + DRAIN_SECONDS and self._vm_undisturbed(
+                vm, received, sent
+            ):
+                yield (
+                    f"{vm} sent {arrival.attempt} to {incarnation[0]} after"
+                    " feedback that the target leaves"
+                )
+            late = self._delay_after_registered(arrival)
             if late is not None and late > DRAIN_SECONDS:
-                yield f"{vm} sent {arrival.attempt} to {run[0]}, registered out"
+                yield (
+                    f"{vm} sent {arrival.attempt} to {incarnation[0]},"
+                    " registered as leaving"
+                )
 
-    def _after_registered(
+    def _delay_after_registered(
         self, arrival: platform_target.Arrival
     ) -> float | None:
-        """Returns how long after a registered leaving a request was sent.
+        """Returns the delay of a request since its target began to leave.
 
         Returns:
-            Seconds, negative before it; None if nothing was registered or the
-            VM is excused.
+            Seconds, negative before the registration; None without a
+            registration or if a fault exempts the VM.
         """
         registered = self._registered.get((arrival.target, arrival.born))
         if registered is None or arrival.attempt not in self._sent:
             return None
         vm, sent = self._sent[arrival.attempt]
-        if not self.in_touch(vm, registered, sent):
+        if not self.must_apply(vm, registered, sent):
             return None
         return sent - registered
 
-    def after_leaving(self) -> Iterator[float]:
-        """Yields how long after a registered leaving requests were sent."""
-        for late in map(self._after_registered, self.arrivals):
+    def delays_after_leaving(self) -> Iterator[float]:
+        """Yields delays of requests sent to targets registered as leaving."""
+        for late in map(self._delay_after_registered, self.arrivals):
             if late is not None and late > 0:
                 yield late
 
-    def _in_rest(
+    def _backoff_violations(
         self, arrivals: list[platform_target.Arrival]
     ) -> Iterator[str]:
-        """Yields VMs that press a target that wanted nothing from them."""
-        of_vm: dict[str, list[platform_target.Arrival]] = {}
+        """Yields VMs that sent too many requests during a target's backoff."""
+        by_vm: dict[str, list[platform_target.Arrival]] = {}
         for arrival in arrivals:
             if arrival.attempt in self._sent:
                 vm, _ = self._sent[arrival.attempt]
-                of_vm.setdefault(vm, []).append(arrival)
-        for vm, own in of_vm.items():
-            for asked in own:
-                ends = asked.at + asked.rest
-                got = sum(asked.at + _TOLD_SECONDS < a.at < ends for a in own)
-                if got > _REST_REQUESTS and self._calm(vm, asked.at, ends):
-                    yield f"{vm} sent {got} to {asked.target} in its rest"
+                by_vm.setdefault(vm, []).append(arrival)
+        for vm, own in by_vm.items():
+            for rejected in own:
+                ends = rejected.at + rejected.rest
+                got = sum(
+                    rejected.at + _COMPLY_SECONDS < a.at < ends for a in own
+                )
+                if got > _BACKOFF_REQUESTS and self._vm_undisturbed(
+                    vm, rejected.at, ends
+                ):
+                    yield (
+                        f"{vm} sent {got} requests to {rejected.target}"
+                        " during its backoff"
+                    )
                     break
 
 
-def _within(times: list[float], end: float) -> int:
-    """Returns how many of some times lie in the window before one."""
-    return sum(end - _LIMIT_WINDOW < at <= end for at in times)
+def _count_in_window(times: list[float], end: float) -> int:
+    """Returns how many times lie in the limit window before an end."""
+    return sum(end - _LIMIT_WINDOW_SECONDS < at <= end for at in times)
--- a/tests/standins/test_soak.py
+++ b/tests/standins/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak's own parts: its oracle notices, its proxy does what it says."""
+"""Tests of the soak oracle and the fault proxy."""
 
 import asyncio
 
@@ -21,24 +21,24 @@
     return soak_oracle.Outcome(attempt, status=status, **(defaults | fields))
 
 
-def _ran(*attempts):
+def _executions(*attempts):
     return [platform_target.Run(a, None, "t-1", 1.0) for a in attempts]
 
 
-class _Holder:
-    """A target that holds some keys."""
+class _Owner:
+    """A target that owns ranges of keys."""
 
     def __init__(self, name, *spans):
         self.id = name
         self._spans = list(spans)
 
     def spans(self):
-        """Returns what it holds."""
+        """Returns the owned ranges."""
         return self._spans
 
 
 class TestOracle:
-    """Each broken promise is noticed, and nothing else is."""
+    """Reports each violated guarantee and nothing else."""
 
     @pytest.mark.parametrize(
         ("outcome", "runs", "wrong"),
@@ -60,33 +60,33 @@
         ],
     )
     def test_outcomes(self, outcome, runs, wrong):
-        """Twice, refused and run, another's answer, cut by a stop."""
+        """Duplicate, refused, misdirected and interrupted requests."""
         oracle = soak_oracle.SoakOracle()
-        oracle.runs.extend(_ran(*runs))
-        oracle.ended(outcome)
+        oracle.runs.extend(_executions(*runs))
+        oracle.record_outcome(outcome)
         oracle.finish()
-        assert len(oracle.wrong) == wrong
+        assert len(oracle.violations) == wrong
 
     @pytest.mark.parametrize(
         ("other", "wrong"),
         [((10, 19), 0), ((9, 19), 1), ((0, 9), 1), ((3, 4), 1)],
     )
     def test_two_owners(self, other, wrong):
-        """Two targets hold one key at the same time."""
+        """Two targets own one key at the same time."""
         oracle = soak_oracle.SoakOracle()
-        oracle.check_owners([_Holder("x", (0, 9)), _Holder("y", other)])
-        assert len(oracle.wrong) == wrong
+        oracle.check_owners([_Owner("x", (0, 9)), _Owner("y", other)])
+        assert len(oracle.violations) == wrong
 
     def test_served_share(self):
-        """Only attempts of the time asked for count."""
+        """Only attempts sent in the given period count."""
         oracle = soak_oracle.SoakOracle()
         for at, status in ((1.0, 503), (2.0, 200), (2.5, 503), (3.0, 503)):
-            oracle.ended(_outcome(status, at=at, repeatable=True))
+            oracle.record_outcome(_outcome(status, at=at, repeatable=True))
         assert oracle.served_share(2.0, 3.0) == 0.5
 
 
 class TestProxy:
-    """What a link does to what crosses it."""
+    """Effects of link faults on forwarded data."""
 
     @pytest.mark.parametrize(
         ("fault", "arrives", "answered", "ended"),
@@ -100,7 +100,7 @@
         ],
     )
     def test_open_connection(self, fault, arrives, answered, ended):
-        """A fault begins while a connection is open."""
+        """A fault starts while a connection is open."""
 
         async def main():
             seen = asyncio.Event()
@@ -121,7 +121,7 @@
             assert await reader.readexactly(3) == b"one"
             proxy.set_fault(fault, 0.01)
             got = await self._exchange(reader, writer)
-            # Healing brings nothing back to a connection that fell silent.
+            # A muted connection stays silent after the fault is removed.
             proxy.set_fault(FAULTS.NONE)
             assert (got == b"two") is answered
             assert (got is not None and not got) is ended
@@ -133,7 +133,7 @@
         asyncio.run(main())
 
     async def _exchange(self, reader, writer):
-        """Returns the answer, empty at the end, None if nothing comes."""
+        """Returns the response, empty at the end, None on a timeout."""
         try:
             writer.write(b"two")
             async with asyncio.timeout(1.0):
--- a/tests/standins/test_soak_lateness.py
+++ b/tests/standins/test_soak_lateness.py
@@ -1,4 +1,4 @@
-"""The soak measures from outside how late a change is in force."""
+"""Tests of the delay with which acknowledged changes take effect."""
 
 import pytest
 
@@ -8,13 +8,13 @@
 
 
 class _Target:
-    """A target's run."""
+    """Incarnation of a target."""
 
     id, born = "t", 1
 
 
 class TestVersions:
-    """Probes of a route that version 5, acknowledged at 10 s, has added."""
+    """Probes of a route added by version 5, acknowledged at 10 s."""
 
     @pytest.mark.parametrize(
         ("sent", "status", "disturbed", "wrong", "late"),
@@ -30,42 +30,44 @@
         ],
     )
     def test_older_version(self, sent, status, disturbed, wrong, late):
-        """Guards against a VM in touch that goes by an old version."""
-        notices = soak_notices.Notices()
+        """Guards against an undisturbed VM that applies an old version."""
+        feedback = soak_notices.FeedbackChecker()
         if disturbed is not None:
-            notices.disturb("v", disturbed)
-        made = soak_lateness.Lag(notices)
-        made.written(5, 10.0)
-        made.probed(soak_lateness.Probe("v", 5, sent, status))
-        assert len(made.wrong()) == wrong
-        assert made.report().configuration == pytest.approx(late)
-        assert made.report().configuration_margin == pytest.approx(2.0 - late)
+            feedback.record_vm_fault("v", disturbed)
+        checker = soak_lateness.LatenessChecker(feedback)
+        checker.record_version(5, 10.0)
+        checker.record_probe(soak_lateness.Probe("v", 5, sent, status))
+        assert len(checker.violations()) == wrong
+        assert checker.report().configuration == pytest.approx(late)
+        assert checker.report().configuration_margin == pytest.approx(
+            2.0 - late
+        )
 
     def test_harmed_links(self):
-        """Nobody is late while links to the store are harmed."""
-        notices = soak_notices.Notices()
-        notices.trouble(8.0, 9.0)
-        made = soak_lateness.Lag(notices)
-        made.written(5, 10.0)
-        made.probed(soak_lateness.Probe("v", 5, 12.5, 404))
-        assert made.wrong() == []
+        """No VM counts as late during faults on links to the store."""
+        feedback = soak_notices.FeedbackChecker()
+        feedback.record_link_fault(8.0, 9.0)
+        checker = soak_lateness.LatenessChecker(feedback)
+        checker.record_version(5, 10.0)
+        checker.record_probe(soak_lateness.Probe("v", 5, 12.5, 404))
+        assert checker.violations() == []
 
 
 class TestLeavings:
-    """Requests for a target that registered its leaving at 10 s."""
+    """Requests for a target that registered as leaving at 10 s."""
 
     @pytest.mark.parametrize(
         ("at", "disturbed", "late"),
         [(9.0, None, 0.0), (11.5, None, 1.5), (12.2, None, 2.2), (12, 11, 0.0)],
     )
     def test_last_request(self, at, disturbed, late):
-        """The report names the last one of a VM in touch."""
-        notices = soak_notices.Notices()
-        notices.arrivals.append(platform_target.Arrival("a1", "t", 1, at))
-        notices.sent("a1", "v", at)
-        notices.registered(_Target(), 10.0)
+        """The report gives the last one of an undisturbed VM."""
+        feedback = soak_notices.FeedbackChecker()
+        feedback.arrivals.append(platform_target.Arrival("a1", "t", 1, at))
+        feedback.record_request("a1", "v", at)
+        feedback.record_leaving(_Target(), 10.0)
         if disturbed is not None:
-            notices.disturb("v", disturbed)
-        report = soak_lateness.Lag(notices).report()
+            feedback.record_vm_fault("v", disturbed)
+        report = soak_lateness.LatenessChecker(feedback).report()
         assert report.leaving == pytest.approx(late)
         assert report.leaving_margin == pytest.approx(2.0 - late)
--- a/tests/standins/test_soak_notices.py
+++ b/tests/standins/test_soak_notices.py
@@ -1,4 +1,4 @@
-"""The soak notices that a target's word on itself was passed over."""
+"""Tests of the check that VMs comply with target feedback."""
 
 import pytest
 
@@ -7,33 +7,35 @@
 
 
 class _Target:
-    """A target's run."""
+    """Incarnation of a target."""
 
     id, born = "t", 1
 
 
-def _notices(arrivals, passed=()):
-    """Makes notices of requests by VM and time; attempts are numbered."""
-    made = soak_notices.Notices()
+def _make_checker(arrivals, passed=()):
+    """Returns a checker with numbered requests by VM and time."""
+    checker = soak_notices.FeedbackChecker()
     for number, (vm, at, rest) in enumerate(arrivals):
         arrival = platform_target.Arrival(f"a{number}", "t", 1, at)
         arrival.rest = rest
-        made.arrivals.append(arrival)
-        made.sent(f"a{number}", vm, at)
-    for number, what in passed:
+        checker.arrivals.append(arrival)
+        checker.record_request(f"a{number}", vm, at)
+    for number, flag in passed:
         vm, at, _ = arrivals[number]
-        said = {"limited": False, "leaving": False} | {what: True}
-        made.passed(soak_notices.Passed(f"a{number}", vm, at + 0.05, **said))
-    return made
+        flags = {"limited": False, "leaving": False} | {flag: True}
+        checker.record_feedback(
+            soak_notices.ForwardedFeedback(f"a{number}", vm, at + 0.05, **flags)
+        )
+    return checker
 
 
-def _many(vm, since, until, rate):
+def _steady_requests(vm, since, until, rate):
     count = int((until - since) * rate)
     return [(vm, since + n / rate, 0.0) for n in range(count)]
 
 
 class TestLimit:
-    """Requests for a target that has named a limit of 2 a second."""
+    """Requests for a target that set a limit of 2 per second."""
 
     @pytest.mark.parametrize(
         ("rates", "told", "calm", "wrong"),
@@ -46,29 +48,34 @@
             ((2.5, 2.5), (0,), True, 0),
         ],
     )
-    def test_sum_of_told_vms(self, rates, told, calm, wrong):
-        """Guards against a judgement of single VMs, or of those not told."""
+    def test_sum_over_vms_with_feedback(self, rates, told, calm, wrong):
+        """Guards against counts per VM and of VMs without feedback."""
         arrivals = [(f"vm-{number}", 10.0, 0.0) for number in range(len(rates))]
         for number, rate in enumerate(rates):
-            arrivals += _many(f"vm-{number}", 10.6, 20.0, rate)
-        made = _notices(arrivals, [(number, "limited") for number in told])
-        made.limited(_Target, 2.0, 10.0, 20.0)
+            arrivals += _steady_requests(f"vm-{number}", 10.6, 20.0, rate)
+        checker = _make_checker(
+            arrivals, [(number, "limited") for number in told]
+        )
+        checker.record_limit(_Target, 2.0, 10.0, 20.0)
         if not calm:
             for second in range(10, 20):
-                made.disturb("vm-0", float(second))
-        assert len(made.wrong()) == wrong
+                checker.record_vm_fault("vm-0", float(second))
+        assert len(checker.violations()) == wrong
 
     def test_harmed_links(self):
-        """Requests that were held up arrive together."""
-        arrivals = [("vm-0", 10.0, 0.0), *_many("vm-0", 10.6, 20.0, 5)]
-        made = _notices(arrivals, [(0, "limited")])
-        made.limited(_Target, 2.0, 10.0, 20.0)
-        made.trouble(9.0, 20.0)
-        assert made.wrong() == []
+        """Requests that a link fault delayed may arrive in a burst."""
+        arrivals = [
+            ("vm-0", 10.0, 0.0),
+            *_steady_requests("vm-0", 10.6, 20.0, 5),
+        ]
+        checker = _make_checker(arrivals, [(0, "limited")])
+        checker.record_limit(_Target, 2.0, 10.0, 20.0)
+        checker.record_link_fault(9.0, 20.0)
+        assert checker.violations() == []
 
 
 class TestLeaving:
-    """Requests for a target that says it leaves."""
+    """Requests for a target that announces that it leaves."""
 
     @pytest.mark.parametrize(
         ("vm", "at", "disturbed", "wrong"),
@@ -79,28 +86,30 @@
             ("vm-0", 12.2, 11.0, 0),
         ],
     )
-    def test_told_by_an_answer(self, vm, at, disturbed, wrong):
-        """Guards against a VM that sends on after it was told."""
-        made = _notices([("vm-0", 10.0, 0.0), (vm, at, 0.0)], [(0, "leaving")])
+    def test_announced_in_response(self, vm, at, disturbed, wrong):
+        """Guards against a VM that ignores the target's feedback."""
+        checker = _make_checker(
+            [("vm-0", 10.0, 0.0), (vm, at, 0.0)], [(0, "leaving")]
+        )
         if disturbed:
-            made.disturb(vm, disturbed)
-        assert len(made.wrong()) == wrong
+            checker.record_vm_fault(vm, disturbed)
+        assert len(checker.violations()) == wrong
 
     @pytest.mark.parametrize(
         ("at", "trouble", "wrong"),
         [(11.9, None, 0), (12.1, None, 1), (12.1, (8.0, 9.0), 0)],
     )
     def test_registered(self, at, trouble, wrong):
-        """Guards against VMs that do not hear what the store shows."""
-        made = _notices([("vm-0", at, 0.0)])
-        made.registered(_Target, 10.0)
+        """Guards against VMs that miss the update from the store."""
+        checker = _make_checker([("vm-0", at, 0.0)])
+        checker.record_leaving(_Target, 10.0)
         if trouble:
-            made.trouble(*trouble)
-        assert len(made.wrong()) == wrong
+            checker.record_link_fault(*trouble)
+        assert len(checker.violations()) == wrong
 
 
 class TestRest:
-    """Requests within a rest of 3 s."""
+    """Requests during a backoff of 3 s."""
 
     @pytest.mark.parametrize(
         ("times", "wrong"),
@@ -111,7 +120,7 @@
             ((13.1, 13.2, 13.3), 0),
         ],
     )
-    def test_pressed(self, times, wrong):
-        """Guards against a VM that presses a target that wants nothing."""
+    def test_requests_during_backoff(self, times, wrong):
+        """Guards against a VM that ignores a target's backoff."""
         arrivals = [("vm-0", 10.0, 3.0), *(("vm-0", at, 0.0) for at in times)]
-        assert len(_notices(arrivals).wrong()) == wrong
+        assert len(_make_checker(arrivals).violations()) == wrong
--- a/tests/standins/test_soak_run.py
+++ b/tests/standins/test_soak_run.py
@@ -1,4 +1,4 @@
-"""A short seeded soak: real daemons as processes, faults from outside."""
+"""Short seeded soak of real daemon processes under injected faults."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 
 
 def test_short_soak(tmp_path):
-    """Guards against promises that only processes under faults break."""
+    """Guards against violations that only processes under faults show."""
     plan = soak.Plan(SEED, 20.0, vms=4, targets=4, callers=10, out=tmp_path)
     verdict = asyncio.run(soak.run(plan))
     assert verdict.wrong == []
