--- a/packages/mimosastile-standins/src/mimosastile_standins/platform_demo.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/platform_demo.py
@@ -1,4 +1,4 @@
-"""The demo on the platform's protocol: requests, a lost target, moved keys."""
+"""Demo with the platform's protocol: requests, moved keys, a target crash."""
 
 import asyncio
 import collections
@@ -14,22 +14,22 @@
 
 
 async def run(seconds: float) -> None:
-    """Runs the whole path on loopback and prints what happened.
+    """Runs the demo on loopback and prints the results.
 
     Args:
-        seconds: How long requests are sent beyond what is shown.
+        seconds: Minimum duration of the requests in the first part.
     """
     world = platform_world.World()
     began = time.monotonic()
     try:
         await world.start(vms=3, keyed=4, plain=2)
         _printing.say(
-            f"3 VMs, 4 targets with keys and 2 without serve after"
+            f"3 VMs, 4 targets with keys and 2 without serve requests after"
             f" {time.monotonic() - began:.1f} s."
         )
         await _show_requests(world, seconds)
         await _show_leaving(world)
-        await _show_loss(world)
+        await _show_crash(world)
     finally:
         await world.stop()
 
@@ -39,8 +39,10 @@
     ends = time.monotonic() + seconds
     while True:
         for key in _KEYS:
-            statuses[(await world.ask(f"/read/{key}", key)).status] += 1
-        issued = await world.ask("/issue/1", method="POST")
+            statuses[
+                (await world.send_request(f"/read/{key}", key)).status
+            ] += 1
+        issued = await world.send_request("/issue/1", method="POST")
         statuses[issued.status] += 1
         if time.monotonic() > ends:
             break
@@ -54,26 +56,29 @@
     async def moved() -> bool:
         return "k1" not in _owners(world)
 
-    await world.until(moved, _WAIT_SECONDS)
-    statuses = {(await world.ask("/read/x", key)).status for key in _KEYS}
+    await world.wait_until(moved, _WAIT_SECONDS)
+    statuses = {
+        (await world.send_request("/read/x", key)).status for key in _KEYS
+    }
     _printing.say(f"k1 leaves; its keys moved, statuses {statuses}.")
 
 
-async def _show_loss(world: platform_world.World) -> None:
+async def _show_crash(world: platform_world.World) -> None:
     began = time.monotonic()
     world.kill_target("k0")
     refused = 0
     while True:
-        answers = [
-            await world.ask("/read/x", key, deadline_ms=300) for key in _KEYS
+        responses = [
+            await world.send_request("/read/x", key, deadline_ms=300)
+            for key in _KEYS
         ]
-        failed = sum(answer.status != 200 for answer in answers)
+        failed = sum(response.status != 200 for response in responses)
         refused += failed
         if not failed and "k0" not in _owners(world):
             break
         await asyncio.sleep(0.05)
     _printing.say(
-        f"k0 dies; all keys are served again after"
+        f"k0 crashes; all keys are served again after"
         f" {time.monotonic() - began:.1f} s, {refused} requests refused."
     )
 
@@ -81,4 +86,4 @@
 def _owners(world: platform_world.World) -> set[str]:
     raw = world.store.value(messages.table_key(platform_world.KEYED)) or b""
     table = messages.decode(raw, ranges.RangeTable)
-    return {holder.id for holder in table.owners()}
+    return {owner.id for owner in table.owners()}
--- a/packages/mimosastile-standins/src/mimosastile_standins/platform_store.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/platform_store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's key-value store, spoken to over HTTP."""
+"""Stand-in for the platform's key-value store, served over HTTP."""
 
 import asyncio
 import base64
@@ -11,20 +11,20 @@
 from mimosastile_gateway import http_server
 
 PAGE_ITEMS = 50
-"""Items on one page of a list; small, so that lists have several pages."""
+"""Items per page of a list. A small value makes lists span several pages."""
 
 
-class Mood(enum.Enum):
-    """How the store behaves."""
+class Behavior(enum.Enum):
+    """Behavior of the store, healthy or with a fault."""
 
-    WELL = "well"
+    HEALTHY = "well"
     BUSY = "busy"
     SILENT = "silent"
-    LOSES_ANSWERS = "loses answers"
+    LOSES_RESPONSES = "loses answers"
 
 
 class _Change:
-    """One event of the history."""
+    """An event in the history."""
 
     __slots__ = ("event", "key", "revision")
 
@@ -35,12 +35,12 @@
 
 
 class PlatformStore:
-    """Items with revisions, leases and a history that can be dropped.
+    """Stores items with revisions, leases and a history that can be dropped.
 
     Attributes:
-        mood: How it behaves to the callers in `moody`, or to all.
-        calls: How many calls of each kind were made.
-        stale_reads: How many asked for an answer that may be old.
+        behavior: Behavior towards all callers.
+        calls: Number of calls by kind.
+        stale_reads: Number of reads that accept stale data.
     """
 
     __slots__ = (
@@ -52,13 +52,13 @@
         "_oldest",
         "_revision",
         "_server",
+        "behavior",
         "calls",
-        "mood",
         "stale_reads",
     )
 
     def __init__(self) -> None:
-        self.mood = Mood.WELL
+        self.behavior = Behavior.HEALTHY
         self.calls: dict[str, int] = {}
         self.stale_reads = 0
         self._revision = 1
@@ -71,7 +71,7 @@
         self._server = http_server.Server(self._handle)
 
     async def start(self, address: str = "127.0.0.1:0") -> str:
-        """Listens; returns the address."""
+        """Starts to listen and returns the address."""
         return await self._server.listen(address)
 
     def stop(self) -> None:
@@ -79,54 +79,54 @@
         self._server.stop_listening()
         self._server.abort()
 
-    # What operators and targets do.
+    # Operations of operators and targets.
 
     def put(self, key: str, value: Any, lease: int = 0) -> int:
-        """Writes a value as JSON; returns its revision."""
+        """Writes a value as JSON and returns its revision."""
         return self.put_bytes(key, json.dumps(value).encode(), lease)
 
     def put_bytes(self, key: str, value: bytes, lease: int = 0) -> int:
-        """Writes bytes; returns their revision."""
+        """Writes bytes and returns their revision."""
         self._revision += 1
-        made = self._items.get(key, {}).get("CreatedRev", self._revision)
+        created = self._items.get(key, {}).get("CreatedRev", self._revision)
         item = {
             "Key": key,
             "Value": base64.b64encode(value).decode(),
             "Revision": self._revision,
-            "CreatedRev": made,
+            "CreatedRev": created,
             "Lease": lease,
         }
         self._items[key] = item
-        self._note(key, item)
+        self._append_event(key, item)
         return self._revision
 
     def remove(self, key: str) -> None:
-        """Removes a key if it is there."""
+        """Removes a key if it exists."""
         if self._items.pop(key, None) is not None:
             self._revision += 1
             event = {"Key": key, "Revision": self._revision, "Removed": True}
-            self._note(key, event)
+            self._append_event(key, event)
 
     def value(self, key: str) -> bytes | None:
-        """Returns the value of a key."""
+        """Returns the value of a key, None if it does not exist."""
         item = self._items.get(key)
         return base64.b64decode(item["Value"]) if item else None
 
     def drop_history(self) -> None:
-        """Forgets all events; watches that continue from them are told."""
+        """Drops all events. Watches that resume from them get status 410."""
         self._history.clear()
         self._oldest = self._revision
-        self._wake()
+        self._notify_watches()
 
-    def _note(self, key: str, event: dict[str, Any]) -> None:
+    def _append_event(self, key: str, event: dict[str, Any]) -> None:
         self._history.append(_Change(key, self._revision, event))
-        self._wake()
+        self._notify_watches()
 
-    def _wake(self) -> None:
+    def _notify_watches(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
-    # The protocol.
+    # HTTP protocol.
 
     async def _handle(
         self, incoming: http_server.Request
@@ -136,46 +136,46 @@
         name = path.split("/")[1]
         self.calls[name] = self.calls.get(name, 0) + 1
         self.stale_reads += fields.get("Serializable") == "1"
-        if self.mood is Mood.BUSY:
+        if self.behavior is Behavior.BUSY:
             return http_server.Response(503)
-        if self.mood is Mood.SILENT:
+        if self.behavior is Behavior.SILENT:
             await asyncio.Event().wait()
-        self._expire()
+        self._expire_leases()
         body = json.loads(incoming.body) if incoming.body else {}
-        answer = await self._answer(name, path, fields, body)
-        if self.mood is Mood.LOSES_ANSWERS and name == "kv-txn":
+        response = await self._respond(name, path, fields, body)
+        if self.behavior is Behavior.LOSES_RESPONSES and name == "kv-txn":
             await asyncio.Event().wait()
-        return answer
+        return response
 
-    async def _answer(
+    async def _respond(
         self, name: str, path: str, fields: dict[str, str], body: Any
     ) -> http_server.Response:
         match name:
             case "kv-key":
-                return self._read(fields)
+                return self._read_key(fields)
             case "kv-range":
-                return self._range(fields)
+                return self._read_range(fields)
             case "kv-watch":
                 return await self._watch(fields)
             case "kv-txn":
                 return self._commit(body)
             case "kv-lease":
-                return self._open(body)
+                return self._open_lease(body)
             case "kv-keep":
-                return self._keep(int(path.rsplit("/", 1)[1]))
+                return self._renew_lease(int(path.rsplit("/", 1)[1]))
             case "kv-lease-end":
-                self._end(int(path.rsplit("/", 1)[1]))
+                self._end_lease(int(path.rsplit("/", 1)[1]))
                 return _json({})
             case _:
                 return http_server.Response(404)
 
-    def _read(self, fields: dict[str, str]) -> http_server.Response:
+    def _read_key(self, fields: dict[str, str]) -> http_server.Response:
         item = self._items.get(fields["Key"])
         if item is None:
             return _json({"StoreRevision": self._revision}, 404)
         return _json({**item, "StoreRevision": self._revision})
 
-    def _range(self, fields: dict[str, str]) -> http_server.Response:
+    def _read_range(self, fields: dict[str, str]) -> http_server.Response:
         prefix, after = fields["Prefix"], fields.get("after", "")
         keys = sorted(
             k for k in self._items if k.startswith(prefix) and k > after
@@ -191,8 +191,8 @@
 
     async def _watch(self, fields: dict[str, str]) -> http_server.Response:
         prefix, after = fields["Prefix"], int(fields["after"])
-        ends = asyncio.get_running_loop().time()
-        ends += int(fields["WaitMs"]) / 1000
+        deadline = asyncio.get_running_loop().time()
+        deadline += int(fields["WaitMs"]) / 1000
         while True:
             if after < self._oldest - 1:
                 return http_server.Response(410)
@@ -201,7 +201,7 @@
                 for change in self._history
                 if change.revision > after and change.key.startswith(prefix)
             ]
-            left = ends - asyncio.get_running_loop().time()
+            left = deadline - asyncio.get_running_loop().time()
             if events or left <= 0:
                 return _json(
                     {"events": events, "StoreRevision": self._revision}
@@ -229,26 +229,26 @@
             self.remove(key)
         return _json({"Revision": self._revision})
 
-    def _open(self, body: Any) -> http_server.Response:
+    def _open_lease(self, body: Any) -> http_server.Response:
         lease = next(self._lease_numbers)
-        self._leases[lease] = self._ends(body["TtlMs"])
+        self._leases[lease] = self._expiry(body["TtlMs"])
         return _json({"Lease": lease, "TtlMs": body["TtlMs"]})
 
-    def _keep(self, lease: int) -> http_server.Response:
+    def _renew_lease(self, lease: int) -> http_server.Response:
         if lease not in self._leases:
             return http_server.Response(404)
-        self._leases[lease] = self._ends(10_000)
+        self._leases[lease] = self._expiry(10_000)
         return _json({"TtlMs": 10_000})
 
-    def _ends(self, milliseconds: int) -> float:
+    def _expiry(self, milliseconds: int) -> float:
         return asyncio.get_running_loop().time() + milliseconds / 1000
 
-    def _expire(self) -> None:
+    def _expire_leases(self) -> None:
         now = asyncio.get_running_loop().time()
-        for lease in [k for k, ends in self._leases.items() if ends < now]:
-            self._end(lease)
+        for lease in [k for k, expiry in self._leases.items() if expiry < now]:
+            self._end_lease(lease)
 
-    def _end(self, lease: int) -> None:
+    def _end_lease(self, lease: int) -> None:
         self._leases.pop(lease, None)
         for key in [k for k, i in self._items.items() if i["Lease"] == lease]:
             self.remove(key)
--- a/packages/mimosastile-standins/src/mimosastile_standins/platform_target.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/platform_target.py
@@ -1,4 +1,4 @@
-"""A stand-in for a target on the platform: slots, a queue, keys, faults."""
+"""Stand-in for a target on the platform, with a queue, keys and faults."""
 
 import asyncio
 import enum
@@ -9,11 +9,11 @@
 
 from mimosastile_gateway import http_server
 
-_LATE_SECONDS = 0.3
+_LATE_SHED_SECONDS = 0.3
 
 
 class Fault(enum.Enum):
-    """What a target does instead of answering as it should."""
+    """Faults of a target."""
 
     NONE = "none"
     HANG = "hang"
@@ -24,26 +24,28 @@
     ORDERS_SILENT = "orders silent"
 
 
-class _Hold:
-    """Keys that a target holds until some time."""
+class _GrantedRange:
+    """A range of keys granted to a target until an expiry time."""
 
-    __slots__ = ("fence", "first", "last", "until")
+    __slots__ = ("expiry", "fence", "first", "last")
 
-    def __init__(self, first: int, last: int, fence: int, until: float) -> None:
+    def __init__(
+        self, first: int, last: int, fence: int, expiry: float
+    ) -> None:
         self.first = first
         self.last = last
         self.fence = fence
-        self.until = until
+        self.expiry = expiry
 
 
-class Run:
-    """One run of a request, for an oracle.
+class Execution:
+    """An execution of a request, recorded for an oracle.
 
     Attributes:
         attempt: Identifier of the caller's attempt.
-        key: Its key, None without.
-        target: Who ran it.
-        at: Loop time of its begin.
+        key: Key of the request, None without one.
+        target: Target that executed the request.
+        at: Loop time of the start.
     """
 
     __slots__ = ("at", "attempt", "key", "target")
@@ -58,15 +60,15 @@
 
 
 class Arrival:
-    """A request that has reached a target, for an oracle.
+    """Arrival of a request at a target, recorded for an oracle.
 
     Attributes:
         attempt: Identifier of the caller's attempt.
-        target: Whom it has reached.
-        born: Which run of it.
-        at: Loop time of that.
-        rest: Seconds for which the target then wanted nothing from its
-            sender; 0 if it took the request.
+        target: Target that received the request.
+        born: Start time of the target's incarnation.
+        at: Loop time of the arrival.
+        rest: Backoff in seconds that the response asked of the sender; 0 if
+            the target accepted the request.
     """
 
     __slots__ = ("at", "attempt", "born", "rest", "target")
@@ -83,33 +85,33 @@
     """One server of a service.
 
     Attributes:
-        id: Its identifier.
-        service: Its service.
-        born: Unix milliseconds of its start.
-        fault: What it does wrong.
-        runs: All runs, shared with other targets by the oracle.
-        misdirected: Requests that were meant for another target.
-        orders: Orders that it has taken, oldest first.
-        shed: Requests that it rejected late.
-        slowness: How long work takes, in hundredths of the usual.
-        cold_seconds: For how long it stays cold, as it says.
-        checks: Health checks that it has answered.
-        zone: Where it stands.
-        limit: Requests a second that it says it takes from all VMs together,
-            None if it names no limit.
-        leaving: Whether it says in its answers that it leaves.
-        rest: Seconds for which it wants nothing from a VM whose request it
-            rejects; 0 if it does not say.
-        arrivals: Requests that have reached it.
+        id: Identifier of the target.
+        service: Name of the service.
+        born: Start time of the incarnation in Unix milliseconds.
+        fault: Current fault.
+        runs: Executions of all targets; the oracle shares the list.
+        misdirected: Number of requests addressed to another target.
+        orders: Accepted orders, oldest first.
+        shed: Number of requests rejected late.
+        slowness: Duration of work in percent of the usual one.
+        cold_seconds: Reported remaining warm-up in seconds.
+        checks: Number of health checks served.
+        zone: Availability zone.
+        limit: Reported limit in requests per second from all VMs together,
+            None for no limit.
+        leaving: Whether responses announce that the target leaves.
+        rest: Backoff in seconds that a rejection asks of the sending VM; 0
+            for none.
+        arrivals: Requests that reached the target.
     """
 
     __slots__ = (
+        "_accepted",
         "_address",
         "_fences",
+        "_granted",
         "_handovers",
-        "_holds",
         "_keyed",
-        "_queued",
         "_running",
         "_server",
         "_slots",
@@ -136,23 +138,24 @@
         self,
         name: str,
         service: str,
-        runs: list[Run],
+        runs: list[Execution],
         *,
         keyed: bool = False,
         slots: int = 4,
         work: float = 0.005,
         zone: str = "zone-a",
     ) -> None:
-        """Makes one that is not started.
+        """Initializes a target without starting it.
 
         Args:
-            name: Its identifier.
-            service: Its service.
-            runs: Where it notes what it runs.
-            keyed: Whether it runs only keys that it holds.
-            slots: Requests that it runs at a time.
-            work: Seconds of a run.
-            zone: Where it stands.
+            name: Identifier of the target.
+            service: Name of the service.
+            runs: List to which the target appends its executions.
+            keyed: Whether the target executes requests only for keys that it
+                owns.
+            slots: Maximum number of concurrent executions.
+            work: Duration of an execution in seconds.
+            zone: Availability zone.
         """
         self.id = name
         self.service = service
@@ -174,36 +177,36 @@
         self._work = work
         self._slots = slots
         self._running = asyncio.Semaphore(slots)
-        self._queued = 0
-        self._holds: list[_Hold] = []
-        self._fences: list[_Hold] = []
+        self._accepted = 0
+        self._granted: list[_GrantedRange] = []
+        self._fences: list[_GrantedRange] = []
         self._handovers = itertools.count(1)
         self._address = ""
         self._server = http_server.Server(self._handle)
 
     async def start(self) -> str:
-        """Listens; returns the address."""
+        """Starts to listen and returns the address."""
         self._address = await self._server.listen("127.0.0.1:0")
         return self._address
 
     def stop(self) -> None:
-        """Ends at once, as if its process had been killed."""
+        """Stops immediately, as if the process had been killed."""
         self._server.stop_listening()
         self._server.abort()
 
     def refuse_connections(self) -> None:
-        """Refuses new connections, as a full target, and keeps its others."""
+        """Refuses new connections like a full target, but keeps open ones."""
         self._server.stop_listening()
 
     def registration(
         self, state: str = "ready", address: str = "", zone: str = ""
     ) -> dict[str, Any]:
-        """Returns what it says of itself in the store.
+        """Returns the registration of the target for the store.
 
         Args:
-            state: What it is about to do.
-            address: Where it is reached, if not directly.
-            zone: Where it stands, if not where it was made.
+            state: Registered state.
+            address: Advertised address; empty for the listen address.
+            zone: Registered zone; empty for the own one.
         """
         return {
             "ServiceName": self.service,
@@ -217,36 +220,36 @@
             "born": self.born,
         }
 
-    def holds(self, key: int) -> bool:
-        """Whether it would run a key now."""
+    def owns(self, key: int) -> bool:
+        """Whether the target owns a key now."""
         now = asyncio.get_running_loop().time()
         return any(
-            h.first <= key <= h.last and now < h.until for h in self._holds
+            h.first <= key <= h.last and now < h.expiry for h in self._granted
         )
 
-    def spans(self) -> list[tuple[int, int]]:
-        """Returns first and last key of all that it holds now."""
+    def owned_ranges(self) -> list[tuple[int, int]]:
+        """Returns the first and last key of each range that it owns now."""
         now = asyncio.get_running_loop().time()
-        return [(h.first, h.last) for h in self._holds if now < h.until]
+        return [(h.first, h.last) for h in self._granted if now < h.expiry]
 
     async def _handle(
         self, incoming: http_server.Request
     ) -> http_server.Response:
-        """Answers a call, and says in its answer how it is."""
-        answer = await self._answer(incoming)
-        said = (*answer.headers, *self._notices())
-        return http_server.Response(answer.status, said, answer.body)
-
-    def _notices(self) -> tuple[tuple[bytes, bytes], ...]:
-        """Returns the headers that concern all requests to it."""
-        said: list[tuple[bytes, bytes]] = []
+        """Responds to a call and adds target feedback to the response."""
+        response = await self._respond(incoming)
+        headers = (*response.headers, *self._feedback_headers())
+        return http_server.Response(response.status, headers, response.body)
+
+    def _feedback_headers(self) -> tuple[tuple[bytes, bytes], ...]:
+        """Returns the feedback headers for all senders."""
+        headers: list[tuple[bytes, bytes]] = []
         if self.limit is not None:
-            said.append((b"server-limit", b"%g" % self.limit))
+            headers.append((b"server-limit", b"%g" % self.limit))
         if self.leaving:
-            said.append((b"server-leaving", b"1"))
-        return tuple(said)
+            headers.append((b"server-leaving", b"1"))
+        return tuple(headers)
 
-    async def _answer(
+    async def _respond(
         self, incoming: http_server.Request
     ) -> http_server.Response:
         expected = incoming.header(b"x-expect-instance")
@@ -255,7 +258,7 @@
             return http_server.Response(
                 421,
                 (
-                    *_echo(incoming),
+                    *_attempt_header(incoming),
                     (b"x-not-executed", b"1"),
                     (b"x-instance-id", self.id.encode()),
                 ),
@@ -264,7 +267,8 @@
         if path == "/health":
             self.checks += 1
             return http_server.Response(
-                200, (*self._load(), (b"x-instance-id", self.id.encode()))
+                200,
+                (*self._load_headers(), (b"x-instance-id", self.id.encode())),
             )
         if path in ("/grant", "/release"):
             if self.fault is Fault.ORDERS_SILENT:
@@ -274,25 +278,25 @@
             if path == "/grant":
                 return self._grant(body)
             return await self._release(body)
-        return await self._request(incoming)
-
-    def _load(self) -> tuple[tuple[bytes, bytes], ...]:
-        """Returns the headers in which it says how it is."""
-        running = min(self._queued, self._slots)
-        waiting = self._queued - running
-        said = f"{running},{waiting},{self._slots},{self.slowness}"
-        left = int(self.cold_seconds * 1000)
+        return await self._handle_request(incoming)
+
+    def _load_headers(self) -> tuple[tuple[bytes, bytes], ...]:
+        """Returns the headers with the load report and the warm-up."""
+        running = min(self._accepted, self._slots)
+        waiting = self._accepted - running
+        load = f"{running},{waiting},{self._slots},{self.slowness}"
+        warmup_ms = int(self.cold_seconds * 1000)
         return (
-            (b"x-server-load", said.encode()),
-            (b"x-warmup-ms", str(left).encode()),
+            (b"x-server-load", load.encode()),
+            (b"x-warmup-ms", str(warmup_ms).encode()),
         )
 
     # Requests.
 
-    async def _request(
+    async def _handle_request(
         self, incoming: http_server.Request
     ) -> http_server.Response:
-        echo = _echo(incoming)
+        attempt_header = _attempt_header(incoming)
         arrival = Arrival(
             (incoming.header(b"x-attempt-id") or b"").decode(),
             self.id,
@@ -304,40 +308,42 @@
             await asyncio.Event().wait()
         if self.fault is Fault.SHED_LATE:
             self.shed += 1
-            await asyncio.sleep(_LATE_SECONDS)
+            await asyncio.sleep(_LATE_SHED_SECONDS)
         if self.fault in (Fault.SHED, Fault.SHED_LATE):
-            rejected = (*echo, (b"x-not-executed", b"1"))
+            rejected = (*attempt_header, (b"x-not-executed", b"1"))
             if self.rest:
                 arrival.rest = self.rest
                 rejected += ((b"retry-after", b"%g" % self.rest),)
             return http_server.Response(503, rejected)
         raw = incoming.header(b"x-shard-key")
         key = int(raw) if raw is not None else None
-        if self._keyed and (key is None or not self.holds(key)):
-            return http_server.Response(421, (*echo, (b"x-not-executed", b"1")))
-        self._queued += 1
+        if self._keyed and (key is None or not self.owns(key)):
+            return http_server.Response(
+                421, (*attempt_header, (b"x-not-executed", b"1"))
+            )
+        self._accepted += 1
         try:
             async with self._running:
-                return await self._run(incoming, echo, key)
+                return await self._execute(incoming, attempt_header, key)
         finally:
-            self._queued -= 1
+            self._accepted -= 1
 
-    async def _run(
+    async def _execute(
         self,
         incoming: http_server.Request,
-        echo: tuple[tuple[bytes, bytes], ...],
+        attempt_header: tuple[tuple[bytes, bytes], ...],
         key: int | None,
     ) -> http_server.Response:
         attempt = (incoming.header(b"x-attempt-id") or b"").decode()
         now = asyncio.get_running_loop().time()
-        self.runs.append(Run(attempt, key, self.id, now))
+        self.runs.append(Execution(attempt, key, self.id, now))
         if self.fault is Fault.RESET:
             self._server.abort()
             await asyncio.sleep(0)
         await asyncio.sleep(self._work * self.slowness / 100)
         sealed = (
-            *echo,
-            *self._load()[:1],
+            *attempt_header,
+            *self._load_headers()[:1],
             (b"x-server-seal", self.id.encode()),
         )
         if self.fault is Fault.FAIL:
@@ -350,46 +356,50 @@
     def _grant(self, body: dict[str, Any]) -> http_server.Response:
         first, last, fence = body["From"], body["Target"], body["fence"]
         if any(
-            _meets(h, first, last) and h.fence > fence for h in self._fences
+            _overlaps(h, first, last) and h.fence > fence for h in self._fences
         ):
             return http_server.Response(409)
         if body["HoldMs"] > 10_000:
             return http_server.Response(400)
         now = asyncio.get_running_loop().time()
-        until = now + body["HoldMs"] / 1000
-        self._cut(first, last)
-        self._holds.append(_Hold(first, last, fence, until))
-        self._fences.append(_Hold(first, last, fence, until))
+        expiry = now + body["HoldMs"] / 1000
+        self._remove_range(first, last)
+        self._granted.append(_GrantedRange(first, last, fence, expiry))
+        self._fences.append(_GrantedRange(first, last, fence, expiry))
         return http_server.Response(200)
 
     async def _release(self, body: dict[str, Any]) -> http_server.Response:
         first, last, fence = body["From"], body["Target"], body["fence"]
-        self._cut(first, last)
-        self._fences.append(_Hold(first, last, fence, 0.0))
-        # Work on other keys is waited for as well; that is harmless here.
+        self._remove_range(first, last)
+        self._fences.append(_GrantedRange(first, last, fence, 0.0))
+        # This also waits for work on other keys, which does no harm here.
         await asyncio.sleep(self._work)
         token = f"{self.id}-{next(self._handovers)}".encode()
         return http_server.Response(200, ((b"x-handover", token),))
 
-    def _cut(self, first: int, last: int) -> None:
-        left = []
-        for hold in self._holds:
-            if not _meets(hold, first, last):
-                left.append(hold)
+    def _remove_range(self, first: int, last: int) -> None:
+        remaining = []
+        for granted in self._granted:
+            if not _overlaps(granted, first, last):
+                remaining.append(granted)
                 continue
             for begin, end in (
-                (hold.first, first - 1),
-                (last + 1, hold.last),
+                (granted.first, first - 1),
+                (last + 1, granted.last),
             ):
                 if begin <= end:
-                    left.append(_Hold(begin, end, hold.fence, hold.until))
-        self._holds = left
+                    remaining.append(
+                        _GrantedRange(begin, end, granted.fence, granted.expiry)
+                    )
+        self._granted = remaining
 
 
-def _meets(hold: _Hold, first: int, last: int) -> bool:
-    return hold.first <= last and first <= hold.last
+def _overlaps(granted: _GrantedRange, first: int, last: int) -> bool:
+    return granted.first <= last and first <= granted.last
 
 
-def _echo(incoming: http_server.Request) -> tuple[tuple[bytes, bytes], ...]:
+def _attempt_header(
+    incoming: http_server.Request,
+) -> tuple[tuple[bytes, bytes], ...]:
     attempt = incoming.header(b"x-attempt-id")
     return ((b"x-attempt-id", attempt),) if attempt is not None else ()
--- a/packages/mimosastile-standins/src/mimosastile_standins/platform_world.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/platform_world.py
@@ -1,4 +1,4 @@
-"""A whole small deployment on the platform's protocol, over loopback."""
+"""Small complete deployment with the platform's protocol over loopback."""
 
 import asyncio
 from collections.abc import Iterable
@@ -20,16 +20,17 @@
 PLAIN = "tagmint"
 HOST = "labels.example"
 REGIONS = {"zone-a": "region-a", "zone-b": "region-a", "zone-c": "region-b"}
-_WAIT_STEP = 0.02
+_POLL_SECONDS = 0.02
 
 
 def configuration(version: int = 1, **changes: Any) -> dict[str, Any]:
-    """Returns a configuration as operators write it.
+    """Returns a configuration in the operators' format.
 
     Args:
-        version: Its version.
-        **changes: `extra`: further rules; `plain_timeout`: milliseconds;
-            `regions`: those that the plain service's route allows.
+        version: Version number.
+        **changes: `extra`: additional rules; `plain_timeout`: time-out of the
+            plain service's route in milliseconds; `regions`: regions that
+            this route allows.
     """
     rules = [
         rule("reads", "idempotent", "/read/", KEYED),
@@ -67,15 +68,15 @@
     timeout: int = 2000,
     regions: Iterable[str] = (),
 ) -> dict[str, Any]:
-    """Returns one route as operators write it.
+    """Returns a route in the operators' format.
 
     Args:
-        name: Its name.
-        kind: What may be repeated.
-        prefix: Beginning of its paths.
-        service: Where its requests go.
-        timeout: Milliseconds that a caller is kept waiting at most.
-        regions: Those that it allows; empty for all.
+        name: Name of the route.
+        kind: Kind of the route, which determines what may be retried.
+        prefix: Path prefix.
+        service: Service that receives the requests.
+        timeout: Maximum time until the response to a caller, in milliseconds.
+        regions: Allowed regions; empty for all.
     """
     return {
         "Name": name,
@@ -93,19 +94,19 @@
 
 
 class World:
-    """Store, targets and daemons.
+    """Runs a store, targets and daemons in this process.
 
     Attributes:
         store: The store.
-        targets: By identifier.
-        daemons: By VM.
-        addresses: Of the daemons' callers' sides, by VM.
-        runs: What targets have run.
+        targets: Targets by identifier.
+        daemons: Daemons by VM.
+        addresses: Daemons' addresses for callers, by VM.
+        runs: Executions by targets.
     """
 
     __slots__ = (
         "_attempts",
-        "_logs",
+        "_log_files",
         "_pool",
         "_ports",
         "_store_address",
@@ -121,14 +122,14 @@
         self.targets: dict[str, platform_target.PlatformTarget] = {}
         self.daemons: dict[str, daemon.Daemon] = {}
         self.addresses: dict[str, str] = {}
-        self.runs: list[platform_target.Run] = []
+        self.runs: list[platform_target.Execution] = []
         self._pool = http_client.Pool(2.0)
         self._attempts = itertools.count(1)
         self._store_address = ""
-        self._logs: dict[str, int] = {}
+        self._log_files: dict[str, int] = {}
 
     async def start(self, vms: int = 2, keyed: int = 3, plain: int = 2) -> None:
-        """Starts everything and waits until keys are served."""
+        """Starts all parts and waits until all keys are served."""
         self._store_address = await self.store.start()
         self.store.put("op/config", configuration())
         for number in range(keyed):
@@ -137,17 +138,17 @@
             await self.add_target(f"p{number}", PLAIN)
         for number in range(vms):
             await self.add_vm(f"vm-{number}")
-        await self.until(self._serves_keys)
+        await self.wait_until(self._serves_keys)
 
     async def stop(self) -> None:
-        """Ends everything at once."""
-        for made in self.daemons.values():
-            made.abort()
+        """Stops all parts immediately."""
+        for running in self.daemons.values():
+            running.abort()
         for target in self.targets.values():
             target.stop()
         self.store.stop()
         self._pool.close()
-        for descriptor in self._logs.values():
+        for descriptor in self._log_files.values():
             os.close(descriptor)
         await asyncio.sleep(0)
 
@@ -164,7 +165,7 @@
         return target
 
     def kill_target(self, name: str) -> None:
-        """Ends a target without a word; its registration stays."""
+        """Crashes a target; its registration stays."""
         self.targets.pop(name).stop()
 
     async def add_vm(self, name: str) -> daemon.Daemon:
@@ -187,29 +188,29 @@
         descriptor = os.open(
             tempfile.gettempdir(), os.O_TMPFILE | os.O_RDWR, 0o600
         )
-        self._logs[name] = descriptor
-        made = daemon.Daemon(
+        self._log_files[name] = descriptor
+        running = daemon.Daemon(
             configured,
             boot.adapter(configured),
             events.EventLog(name, descriptor),
         )
-        await made.start()
-        self.daemons[name] = made
-        self.addresses[name] = made.callers_address
-        return made
+        await running.start()
+        self.daemons[name] = running
+        self.addresses[name] = running.callers_address
+        return running
 
     def kill_vm(self, name: str) -> None:
-        """Ends a daemon as if its process had been killed."""
+        """Stops a daemon as if its process had been killed."""
         self.addresses.pop(name)
         self.daemons.pop(name).abort()
 
     def log(self, name: str) -> str:
         """Returns all log lines of a daemon."""
-        descriptor = self._logs[name]
+        descriptor = self._log_files[name]
         size = os.fstat(descriptor).st_size
         return os.pread(descriptor, size, 0).decode()
 
-    async def ask(
+    async def send_request(
         self,
         path: str,
         key: int | None = None,
@@ -217,18 +218,18 @@
         deadline_ms: int = 2000,
         method: str = "GET",
     ) -> http_client.Response:
-        """Makes a caller's request.
+        """Sends a caller's request and returns the response.
 
         Args:
-            path: Its path.
-            key: Its key, None without.
-            vm: Which VM gets it; any one if empty.
-            deadline_ms: How long the caller waits.
+            path: Path of the request.
+            key: Key of the request, None without one.
+            vm: VM that gets the request; empty for the next in rotation.
+            deadline_ms: Deadline in milliseconds.
             method: HTTP method.
         """
         number = next(self._attempts)
-        names = sorted(self.addresses)
-        address = self.addresses[vm or names[number % len(names)]]
+        vms = sorted(self.addresses)
+        address = self.addresses[vm or vms[number % len(vms)]]
         headers: list[tuple[bytes, bytes]] = [
             (b"X-Attempt-Id", b"a%d" % number),
             (b"X-Deadline-Ms", b"%d" % deadline_ms),
@@ -245,26 +246,28 @@
         )
         connection = await self._pool.connect(address, 0.0, 1.0)
         try:
-            reply = connection.start(request)
+            response = connection.start(request)
             async with asyncio.timeout(deadline_ms / 1000 + 1):
-                await connection.wait_complete(reply, 1 << 30)
+                await connection.wait_complete(response, 1 << 30)
         finally:
             connection.close()
-        return http_client.Response(reply.status, reply.headers, reply.take())
+        return http_client.Response(
+            response.status, response.headers, response.take()
+        )
 
-    async def until(self, condition: Any, seconds: float = 10.0) -> None:
-        """Waits until a coroutine function returns true."""
+    async def wait_until(self, condition: Any, seconds: float = 10.0) -> None:
+        """Polls a coroutine function until it returns true."""
         async with asyncio.timeout(seconds):
             while not await condition():
-                await asyncio.sleep(_WAIT_STEP)
+                await asyncio.sleep(_POLL_SECONDS)
 
     async def _serves_keys(self) -> bool:
-        if not all(made.ready for made in self.daemons.values()):
+        if not all(running.ready for running in self.daemons.values()):
             return False
         for vm in self.addresses:
             with contextlib.suppress(http_client.ResponseLostError):
                 for key in (0, 30_000, 65_535):
-                    answer = await self.ask("/read/x", key, vm, 300)
-                    if answer.status != 200:
+                    response = await self.send_request("/read/x", key, vm, 300)
+                    if response.status != 200:
                         return False
         return True
--- a/packages/mimosastile-standins/src/mimosastile_standins/soak.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/soak.py
@@ -446,18 +446,23 @@
             self._feedback.record_vm_fault(daemon.name, time.monotonic())
 
     async def _inject_store_fault(self) -> None:
-        moods = platform_store.Mood
-        mood = self._rng.choice(
-            (moods.BUSY, moods.SILENT, moods.LOSES_ANSWERS, moods.WELL)
+        behaviors = platform_store.Behavior
+        behavior = self._rng.choice(
+            (
+                behaviors.BUSY,
+                behaviors.SILENT,
+                behaviors.LOSES_RESPONSES,
+                behaviors.HEALTHY,
+            )
         )
         seconds = self._rng.uniform(0.5, 5.0)
-        self._record_fault(f"store {mood.value} for {seconds:.1f} s")
-        if mood is moods.WELL:
+        self._record_fault(f"store {behavior.value} for {seconds:.1f} s")
+        if behavior is behaviors.HEALTHY:
             self._store.drop_history()
-        self._store.mood = mood
+        self._store.behavior = behavior
         began = time.monotonic()
         await self._wait_during_fault(seconds)
-        self._store.mood = moods.WELL
+        self._store.behavior = behaviors.HEALTHY
         self._feedback.record_link_fault(began, time.monotonic())
 
     async def _inject_store_link_fault(self) -> None:
--- a/packages/mimosastile-standins/src/mimosastile_standins/soak_oracle.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/soak_oracle.py
@@ -47,7 +47,7 @@
     __slots__ = ("_outcomes", "runs", "violations")
 
     def __init__(self) -> None:
-        self.runs: list[platform_target.Run] = []
+        self.runs: list[platform_target.Execution] = []
         self.violations: list[str] = []
         self._outcomes: list[Outcome] = []
 
@@ -69,7 +69,7 @@
         owned = sorted(
             (first, last, target.id)
             for target in targets
-            for first, last in target.spans()
+            for first, last in target.owned_ranges()
         )
         for one, other in itertools.pairwise(owned):
             if other[0] <= one[1] and one[2] != other[2]:
--- a/tests/gateway/test_world.py
+++ b/tests/gateway/test_world.py
@@ -51,11 +51,13 @@
         async def scenario(world):
             for vm in world.addresses:
                 for key in range(0, 65536, 9000):
-                    answer = await world.ask(f"/read/{key}", key, vm)
+                    answer = await world.send_request(f"/read/{key}", key, vm)
                     assert answer.status == 200
                     attempt = answer.header(b"x-attempt-id")
                     assert attempt in answer.body
-                answer = await world.ask("/issue/1", None, vm, method="POST")
+                answer = await world.send_request(
+                    "/issue/1", None, vm, method="POST"
+                )
                 assert answer.status == 200
             attempts = collections.Counter(run.attempt for run in world.runs)
             assert set(attempts.values()) == {1}
@@ -69,7 +71,7 @@
         """A request without a route gets 404."""
 
         async def scenario(world):
-            assert (await world.ask(path, 1)).status == status
+            assert (await world.send_request(path, 1)).status == status
 
         _run_scenario(scenario, vms=1)
 
@@ -82,23 +84,23 @@
             ][0]
             extra = {**extra, "Name": "new"}
             extra["MatchCriteria"] = {"Prefix": "/new/"}
-            assert (await world.ask("/new/1", 1)).status == 404
+            assert (await world.send_request("/new/1", 1)).status == 404
             world.store.put(
                 "op/config", platform_world.configuration(5, extra=[extra])
             )
 
             async def served():
-                answer = await world.ask("/new/1", 1)
+                answer = await world.send_request("/new/1", 1)
                 return answer.status == 200
 
-            await world.until(served)
+            await world.wait_until(served)
             # An older version is never applied again.
             world.store.put("op/config", platform_world.configuration(3))
             world.store.put_bytes("op/config", b'{"ConfigVersion": 9, "Li')
             world.store.put("servers/zz", {"ServiceName": 7})
             await asyncio.sleep(0.5)
             for vm in world.addresses:
-                assert (await world.ask("/new/1", 1, vm)).status == 200
+                assert (await world.send_request("/new/1", 1, vm)).status == 200
             assert "configuration_unreadable" in world.log("vm-0")
             assert "target_unreadable" in world.log("vm-0")
 
@@ -119,7 +121,7 @@
             target.fault = platform_target.Fault.HANG
             target.refuse_connections()
             asked = [
-                asyncio.create_task(world.ask(f"/read/{n}", n))
+                asyncio.create_task(world.send_request(f"/read/{n}", n))
                 for n in range(4)
             ]
             orders = len(target.orders)
@@ -127,7 +129,7 @@
             async def renewed():
                 return len(target.orders) >= orders + 4
 
-            await world.until(renewed)
+            await world.wait_until(renewed)
             assert "grant_failed" not in world.log("vm-0")
             for task in asked:
                 task.cancel()
@@ -151,12 +153,12 @@
 
             async def served():
                 answers = [
-                    await world.ask("/read/x", key, deadline_ms=300)
+                    await world.send_request("/read/x", key, deadline_ms=300)
                     for key in range(0, 65536, 6000)
                 ]
                 return all(a.status == 200 for a in answers)
 
-            await world.until(served, 20.0)
+            await world.wait_until(served, 20.0)
             assert "k0" not in {h.id for h in _table(world).owners()}
 
         _run_scenario(scenario)
@@ -174,12 +176,12 @@
 
             async def moved():
                 for key in range(0, 65536, 8000):
-                    answer = await world.ask("/read/x", key)
+                    answer = await world.send_request("/read/x", key)
                     statuses.add(answer.status)
                 owners = {h.id for h in _table(world).owners()}
                 return "k1" not in owners
 
-            await world.until(moved)
+            await world.wait_until(moved)
             assert statuses == {200}
 
         _run_scenario(scenario)
@@ -199,7 +201,7 @@
             victim.misdirected = 0
             for _ in range(40):
                 for key in (0, 30_000, 60_000):
-                    await world.ask("/read/x", key, deadline_ms=200)
+                    await world.send_request("/read/x", key, deadline_ms=200)
             assert len(victim.runs) > before
             # One for each VM, and those under way.
             assert victim.misdirected <= 12
@@ -227,7 +229,7 @@
                 world.targets[name].fault = fault
             seen = set()
             for _ in range(6):
-                answer = await world.ask(
+                answer = await world.send_request(
                     "/issue/1", method="POST", deadline_ms=400
                 )
                 seen.add(answer.status)
@@ -257,7 +259,7 @@
                 target.fault = platform_target.Fault.SHED_LATE
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(0.1):
-                    await world.ask("/issue/1", None, method="POST")
+                    await world.send_request("/issue/1", None, method="POST")
             await asyncio.sleep(1.0)
             assert sum(target.shed for target in plain) == 1
 
@@ -284,16 +286,20 @@
 
             async def replaced():
                 for key in (0, 30_000, 60_000):
-                    statuses[(await world.ask("/read/x", key)).status] += 1
+                    statuses[
+                        (await world.send_request("/read/x", key)).status
+                    ] += 1
                 return any(
                     daemon.dump()["leading"]["leading"]
                     for daemon in world.daemons.values()
                 )
 
-            await world.until(replaced)
+            await world.wait_until(replaced)
             for _ in range(60):
                 for key in (0, 30_000, 60_000):
-                    statuses[(await world.ask("/read/x", key)).status] += 1
+                    statuses[
+                        (await world.send_request("/read/x", key)).status
+                    ] += 1
                 await asyncio.sleep(0.05)
             assert set(statuses) == {200}
 
@@ -312,7 +318,7 @@
                 world.kill_vm(name)
             await world.add_vm("vm-0")
             await world.add_vm("vm-9")
-            await world.until(world._serves_keys)
+            await world.wait_until(world._serves_keys)
             assert _table(world).next_fence >= before.next_fence
 
         _run_scenario(scenario)
@@ -324,7 +330,9 @@
             for target in world.targets.values():
                 target._work = 0.3
             asked = [
-                asyncio.create_task(world.ask("/issue/1", None, "vm-0"))
+                asyncio.create_task(
+                    world.send_request("/issue/1", None, "vm-0")
+                )
                 for _ in range(5)
             ]
             await asyncio.sleep(0.1)
@@ -354,7 +362,7 @@
                 target.fault = platform_target.Fault.HANG
             asked = [
                 asyncio.create_task(
-                    world.ask(path, key, "vm-0", 9000, method=method)
+                    world.send_request(path, key, "vm-0", 9000, method=method)
                 )
                 for path, key, method in (
                     ("/issue/1", None, "POST"),
@@ -370,7 +378,9 @@
             ending = asyncio.create_task(end())
             await asyncio.sleep(0.2)
             asked.append(
-                asyncio.create_task(world.ask("/read/2", 9, "vm-0", 9000))
+                asyncio.create_task(
+                    world.send_request("/read/2", 9, "vm-0", 9000)
+                )
             )
             answers = await asyncio.gather(*asked)
             world.addresses.pop("vm-0")
@@ -395,23 +405,25 @@
                     for daemon in world.daemons.values()
                 )
 
-            await world.until(received)
+            await world.wait_until(received)
             world.store.put(
                 "op/config",
                 platform_world.configuration(4, regions=["region-b"]),
             )
 
             async def applied():
-                await world.ask("/issue/1", None, method="POST")
+                await world.send_request("/issue/1", None, method="POST")
                 return all(
                     daemon.dump()["configuration"] == 4
                     for daemon in world.daemons.values()
                 )
 
-            await world.until(applied)
+            await world.wait_until(applied)
             world.runs.clear()
             for _ in range(20):
-                answer = await world.ask("/issue/1", None, method="POST")
+                answer = await world.send_request(
+                    "/issue/1", None, method="POST"
+                )
                 assert answer.status == 200
             assert {run.target for run in world.runs} == {"far"}
 
@@ -427,12 +439,14 @@
             )
 
             async def refused():
-                answer = await world.ask("/issue/1", None, method="POST")
+                answer = await world.send_request(
+                    "/issue/1", None, method="POST"
+                )
                 return answer.status == 503
 
-            await world.until(refused)
+            await world.wait_until(refused)
             world.runs.clear()
-            answer = await world.ask("/issue/1", None, method="POST")
+            answer = await world.send_request("/issue/1", None, method="POST")
             assert float(answer.header(b"retry-after")) > 0
             assert world.runs == []
             assert "outside the allowed regions" in world.log("vm-0")
@@ -458,30 +472,36 @@
                 return {h.id for h in table.owners()} == {"kb"}
 
             world.store.put("op/evacuate/zone-a", {})
-            await world.until(moved)
+            await world.wait_until(moved)
 
             async def served():
                 world.runs.clear()
                 for vm in world.addresses:
                     for key in (0, 30_000, 65_535):
-                        await world.ask("/read/1", key, vm)
-                    await world.ask("/issue/1", None, vm, method="POST")
+                        await world.send_request("/read/1", key, vm)
+                    await world.send_request(
+                        "/issue/1", None, vm, method="POST"
+                    )
                 return {run.target for run in world.runs} == {"kb", "pb"}
 
-            await world.until(served)
+            await world.wait_until(served)
             world.runs.clear()
             for number in range(30):
-                read = await world.ask(f"/read/{number}", number * 2000)
-                issued = await world.ask("/issue/1", None, method="POST")
+                read = await world.send_request(
+                    f"/read/{number}", number * 2000
+                )
+                issued = await world.send_request(
+                    "/issue/1", None, method="POST"
+                )
                 assert (read.status, issued.status) == (200, 200)
             assert {run.target for run in world.runs} == {"kb", "pb"}
             world.store.remove("op/evacuate/zone-a")
 
             async def used():
-                await world.ask("/issue/1", None, method="POST")
+                await world.send_request("/issue/1", None, method="POST")
                 return any(run.target in ("p0", "p1") for run in world.runs)
 
-            await world.until(used)
+            await world.wait_until(used)
 
         _run_scenario(scenario)
 
@@ -492,14 +512,18 @@
             world.store.put("op/evacuate/zone-a", {})
 
             async def refused():
-                issued = await world.ask("/issue/1", None, method="POST")
-                read = await world.ask("/read/1", 7)
+                issued = await world.send_request(
+                    "/issue/1", None, method="POST"
+                )
+                read = await world.send_request("/read/1", 7)
                 return {issued.status, read.status} == {503}
 
-            await world.until(refused)
+            await world.wait_until(refused)
             world.runs.clear()
             for vm in world.addresses:
-                answer = await world.ask("/issue/1", None, vm, method="POST")
+                answer = await world.send_request(
+                    "/issue/1", None, vm, method="POST"
+                )
                 assert answer.status == 503
                 assert answer.header(b"retry-after")
             assert world.runs == []
@@ -507,9 +531,9 @@
             world.store.remove("op/evacuate/zone-a")
 
             async def served():
-                return (await world.ask("/read/1", 7)).status == 200
+                return (await world.send_request("/read/1", 7)).status == 200
 
-            await world.until(served)
+            await world.wait_until(served)
 
         _run_scenario(scenario)
 
@@ -527,12 +551,12 @@
         """Guards against work for a target that reports that it is slow."""
 
         async def scenario(world):
-            await world.ask("/issue/1", None, method="POST")
+            await world.send_request("/issue/1", None, method="POST")
             world.targets["p0"].slowness = 2000
             world.runs.clear()
             for _ in range(20):
                 for vm in world.addresses:
-                    answer = await world.ask(
+                    answer = await world.send_request(
                         "/issue/1", None, vm, method="POST"
                     )
                     assert answer.status == 200
@@ -547,7 +571,7 @@
         """Guards against a cold target that gets the load of a warm one."""
 
         async def scenario(world):
-            await world.ask("/issue/1", None, method="POST")
+            await world.send_request("/issue/1", None, method="POST")
             cold = world.targets["p0"]
             cold.cold_seconds = 60.0
             world.store.put("servers/p0", cold.registration())
@@ -558,10 +582,12 @@
                     for daemon in world.daemons.values()
                 )
 
-            await world.until(received)
+            await world.wait_until(received)
             world.runs.clear()
             for _ in range(60):
-                answer = await world.ask("/issue/1", None, method="POST")
+                answer = await world.send_request(
+                    "/issue/1", None, method="POST"
+                )
                 assert answer.status == 200
             times = [run.at for run in world.runs if run.target == "p0"]
             most = max(
@@ -581,7 +607,7 @@
     async def _ask_all(world, count=5):
         for _ in range(count):
             for vm in world.addresses:
-                await world.ask("/issue/1", None, vm, method="POST")
+                await world.send_request("/issue/1", None, vm, method="POST")
 
     def test_limit(self):
         """Guards against a limit that is not read from the response."""
@@ -596,7 +622,7 @@
                     for daemon in world.daemons.values()
                 )
 
-            await world.until(received)
+            await world.wait_until(received)
             began = asyncio.get_running_loop().time()
             world.runs.clear()
             await self._ask_all(world, 20)
@@ -620,7 +646,7 @@
                     for daemon in world.daemons.values()
                 )
 
-            await world.until(received)
+            await world.wait_until(received)
             world.runs.clear()
             await self._ask_all(world)
             assert {run.target for run in world.runs} == {"p1"}
@@ -640,7 +666,7 @@
                     "rest_asked" in world.log(vm) for vm in world.addresses
                 )
 
-            await world.until(received)
+            await world.wait_until(received)
             target.arrivals.clear()
             await self._ask_all(world)
             assert target.arrivals == []
@@ -651,24 +677,26 @@
 class TestStore:
     """Failures of the store."""
 
-    @pytest.mark.parametrize("mood", ["BUSY", "SILENT"])
-    def test_outage(self, mood):
+    @pytest.mark.parametrize("behavior", ["BUSY", "SILENT"])
+    def test_outage(self, behavior):
         """The store is unavailable for longer than a grant lasts.
 
         Requests are served during the outage, and after it.
         """
 
         async def scenario(world):
-            moods = type(world.store.mood)
-            world.store.mood = moods[mood]
+            behaviors = type(world.store.behavior)
+            world.store.behavior = behaviors[behavior]
             statuses = set()
             for _ in range(50):
                 for key in (0, 30_000, 60_000):
-                    statuses.add((await world.ask("/read/x", key)).status)
+                    statuses.add(
+                        (await world.send_request("/read/x", key)).status
+                    )
                 await asyncio.sleep(0.05)
             assert statuses == {200}
-            world.store.mood = moods.WELL
-            assert (await world.ask("/read/x", 7)).status == 200
+            world.store.behavior = behaviors.HEALTHY
+            assert (await world.send_request("/read/x", 7)).status == 200
 
         _run_scenario(scenario)
 
@@ -683,7 +711,9 @@
                 dump = world.daemons["vm-0"].dump()
                 return dump["targets"].get("p0") != "ready"
 
-            await world.until(removed)
-            assert (await world.ask("/issue/1", method="POST")).status == 200
+            await world.wait_until(removed)
+            assert (
+                await world.send_request("/issue/1", method="POST")
+            ).status == 200
 
         _run_scenario(scenario)
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -132,26 +132,26 @@
     """Results of failed calls."""
 
     @pytest.mark.parametrize(
-        ("mood", "kind", "written"),
+        ("behavior", "kind", "written"),
         [
             (
-                platform_store.Mood.BUSY,
+                platform_store.Behavior.BUSY,
                 errors.ErrorKind.STORE_UNAVAILABLE,
                 False,
             ),
             (
-                platform_store.Mood.LOSES_ANSWERS,
+                platform_store.Behavior.LOSES_RESPONSES,
                 errors.ErrorKind.STORE_UNKNOWN,
                 True,
             ),
             (
-                platform_store.Mood.SILENT,
+                platform_store.Behavior.SILENT,
                 errors.ErrorKind.STORE_UNKNOWN,
                 False,
             ),
         ],
     )
-    def test_write(self, mood, kind, written):
+    def test_write(self, behavior, kind, written):
         """Guards against treating a write without a response as failed.
 
         The caller would repeat it under another condition, while the first
@@ -159,7 +159,7 @@
         """
 
         async def scenario(fake_store, client):
-            fake_store.mood = mood
+            fake_store.behavior = behavior
             outcome = await client.commit({}, (ports.Write("a", b"1"),))
             assert outcome.err_value.kind is kind
             assert (fake_store.value("a") is not None) is written
--- a/tests/standins/test_soak.py
+++ b/tests/standins/test_soak.py
@@ -22,19 +22,19 @@
 
 
 def _executions(*attempts):
-    return [platform_target.Run(a, None, "t-1", 1.0) for a in attempts]
+    return [platform_target.Execution(a, None, "t-1", 1.0) for a in attempts]
 
 
 class _Owner:
     """A target that owns ranges of keys."""
 
-    def __init__(self, name, *spans):
+    def __init__(self, name, *ranges):
         self.id = name
-        self._spans = list(spans)
+        self._ranges = list(ranges)
 
-    def spans(self):
+    def owned_ranges(self):
         """Returns the owned ranges."""
-        return self._spans
+        return self._ranges
 
 
 class TestOracle:
