--- a/packages/mimosastile-standins/src/mimosastile_standins/_scenarios.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/_scenarios.py
@@ -10,34 +10,34 @@
 from mimosastile_standins import scenario
 
 EXIT_BROKEN = 1
-"""Exit code if a promise or an expectation did not hold."""
+"""Exit code for a violated guarantee or a failed expectation."""
 
 EXIT_BAD_FILE = 2
 """Exit code for a mistake in a scenario file."""
 
 
 def report(files: Sequence[str], seed: int | None, trace: bool) -> int:
-    """Runs scenarios, prints a line for each and a count at the end.
+    """Runs scenarios, prints a line for each and a final count.
 
     Args:
         files: Paths of scenario files.
-        seed: Replaces the scenarios' own seeds.
-        trace: Prints what was done, step by step.
+        seed: Seed that replaces those of the scenarios, or None.
+        trace: Whether to print the trace of each scenario.
 
     Returns:
         The exit code.
     """
-    good = 0
+    passed = 0
     for name in files:
-        story = scenario.load(pathlib.Path(name))
-        if isinstance(story, result.Err):
-            _printing.say(story.err_value)
+        loaded = scenario.load(pathlib.Path(name))
+        if isinstance(loaded, result.Err):
+            _printing.say(loaded.err_value)
             return EXIT_BAD_FILE
-        verdict = runner.run(story.ok_value, seed)
-        good += verdict.good
+        verdict = runner.run(loaded.ok_value, seed)
+        passed += verdict.good
         _print(name, verdict, trace)
-    _printing.say(f"{good} passed, {len(files) - good} failed")
-    return 0 if good == len(files) else EXIT_BROKEN
+    _printing.say(f"{passed} passed, {len(files) - passed} failed")
+    return 0 if passed == len(files) else EXIT_BROKEN
 
 
 def _print(name: str, verdict: runner.Verdict, trace: bool) -> None:
@@ -52,7 +52,7 @@
     )
     for violation in verdict.violations:
         say(
-            f"       {violation.at:.1f} s {violation.promise.value}:"
+            f"       {violation.at:.1f} s {violation.guarantee.value}:"
             f" {violation.detail}"
         )
     for missed in verdict.missed:
--- a/packages/mimosastile-standins/src/mimosastile_standins/fuzzing.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/fuzzing.py
@@ -145,7 +145,7 @@
         path.write_text(scenario.to_toml(story), encoding="utf-8")
         broken = runner.run(story).violations[0]
         _printing.say(
-            f"seed {seed}: {broken.promise.value}: {broken.detail} ({path})"
+            f"seed {seed}: {broken.guarantee.value}: {broken.detail} ({path})"
         )
     _printing.say(f"{seeds - found} passed, {found} failed")
     return 1 if found else 0
--- a/packages/mimosastile-standins/src/mimosastile_standins/memory.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/memory.py
@@ -1,8 +1,8 @@
-"""A daemon's adapters in memory, over a network with faults.
+"""In-memory adapters of a daemon, over a network with faults.
 
-They have the same interface as those over HTTP, so that the daemon's services
-run unchanged under virtual time. Each daemon has its own, which know its
-process: a paused process sends nothing, and what it has sent before arrives.
+They have the interface of the HTTP adapters, so the daemon's services run
+unchanged under virtual time. Each daemon has its own adapters, tied to its
+process: a paused process sends nothing, but messages sent earlier arrive.
 """
 
 import asyncio
@@ -31,15 +31,15 @@
 _LOST = errors.Failure(errors.ErrorKind.ANSWER_LOST)
 _DOWN = errors.Failure(errors.ErrorKind.STORE_UNAVAILABLE)
 _UNKNOWN = errors.Failure(errors.ErrorKind.STORE_UNKNOWN)
-_CALL_SECONDS = 3.0
+_CALL_TIMEOUT_SECONDS = 3.0
 _ERROR_HEADER = "x-mimosastile-error"
 
 
 class Sites:
-    """Everything that the adapters can reach.
+    """Parts of a deployment that the adapters can call.
 
     Attributes:
-        network: Who can reach whom.
+        network: Network between all parts.
         store: The key-value service.
         fleet: The list of VMs.
         targets: The stand-in targets by VM.
@@ -50,19 +50,19 @@
 
     def __init__(
         self,
-        between: network.Network,
-        kept: store.MemoryStore,
-        listed: vms.MemoryFleet,
+        links: network.Network,
+        key_values: store.MemoryStore,
+        listing: vms.MemoryFleet,
     ) -> None:
-        self.network = between
-        self.store = kept
-        self.fleet = listed
+        self.network = links
+        self.store = key_values
+        self.fleet = listing
         self.targets: dict[str, target.Target] = {}
         self.processes: dict[str, network.Process] = {}
 
 
 class _Adapter(kernel.Passive):
-    """Base: the sites and the process that calls."""
+    """Base class with the reachable parts and the calling process."""
 
     __slots__ = ("_process", "_sites")
 
@@ -76,9 +76,10 @@
     async def _round_trip(
         self, receiver: str, work: Coroutine[Any, Any, _T]
     ) -> _T:
-        """Carries a call there, runs it and carries the answer back.
+        """Delivers a call, executes it and delivers the response.
 
-        The work goes on if the caller gives up: what has left arrives.
+        If the caller is cancelled after the delivery, the work continues, as
+        the receiver already has the call.
         """
         try:
             await self._process.gate()
@@ -87,7 +88,7 @@
             work.close()
             raise
         running = asyncio.ensure_future(work)
-        running.add_done_callback(_retrieve)
+        running.add_done_callback(_retrieve_exception)
         done = await asyncio.shield(running)
         await self._sites.network.cross(receiver, self._process.vm)
         await self._process.gate()
@@ -95,7 +96,7 @@
 
 
 class MemoryStorePort(_Adapter):
-    """A daemon's way to the key-value service."""
+    """Connection of a daemon to the key-value service."""
 
     __slots__ = ()
 
@@ -127,7 +128,7 @@
         """Writes a key if its revision is the expected one."""
         work = self._sites.store.compare_and_swap(key, value, revision)
         try:
-            async with asyncio.timeout(_CALL_SECONDS):
+            async with asyncio.timeout(_CALL_TIMEOUT_SECONDS):
                 return await self._round_trip(network.STORE, work)
         except TimeoutError:
             return result.Err(_UNKNOWN)
@@ -138,14 +139,14 @@
         wait: float = 0.0,
     ) -> result.Result[_T, errors.Failure]:
         try:
-            async with asyncio.timeout(_CALL_SECONDS + wait):
+            async with asyncio.timeout(_CALL_TIMEOUT_SECONDS + wait):
                 return await self._round_trip(network.STORE, work)
         except TimeoutError:
             return result.Err(_DOWN)
 
 
 class MemoryFleetPort(_Adapter):
-    """A daemon's way to the list of VMs."""
+    """Connection of a daemon to the list of VMs."""
 
     __slots__ = ()
 
@@ -157,7 +158,7 @@
     ) -> result.Result[tuple[fleet.Vm, ...], errors.Failure]:
         """Reads the list."""
         try:
-            async with asyncio.timeout(_CALL_SECONDS):
+            async with asyncio.timeout(_CALL_TIMEOUT_SECONDS):
                 work = self._sites.fleet.vms()
                 return await self._round_trip(network.FLEET, work)
         except TimeoutError:
@@ -165,7 +166,7 @@
 
 
 class MemoryTargets(_Adapter):
-    """A daemon's way to targets."""
+    """Connection of a daemon to targets."""
 
     __slots__ = ()
 
@@ -176,12 +177,12 @@
         self, vm: fleet.Vm, grant: grants.Grant, timeout: float
     ) -> result.Result[grants.GrantReply, errors.Failure]:
         """Sends a grant and waits for the reply."""
-        run = self._sites.targets.get(vm.id)
-        if run is None:
+        receiver = self._sites.targets.get(vm.id)
+        if receiver is None:
             return result.Err(_UNREACHABLE)
         try:
             async with asyncio.timeout(timeout):
-                reply = await self._round_trip(vm.id, run.grant(grant))
+                reply = await self._round_trip(vm.id, receiver.grant(grant))
                 return result.Ok(reply)
         except (TimeoutError, target.CrashedError):
             return result.Err(_LOST)
@@ -193,15 +194,15 @@
         fence: holder.RequestFence | None,
     ) -> SendResult:
         """Sends a request once."""
-        run = self._sites.targets.get(vm.id)
-        if run is None or run.crashed:
+        receiver = self._sites.targets.get(vm.id)
+        if receiver is None or receiver.crashed:
             return result.Err(_UNREACHABLE)
-        left = request.deadline - self._process.now()
-        work = run.handle(
+        remaining = request.deadline - self._process.now()
+        work = receiver.handle(
             request.method, request.path, request.request_id, fence
         )
         try:
-            async with asyncio.timeout(left):
+            async with asyncio.timeout(remaining):
                 outcome = await self._round_trip(vm.id, work)
         except (TimeoutError, target.CrashedError):
             return result.Err(_LOST)
@@ -211,7 +212,7 @@
 
 
 class MemoryPeers(_Adapter):
-    """A daemon's way to other daemons."""
+    """Connection of a daemon to its peers."""
 
     __slots__ = ()
 
@@ -233,45 +234,49 @@
             return result.Err(_LOST)
 
     async def forward(self, vm: fleet.Vm, request: ports.Request) -> SendResult:
-        """Passes a request to the keeper of its target."""
+        """Forwards a request to the keeper of its target.
+
+        The keeper is the entry VM through which alone the target gets requests
+        and grants.
+        """
         peer = self._sites.processes.get(vm.id)
         if peer is None or peer.kernel is None or peer.closed:
             return result.Err(_UNREACHABLE)
-        left = request.deadline - self._process.now()
-        answer = _Answer()
+        remaining = request.deadline - self._process.now()
+        pending = _PendingResponse()
         try:
-            async with asyncio.timeout(left):
-                work = self._handle(peer, peer.kernel, request, answer)
+            async with asyncio.timeout(remaining):
+                work = self._handle(peer, peer.kernel, request, pending)
                 response = await self._round_trip(vm.id, work)
         except TimeoutError:
-            await answer.drop()
+            await pending.drop()
             return result.Err(_LOST)
         except asyncio.CancelledError:
-            await answer.drop()
+            await pending.drop()
             raise
-        named = dict(response.headers).get(_ERROR_HEADER)
-        if named is not None:
+        error_kind = dict(response.headers).get(_ERROR_HEADER)
+        if error_kind is not None:
             await response.close()
-            return result.Err(errors.Failure(errors.ErrorKind(named)))
+            return result.Err(errors.Failure(errors.ErrorKind(error_kind)))
         return result.Ok(response)
 
     async def _receive(
         self,
         peer: network.Process,
-        there: kernel.Kernel,
+        receiver: kernel.Kernel,
         message: messages.PeerMessage,
     ) -> messages.PeerMessage:
         await peer.gate()
-        answer: messages.PeerMessage = there.find("inbox").receive(message)
+        reply: messages.PeerMessage = receiver.find("inbox").receive(message)
         await peer.gate()
-        return answer
+        return reply
 
     async def _handle(
         self,
         peer: network.Process,
-        there: kernel.Kernel,
+        receiver: kernel.Kernel,
         request: ports.Request,
-        answer: "_Answer",
+        pending: "_PendingResponse",
     ) -> ports.Response:
         await peer.gate()
         inner = ports.Request(
@@ -290,19 +295,21 @@
         )
         peer.in_flight += 1
         try:
-            response: ports.Response = await there.find("router").handle(inner)
-            await answer.arrive(response)
+            response: ports.Response = await receiver.find("router").handle(
+                inner
+            )
+            await pending.arrive(response)
         finally:
             peer.in_flight -= 1
         await peer.gate()
         return response
 
 
-class _Answer:
-    """A peer's answer that its receiver may give up before it comes.
+class _PendingResponse:
+    """A peer's response that its receiver may abandon before it arrives.
 
-    A server closes an answer whose receiver has gone. Without that here, the
-    slot that it holds on the peer would be lost for good.
+    A server closes a response whose receiver has disconnected. Without this,
+    the slot that the response holds on the peer would never be freed.
     """
 
     __slots__ = ("_dropped", "_response")
@@ -312,20 +319,20 @@
         self._response: ports.Response | None = None
 
     async def arrive(self, response: ports.Response) -> None:
-        """Takes the answer, or closes it if nobody waits any more."""
+        """Stores the response, or closes it if the receiver abandoned it."""
         self._response = response
         if self._dropped:
             await response.close()
 
     async def drop(self) -> None:
-        """Gives the answer up, now or when it comes."""
+        """Closes the response now or on its arrival."""
         self._dropped = True
         if self._response is not None:
             await self._response.close()
 
 
-def _retrieve(done: asyncio.Future[Any]) -> None:
-    # If the caller has given up, nobody else asks how the work ended.
+def _retrieve_exception(done: asyncio.Future[Any]) -> None:
+    # Marks the exception as retrieved if the caller was cancelled.
     if not done.cancelled():
         done.exception()
 
--- a/packages/mimosastile-standins/src/mimosastile_standins/mutations.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/mutations.py
@@ -368,7 +368,7 @@
     verdict = runner.run(scenario.load(path).unwrap())
     if verdict.violations:
         broken = verdict.violations[0]
-        return f"{path.stem}: {broken.promise.value}: {broken.detail}"
+        return f"{path.stem}: {broken.guarantee.value}: {broken.detail}"
     if verdict.missed:
         return f"{path.stem}: {verdict.missed[0]}"
     return ""
@@ -379,4 +379,4 @@
     if story is None:
         return ""
     broken = runner.run(story).violations[0]
-    return f"fuzz seed {seed}: {broken.promise.value}: {broken.detail}"
+    return f"fuzz seed {seed}: {broken.guarantee.value}: {broken.detail}"
--- a/packages/mimosastile-standins/src/mimosastile_standins/network.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/network.py
@@ -1,4 +1,4 @@
-"""A network in memory: delays, cuts, and processes that pause or die."""
+"""In-memory network with delays, cuts, and processes that pause or crash."""
 
 import asyncio
 import itertools
@@ -11,29 +11,30 @@
 FLEET = "fleet"
 """Name under which the list of VMs can be cut off."""
 
-_NOTICE_SECONDS = 0.2
+_HEALTH_CHECK_SECONDS = 0.2
 _POLL_SECONDS = 0.01
 
 
 class Process:
-    """One run of a daemon, as far as the network sees it.
+    """An incarnation of a daemon, as the network handles it.
 
     Attributes:
         vm: The VM.
         kernel: The daemon's kernel once it is assembled.
-        in_flight: Requests of callers and peers that it is working on.
-        noticed: Whether its health is bad, so that the balancer looks away.
-        closed: Whether it accepts no more requests.
+        in_flight: Number of requests of callers and peers in progress.
+        unhealthy: Whether the health check fails, so that the load balancer
+            sends nothing more.
+        closed: Whether new requests are refused.
     """
 
     __slots__ = (
         "_dead",
-        "_froze_at",
+        "_paused_at",
         "_running",
         "closed",
         "in_flight",
         "kernel",
-        "noticed",
+        "unhealthy",
         "vm",
     )
 
@@ -41,11 +42,11 @@
         self.vm = vm
         self.kernel: kernel.Kernel | None = None
         self.in_flight = 0
-        self.noticed = False
+        self.unhealthy = False
         self.closed = False
         self._running = asyncio.Event()
         self._running.set()
-        self._froze_at: float | None = None
+        self._paused_at: float | None = None
         self._dead = False
 
     @property
@@ -54,35 +55,35 @@
         return self._dead
 
     def pause(self) -> None:
-        """Stops the process; what it sends or receives waits."""
+        """Pauses the process and delays all that it sends or receives."""
         self._running.clear()
-        self._froze_at = asyncio.get_running_loop().time()
+        self._paused_at = asyncio.get_running_loop().time()
 
     def resume(self) -> None:
-        """Lets the process go on; its clock jumps."""
+        """Resumes the process; its clock jumps forward."""
         self._running.set()
-        self._froze_at = None
+        self._paused_at = None
 
     def kill(self) -> None:
-        """Ends the process without a word."""
+        """Kills the process."""
         self._dead = True
         self._running.set()
 
     def now(self) -> float:
-        """Returns the time that the process sees; it stands while paused."""
-        if self._froze_at is not None:
-            return self._froze_at
+        """Returns the process's clock time, which stops during a pause."""
+        if self._paused_at is not None:
+            return self._paused_at
         return asyncio.get_running_loop().time()
 
     async def gate(self) -> None:
-        """Waits while the process is paused; never returns once it is dead."""
+        """Waits while the process is paused; never returns after a kill."""
         await self._running.wait()
         if self._dead:
             await asyncio.Event().wait()
 
 
 class Listeners(kernel.Passive):
-    """A daemon's listeners in memory: they end what they have accepted."""
+    """In-memory listeners of a daemon, which complete accepted requests."""
 
     __slots__ = ("_process",)
 
@@ -91,19 +92,19 @@
         self._process = process
 
     async def give_notice(self) -> None:
-        """Turns health bad and waits until the balancer has seen it."""
-        self._process.noticed = True
-        await asyncio.sleep(_NOTICE_SECONDS)
+        """Fails the health check and waits until the balancer observed it."""
+        self._process.unhealthy = True
+        await asyncio.sleep(_HEALTH_CHECK_SECONDS)
 
     async def stop(self) -> None:
-        """Accepts no more and waits for what is in flight."""
+        """Refuses new requests and waits for those in flight."""
         self._process.closed = True
         while self._process.in_flight:
             await asyncio.sleep(_POLL_SECONDS)
 
 
 class PausedClock(kernel.Passive):
-    """A daemon's clock that stands while its process is paused."""
+    """Clock of a daemon that stops while its process is paused."""
 
     __slots__ = ("_inner", "_process")
 
@@ -111,8 +112,8 @@
         """Wraps a clock service.
 
         Args:
-            inner: Where identifiers and jitter come from.
-            process: The process whose time is told.
+            inner: Clock that generates identifiers and jitter.
+            process: Process whose time the clock returns.
         """
         super().__init__("clock")
         self._inner = inner
@@ -123,33 +124,33 @@
         return self._process.now()
 
     def wall(self) -> float:
-        """Returns seconds since 1970 UTC as a record of this run has them."""
-        told: float = self._inner.wall()  # type: ignore[attr-defined]
-        return told
+        """Returns the wall clock time in seconds since 1970 UTC."""
+        seconds: float = self._inner.wall()  # type: ignore[attr-defined]
+        return seconds
 
     def new_id(self) -> str:
-        """Returns an identifier that is never used again."""
-        made: str = self._inner.new_id()  # type: ignore[attr-defined]
-        return made
+        """Returns a unique identifier."""
+        identifier: str = self._inner.new_id()  # type: ignore[attr-defined]
+        return identifier
 
     def random(self) -> float:
-        """Returns a number from 0 to 1."""
-        drawn: float = self._inner.random()  # type: ignore[attr-defined]
-        return drawn
+        """Returns a random number from 0 to 1."""
+        number: float = self._inner.random()  # type: ignore[attr-defined]
+        return number
 
 
 class Network:
-    """Who can reach whom, and how long it takes one way.
+    """Connectivity and one-way delays between VMs and platform services.
 
     Attributes:
-        in_zone: Seconds within a zone.
-        between_zones: Seconds between zones of a region.
-        between_regions: Seconds between regions.
+        in_zone: Delay within a zone in seconds.
+        between_zones: Delay between zones of a region in seconds.
+        between_regions: Delay between regions in seconds.
     """
 
     __slots__ = (
         "_cuts",
-        "_places",
+        "_locations",
         "between_regions",
         "between_zones",
         "in_zone",
@@ -165,49 +166,51 @@
         self.between_zones = between_zones
         self.between_regions = between_regions
         self._cuts: set[tuple[str, str]] = set()
-        self._places: dict[str, tuple[str, str]] = {}
+        self._locations: dict[str, tuple[str, str]] = {}
 
-    def place(self, name: str, region: str, zone: str) -> None:
-        """Says where a VM or a part of the platform stands."""
-        self._places[name] = (region, zone)
+    def set_location(self, name: str, region: str, zone: str) -> None:
+        """Sets the location of a VM or a platform service."""
+        self._locations[name] = (region, zone)
 
     def named(self, group: str) -> set[str]:
-        """Returns the members of a zone or region, or the one thing named."""
+        """Returns the names in a zone or region, or the given name itself."""
         members = {
-            name for name, place in self._places.items() if group in place
+            name
+            for name, location in self._locations.items()
+            if group in location
         }
         return members or {group}
 
     def cut(self, group: set[str], others: set[str]) -> None:
-        """Loses every message between two groups, both ways."""
+        """Drops all messages between two groups in both directions."""
         self.cut_one_way(group, others)
         self.cut_one_way(others, group)
 
     def cut_one_way(self, senders: set[str], receivers: set[str]) -> None:
-        """Loses every message from one group to another."""
+        """Drops all messages from one group to another."""
         pairs = itertools.product(senders, receivers)
         self._cuts.update(pair for pair in pairs if pair[0] != pair[1])
 
     def isolate(self, group: set[str]) -> None:
-        """Cuts a group off from everything else."""
-        self.cut(group, {*self._places, STORE, FLEET} - group)
+        """Partitions a group from all the rest."""
+        self.cut(group, {*self._locations, STORE, FLEET} - group)
 
     def heal(self) -> None:
-        """Joins everything again."""
+        """Removes all cuts."""
         self._cuts.clear()
 
     def reaches(self, sender: str, receiver: str) -> bool:
-        """Whether a message from one place arrives at another."""
+        """Whether messages from a sender reach a receiver."""
         return (sender, receiver) not in self._cuts
 
     async def cross(self, sender: str, receiver: str) -> None:
-        """Carries a message; never returns if it is lost."""
+        """Waits for the delivery of a message, forever if it is dropped."""
         await asyncio.sleep(self._delay(sender, receiver))
         if not self.reaches(sender, receiver):
             await asyncio.Event().wait()
 
     def _delay(self, sender: str, receiver: str) -> float:
-        here, there = self._places.get(sender), self._places.get(receiver)
+        here, there = self._locations.get(sender), self._locations.get(receiver)
         if here == there:
             return self.in_zone
         if here is None or there is None or here[0] == there[0]:
--- a/packages/mimosastile-standins/src/mimosastile_standins/oracle.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/oracle.py
@@ -1,8 +1,8 @@
-"""The oracle: what must hold, checked against what happened.
+"""Oracle that checks the guarantees against observations of a scenario.
 
-It looks at the stand-ins from outside: runs on targets, slices that targets
-would serve, numbers that daemons hold, answers that callers got. It knows
-nothing of how the daemons decide.
+It observes the system from outside: executions on targets, slices that targets
+would serve, version numbers that daemons hold, and responses to callers. It
+does not depend on how the daemons decide.
 """
 
 import collections
@@ -17,12 +17,12 @@
 from mimosastile_standins import target
 from mimosastile_standins import world
 
-_LEAVE_SECONDS = 3.0
+_DRAIN_SECONDS = 3.0
 _OK = 200
 
 
-class Promise(enum.Enum):
-    """What users are promised."""
+class Guarantee(enum.Enum):
+    """Guarantees to users."""
 
     SOLE_OWNER = "sole owner"
     ASSIGNMENT_KEPT = "assignment kept"
@@ -35,32 +35,32 @@
 
 
 class Violation(msgspec.Struct, frozen=True):
-    """A broken promise.
+    """A violated guarantee.
 
     Attributes:
-        promise: Which.
-        at: Seconds after the load began.
-        detail: What was seen.
+        guarantee: The guarantee.
+        at: Seconds since the start of the load.
+        detail: Description of the observation.
     """
 
-    promise: Promise
+    guarantee: Guarantee = msgspec.field(name="promise")
     at: float
     detail: str
 
 
 class CallRecord(msgspec.Struct, frozen=True):
-    """One request as its caller saw it.
+    """A request as observed by its caller.
 
     Attributes:
         request_id: Identifier, unique in the scenario.
         method: HTTP method.
         path: Path.
-        key: Key, empty for a service not divided by key.
+        key: Key, empty for a service that is not sharded.
         began: Loop time at which it was sent.
-        ended: Loop time at which its answer was whole.
+        ended: Loop time at which the response was complete.
         status: Status; `world.BROKEN` for a broken connection.
-        body: The answer.
-        entry: Entry VM that it was sent to.
+        body: Body of the response.
+        entry: Entry VM that received the request.
     """
 
     request_id: str
@@ -75,12 +75,12 @@
 
     @property
     def good(self) -> bool:
-        """Whether the request was answered as asked."""
+        """Whether the request succeeded."""
         return self.status == _OK
 
 
 class Oracle:
-    """Collects observations and judges them."""
+    """Records observations and reports violations of guarantees."""
 
     __slots__ = (
         "_calls",
@@ -89,7 +89,7 @@
         "_fences",
         "_leaving",
         "_now",
-        "_seen",
+        "_reported",
         "_stopped",
         "_table_versions",
         "_violations",
@@ -97,16 +97,16 @@
     )
 
     def __init__(self, observed: world.World, now: Callable[[], float]) -> None:
-        """Begins to observe.
+        """Starts to observe a world.
 
         Args:
             observed: The world.
-            now: Returns seconds since the load began.
+            now: Returns the seconds since the start of the load.
         """
         self._world = observed
         self._now = now
         self._violations: list[Violation] = []
-        self._seen: set[tuple[Promise, str]] = set()
+        self._reported: set[tuple[Guarantee, str]] = set()
         self._executions: dict[str, list[target.Execution]] = (
             collections.defaultdict(list)
         )
@@ -119,39 +119,39 @@
 
     @property
     def violations(self) -> list[Violation]:
-        """Every broken promise, each sort once per thing concerned."""
+        """Violations, one per guarantee and subject."""
         return self._violations
 
     @property
     def calls(self) -> list[CallRecord]:
-        """Every finished call."""
+        """Completed calls."""
         return self._calls
 
-    def watch(self, run: target.Target) -> None:
-        """Observes the runs on a target."""
-        run.observer = self._on_execution
+    def watch(self, observed: target.Target) -> None:
+        """Observes executions on a target."""
+        observed.observer = self._on_execution
 
-    def call_ended(self, record: CallRecord) -> None:
-        """Takes what a caller saw."""
+    def record_call(self, record: CallRecord) -> None:
+        """Records a completed call."""
         self._calls.append(record)
 
     def leaving(self, vm: str) -> None:
-        """Notes that a VM was marked as leaving.
+        """Records that a VM was marked as leaving.
 
-        Its time runs from when readers of the list can see that: a mark that
-        the list does not show yet is known to nobody.
+        The time limit starts when the list shows the mark to its readers, as
+        no daemon can observe it earlier.
         """
-        seen = self._now() + self._world.fleet.lag
-        self._leaving.setdefault(vm, seen)
+        visible_at = self._now() + self._world.fleet.lag
+        self._leaving.setdefault(vm, visible_at)
 
     def tick(self) -> None:
-        """Looks at what targets would serve and what daemons hold."""
-        self._check_holdings()
-        for made in self._world.daemons.values():
-            self._check_forward(made)
+        """Checks the slices of targets and the version numbers of daemons."""
+        self._check_owners()
+        for kernel in self._world.daemons.values():
+            self._check_forward(kernel)
 
     def finish(self) -> list[Violation]:
-        """Judges what can be judged at the end only.
+        """Runs the checks that need all calls to have ended.
 
         Returns:
             All violations.
@@ -161,125 +161,135 @@
         return self._violations
 
     def stopping(self, vm: str) -> None:
-        """Notes that a daemon is stopped gracefully from now on."""
+        """Records the start of a daemon's graceful stop."""
         self._stopped.add(vm)
 
     def killed(self, vm: str) -> None:
-        """Notes that a daemon is ended; what it cuts off is no stop's fault."""
+        """Records a daemon's kill, which excuses broken connections."""
         self._stopped.discard(vm)
 
-    def _broken(self, promise: Promise, subject: str, detail: str) -> None:
-        if (promise, subject) not in self._seen:
-            self._seen.add((promise, subject))
-            self._violations.append(Violation(promise, self._now(), detail))
-
-    def _on_execution(self, run: target.Execution) -> None:
-        self._executions[run.request_id].append(run)
-        self._check_leaving(run)
-        if run.position is None or not run.fence:
+    def _add_violation(
+        self, guarantee: Guarantee, subject: str, detail: str
+    ) -> None:
+        if (guarantee, subject) not in self._reported:
+            self._reported.add((guarantee, subject))
+            self._violations.append(Violation(guarantee, self._now(), detail))
+
+    def _on_execution(self, execution: target.Execution) -> None:
+        self._executions[execution.request_id].append(execution)
+        self._check_leaving(execution)
+        if execution.position is None or not execution.fence:
             return
-        self._check_holdings()
-        last = self._fences.get(run.position)
-        if last is not None and run.fence < last.fence:
-            self._broken(
-                Promise.SOLE_OWNER,
-                f"{run.position}",
-                f"{run.target} ran fence {run.fence} after {last.target} had"
-                f" run fence {last.fence} of the same key",
+        self._check_owners()
+        last = self._fences.get(execution.position)
+        if last is not None and execution.fence < last.fence:
+            self._add_violation(
+                Guarantee.SOLE_OWNER,
+                f"{execution.position}",
+                f"{execution.target} executed with fence {execution.fence}"
+                f" after {last.target} executed with fence {last.fence}"
+                " for the same key",
             )
-        if last is None or run.fence >= last.fence:
-            self._fences[run.position] = run
-
-    def _check_leaving(self, run: target.Execution) -> None:
-        since = self._leaving.get(run.target)
-        if since is not None and self._now() > since + _LEAVE_SECONDS:
-            self._broken(
-                Promise.LEAVING_GETS_NO_WORK,
-                run.target,
-                f"{run.target} got work {self._now() - since:.1f} s after it"
-                " was listed as leaving",
+        if last is None or execution.fence >= last.fence:
+            self._fences[execution.position] = execution
+
+    def _check_leaving(self, execution: target.Execution) -> None:
+        since = self._leaving.get(execution.target)
+        if since is not None and self._now() > since + _DRAIN_SECONDS:
+            self._add_violation(
+                Guarantee.LEAVING_GETS_NO_WORK,
+                execution.target,
+                f"{execution.target} received a request"
+                f" {self._now() - since:.1f} s after it was listed as leaving",
             )
 
-    def _check_holdings(self) -> None:
+    def _check_owners(self) -> None:
         by_service: dict[str, list[tuple[int, int, str]]] = {}
-        for vm, run in self._world.targets.items():
+        for vm, serving in self._world.targets.items():
             service = vm.rpartition("-")[0]
             by_service.setdefault(service, []).extend(
-                (s.first, s.last, vm) for s in run.served()
+                (s.first, s.last, vm) for s in serving.served()
             )
         for ranges in by_service.values():
             for low, high in _overlaps(ranges):
-                self._broken(
-                    Promise.SOLE_OWNER,
+                self._add_violation(
+                    Guarantee.SOLE_OWNER,
                     f"{low[2]}/{high[2]}",
-                    f"{low[2]} and {high[2]} both hold {high[0]:x}",
+                    f"{low[2]} and {high[2]} both own {high[0]:x}",
                 )
 
-    def _check_forward(self, made: object) -> None:
-        state = made.find("state")  # type: ignore[attr-defined]
+    def _check_forward(self, kernel: object) -> None:
+        state = kernel.find("state")  # type: ignore[attr-defined]
         number = state.replica.config.number
-        if number < self._config_numbers.get(id(made), 0):
-            self._broken(
-                Promise.CONFIG_FORWARD,
-                str(id(made)),
-                f"a daemon went back to configuration {number}",
+        if number < self._config_numbers.get(id(kernel), 0):
+            self._add_violation(
+                Guarantee.CONFIG_FORWARD,
+                str(id(kernel)),
+                f"a daemon reverted to configuration {number}",
             )
-        self._config_numbers[id(made)] = number
+        self._config_numbers[id(kernel)] = number
         for at, block in state.replica.blocks.items():
-            key = (id(made), at.service, at.index)
+            key = (id(kernel), at.service, at.index)
             if block.version < self._table_versions.get(key, 0):
-                self._broken(
-                    Promise.ASSIGNMENT_KEPT,
+                self._add_violation(
+                    Guarantee.ASSIGNMENT_KEPT,
                     f"{key}",
-                    f"a daemon went back to version {block.version} of {at}",
+                    f"a daemon reverted to version {block.version} of {at}",
                 )
             self._table_versions[key] = block.version
 
     def _check_call(self, record: CallRecord) -> None:
-        runs = self._executions.get(record.request_id, [])
-        if record.method != "GET" and len(runs) > 1:
-            self._broken(
-                Promise.AT_MOST_ONCE,
+        executions = self._executions.get(record.request_id, [])
+        if record.method != "GET" and len(executions) > 1:
+            self._add_violation(
+                Guarantee.AT_MOST_ONCE,
                 record.request_id,
-                f"{record.method} {record.path} ran {len(runs)} times",
+                f"{record.method} {record.path} executed"
+                f" {len(executions)} times",
             )
         if record.status == world.BROKEN and record.entry in self._stopped:
-            self._broken(
-                Promise.GRACEFUL_STOP,
+            self._add_violation(
+                Guarantee.GRACEFUL_STOP,
                 record.request_id,
                 f"{record.path} was cut off by the stop of {record.entry}",
             )
         if record.good:
-            self._check_answer(record, runs)
-        elif record.status != world.BROKEN and runs and _says_not_run(record):
-            self._broken(
-                Promise.NOT_RUN_IS_TRUE,
+            self._check_response(record, executions)
+        elif (
+            record.status != world.BROKEN
+            and executions
+            and _guarantees_not_executed(record)
+        ):
+            self._add_violation(
+                Guarantee.NOT_RUN_IS_TRUE,
                 record.request_id,
-                f"{record.path} was refused as not run and ran on"
-                f" {runs[0].target}",
+                f"{record.path} was refused as not executed but executed on"
+                f" {executions[0].target}",
             )
 
-    def _check_answer(
-        self, record: CallRecord, runs: list[target.Execution]
+    def _check_response(
+        self, record: CallRecord, executions: list[target.Execution]
     ) -> None:
-        answer = json.loads(record.body)
-        ran_there = any(run.target == answer["target"] for run in runs)
-        if answer["request_id"] != record.request_id or not ran_there:
-            self._broken(
-                Promise.OWN_WHOLE_ANSWER,
+        response = json.loads(record.body)
+        executed_there = any(
+            execution.target == response["target"] for execution in executions
+        )
+        if response["request_id"] != record.request_id or not executed_there:
+            self._add_violation(
+                Guarantee.OWN_WHOLE_ANSWER,
                 record.request_id,
-                f"{record.path} got the answer of {answer['request_id']}",
+                f"{record.path} got the response to {response['request_id']}",
             )
 
 
-def _says_not_run(record: CallRecord) -> bool:
+def _guarantees_not_executed(record: CallRecord) -> bool:
     return bool(json.loads(record.body)["ran"] == "no")
 
 
 def _overlaps(
     ranges: Iterable[tuple[int, int, str]],
 ) -> Iterable[tuple[tuple[int, int, str], tuple[int, int, str]]]:
-    """Yields neighbours, by first hash, of which one reaches into the next."""
+    """Returns pairs of ranges, adjacent by first hash, that overlap."""
     ordered = sorted(ranges)
     return (
         (low, high)
--- a/packages/mimosastile-standins/src/mimosastile_standins/scenario.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/scenario.py
@@ -1,7 +1,7 @@
-"""The scenario language: a deployment, a load and steps, written in TOML.
+"""Scenario language: a deployment, a load and steps, written in TOML.
 
-The verbs are a closed list; each is one structure here, with its fields as
-the keys of a `[[step]]` table and its name as the value of `do`.
+The set of verbs is closed. Each verb is a structure whose fields are the keys
+of a `[[step]]` table and whose tag is the value of `do`.
 """
 
 import json
@@ -25,14 +25,14 @@
     """Base of all verbs.
 
     Attributes:
-        at: Seconds after the load began.
+        at: Seconds since the start of the load.
     """
 
     at: Seconds
 
 
 class Start(Step, frozen=True, tag_field="do", tag="start"):
-    """Starts a daemon on an entry VM whose former one is dead, or a target.
+    """Starts a target, or a daemon on an entry VM without a running one.
 
     Attributes:
         vm: The VM.
@@ -52,7 +52,7 @@
 
 
 class Crash(Step, frozen=True, tag_field="do", tag="crash"):
-    """Ends a daemon or a target without a word.
+    """Crashes a daemon or a target.
 
     Attributes:
         vm: The VM, or `owner:KEY` for the target that owns a key.
@@ -62,21 +62,21 @@
 
 
 class Freeze(Step, frozen=True, tag_field="do", tag="freeze"):
-    """Stops a daemon or a target from doing anything, until `thaw`.
+    """Pauses a daemon or a target until `thaw`.
 
     Attributes:
         vm: The VM, or `owner:KEY` for the target that owns a key, or
-            `keeper:KEY` for the daemon that keeps it.
+            `keeper:KEY` for the daemon on that target's keeper.
     """
 
     vm: str
 
 
 class Thaw(Step, frozen=True, tag_field="do", tag="thaw"):
-    """Lets a frozen daemon or target go on as if nothing had happened.
+    """Resumes a frozen daemon or target.
 
     Attributes:
-        vm: The VM; empty for all that are frozen.
+        vm: The VM; empty for all frozen ones.
     """
 
     vm: str = ""
@@ -93,11 +93,11 @@
 
 
 class Remove(Step, frozen=True, tag_field="do", tag="remove"):
-    """Ends a VM for good and takes it off the platform's list.
+    """Ends a VM permanently and removes it from the platform's list.
 
     Attributes:
         vm: The VM.
-        lingers: Seconds for which it runs on after the list has lost it.
+        lingers: Seconds between its removal from the list and its end.
     """
 
     vm: str
@@ -105,12 +105,12 @@
 
 
 class Cut(Step, frozen=True, tag_field="do", tag="cut"):
-    """Loses every message between two groups, until `heal`.
+    """Drops all messages between two groups until `heal`.
 
     Attributes:
         group: VMs, zones, regions, "store" or "fleet".
-        others: The other side; empty for everything else.
-        one_way: Loses only what the first group sends.
+        others: The other group; empty for all the rest.
+        one_way: Whether to drop only messages from the first group.
     """
 
     group: tuple[str, ...]
@@ -119,32 +119,32 @@
 
 
 class Heal(Step, frozen=True, tag_field="do", tag="heal"):
-    """Joins everything again."""
+    """Removes all cuts."""
 
 
 class StoreDown(Step, frozen=True, tag_field="do", tag="store_down"):
-    """Fails every call to the store, until `store_up`."""
+    """Makes all calls to the store fail until `store_up`."""
 
 
 class StoreUp(Step, frozen=True, tag_field="do", tag="store_up"):
-    """Lets the store answer again."""
+    """Makes the store available again."""
 
 
 class Slow(Step, frozen=True, tag_field="do", tag="slow"):
-    """Changes how long a store call takes.
+    """Sets the latency of store calls.
 
     Attributes:
-        seconds: The new time.
+        seconds: Latency in seconds.
     """
 
     seconds: Seconds
 
 
 class LoseAnswer(Step, frozen=True, tag_field="do", tag="lose_answer"):
-    """Lets writes to the store take effect without an answer.
+    """Makes writes to the store take effect without a response.
 
     Attributes:
-        writes: How many.
+        writes: Number of writes.
         late: Seconds after which they take effect.
     """
 
@@ -153,11 +153,11 @@
 
 
 class Lie(Step, frozen=True, tag_field="do", tag="lie"):
-    """Changes how the platform's list of VMs misleads.
+    """Makes the platform's list of VMs stale or unavailable.
 
     Attributes:
-        lag: Seconds by which it is behind.
-        down: Whether it does not answer.
+        lag: Staleness of the list in seconds.
+        down: Whether the list is unavailable.
     """
 
     lag: Seconds = 0.0
@@ -165,35 +165,35 @@
 
 
 class Patch(Step, frozen=True, tag_field="do", tag="patch"):
-    """Stores the next number of the configuration.
+    """Stores the next configuration.
 
     Attributes:
-        member: A member that it adds.
+        member: Member to add.
     """
 
     member: str
 
 
 class Race(Step, frozen=True, tag_field="do", tag="race"):
-    """Operators submit patches against the same number, all at once.
+    """Submits concurrent patches against the same configuration number.
 
     At most one of them may be accepted.
 
     Attributes:
-        members: Members that they add, one each, each through another daemon.
+        members: Members to add, one per patch, each through another daemon.
     """
 
     members: Annotated[tuple[str, ...], msgspec.Meta(min_length=2)]
 
 
 class Load(Step, frozen=True, tag_field="do", tag="load"):
-    """Changes what callers send.
+    """Sets the callers' load.
 
     Attributes:
-        rate: Requests a second.
+        rate: Requests per second.
         writes: Share of requests that are not idempotent.
-        keys: How many keys are asked for, each as likely as any other.
-        busy: Seconds that a target works on each.
+        keys: Number of requested keys, uniformly distributed.
+        busy: Service time of a request in seconds.
     """
 
     rate: Annotated[float, msgspec.Meta(ge=0, le=2000)] = 40.0
@@ -203,12 +203,12 @@
 
 
 class Deadly(Step, frozen=True, tag_field="do", tag="deadly"):
-    """Sends a request that crashes each target that runs it, again and again.
+    """Repeatedly sends a request that crashes each target that executes it.
 
     Attributes:
-        key: Its key.
-        times: How often its caller sends it, half a second apart.
-        restart: Whether a crashed target starts again at once.
+        key: Key of the request.
+        times: Number of times that it is sent, half a second apart.
+        restart: Whether a crashed target restarts immediately.
     """
 
     key: str = "deadly"
@@ -217,18 +217,19 @@
 
 
 class Expect(Step, frozen=True, tag_field="do", tag="expect"):
-    """Checks what has happened so far.
+    """Checks expectations on the scenario so far.
 
     Attributes:
-        failed: Most requests that may have failed since the last check.
+        failed: Maximum number of failed requests since the last check.
         owner_changed: Key whose owner must differ from that at the start.
         owner_kept: Key whose owner must be that at the start.
         in_force: Whether all daemons must have the newest configuration.
-        settled: Whether each owner must hold its slices.
-        unavailable: Longest time in seconds that a key may have been without
-            a good answer although it was asked for.
-        store_calls: Most store calls a second since the load began.
-        deaths: Most crashes that deadly requests may have caused.
+        settled: Whether each owner must hold grants for its slices.
+        unavailable: Maximum time in seconds without a successful response for
+            a requested key.
+        store_calls: Maximum store calls per second since the start of the
+            load.
+        deaths: Maximum number of target crashes by `deadly` requests.
     """
 
     failed: int | None = None
@@ -265,14 +266,14 @@
 
 
 class Scenario(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One story.
+    """A scenario.
 
     Attributes:
-        title: What happens, in one line.
+        title: Summary in one line.
         steps: The steps, in order of their times.
-        proves: Promises and faults that it is about.
+        proves: Guarantees and faults that the scenario covers.
         deployment: Name of a deployment.
-        seconds: How long the load lasts.
+        seconds: Duration of the load.
         seed: Seed of callers and daemons.
     """
 
@@ -291,22 +292,23 @@
         path: The TOML file.
 
     Returns:
-        The scenario, or one line that says where the mistake is.
+        The scenario, or a one-line message that locates the error.
     """
     try:
         raw = tomllib.loads(path.read_text(encoding="utf-8"))
-        made = msgspec.convert(raw, Scenario)
+        loaded = msgspec.convert(raw, Scenario)
     except (OSError, tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
         return result.Err(f"{path}: {error}")
-    if made.deployment not in deployments.DEPLOYMENTS:
-        known = ", ".join(deployments.DEPLOYMENTS)
+    if loaded.deployment not in deployments.DEPLOYMENTS:
+        choices = ", ".join(deployments.DEPLOYMENTS)
         return result.Err(
-            f"{path}: deployment = {made.deployment!r}: expected one of {known}"
+            f"{path}: deployment = {loaded.deployment!r}: expected one"
+            f" of {choices}"
         )
-    times = [step.at for step in made.steps]
+    times = [step.at for step in loaded.steps]
     if times != sorted(times):
-        return result.Err(f"{path}: steps are not in the order of their times")
-    return result.Ok(made)
+        return result.Err(f"{path}: steps are not in order of time")
+    return result.Ok(loaded)
 
 
 def to_toml(scenario: Scenario) -> str:
@@ -318,7 +320,7 @@
 
 
 def _table(raw: dict[str, Any]) -> str:
-    # Strings, numbers, booleans and lists of them look alike in JSON and TOML.
+    # JSON and TOML share the syntax of strings, numbers, booleans and lists.
     lines = (
         f"{key} = {json.dumps(value, ensure_ascii=False)}\n"
         for key, value in raw.items()
--- a/packages/mimosastile-standins/src/mimosastile_standins/verbs.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/verbs.py
@@ -1,4 +1,4 @@
-"""What the verbs of the scenario language do to a running world."""
+"""Implements the verbs of the scenario language on a running scenario."""
 
 from collections.abc import Coroutine
 import functools
@@ -10,77 +10,85 @@
 from mimosastile_standins import world
 
 
-class Stage(Protocol):
-    """The run of a scenario, as its verbs see it."""
+class ScenarioRun(Protocol):
+    """Interface of a running scenario to its verbs."""
 
     @property
     def world(self) -> world.World:
-        """The world of this run."""
+        """The deployment."""
 
     @property
     def oracle(self) -> oracle.Oracle:
-        """The oracle of this run."""
+        """The oracle."""
 
     @property
     def frozen(self) -> set[str]:
-        """VMs that are frozen now."""
+        """The currently frozen VMs."""
 
     def resolve(self, name: str) -> str:
-        """Returns the VM that `owner:KEY` or `keeper:KEY` names now."""
+        """Returns the VM to which `owner:KEY` or `keeper:KEY` refers now.
 
-    def end(self, vm: str) -> None:
-        """Ends a target or a daemon without a word."""
+        The keeper of a target is the entry VM through which alone it gets
+        requests and grants.
+        """
 
-    async def end_later(self, vm: str, seconds: float) -> None:
-        """Ends a target or a daemon after some time."""
+    def crash(self, vm: str) -> None:
+        """Crashes a target or a daemon."""
+
+    async def crash_later(self, vm: str, seconds: float) -> None:
+        """Crashes a target or a daemon after a delay in seconds."""
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Runs something beside the story."""
+        """Starts a background task."""
 
     def set_load(self, load: scenario.Load) -> None:
-        """Changes what callers send and how long targets work on it."""
+        """Sets the callers' load and the targets' service time."""
 
     async def send_deadly(self, step: scenario.Deadly) -> None:
-        """Sends a deadly request again and again, as its caller would."""
+        """Sends a request repeatedly that crashes each target."""
 
     async def configure(self, member: str) -> None:
-        """Stores the next configuration, with one more member."""
+        """Stores the next configuration with an additional member."""
 
     async def race(self, members: tuple[str, ...]) -> None:
-        """Submits patches against the same number, all at once."""
+        """Submits concurrent patches against the same number."""
 
     def check(self, expected: scenario.Expect) -> None:
-        """Notes every expectation that does not hold."""
+        """Records the expectations that do not hold."""
 
 
 @functools.singledispatch
-async def do(step: scenario.Step, run: Stage) -> None:
-    """Carries out one verb."""
-    raise TypeError(f"no such verb: {step!r}")
+async def execute(step: scenario.Step, run: ScenarioRun) -> None:
+    """Executes a step.
+
+    Raises:
+        TypeError: The verb is unknown.
+    """
+    raise TypeError(f"unknown verb: {step!r}")
 
 
-@do.register
-async def _(step: scenario.Start, run: Stage) -> None:
+@execute.register
+async def _(step: scenario.Start, run: ScenarioRun) -> None:
     if step.vm in run.world.targets:
         run.world.targets[step.vm].restart()
     elif step.vm not in run.world.daemons:
         await run.world.start_daemon(step.vm)
 
 
-@do.register
-async def _(step: scenario.Stop, run: Stage) -> None:
+@execute.register
+async def _(step: scenario.Stop, run: ScenarioRun) -> None:
     if step.vm in run.world.daemons:
         run.oracle.stopping(step.vm)
         run.spawn(run.world.stop_daemon(step.vm))
 
 
-@do.register
-async def _(step: scenario.Crash, run: Stage) -> None:
-    run.end(run.resolve(step.vm))
+@execute.register
+async def _(step: scenario.Crash, run: ScenarioRun) -> None:
+    run.crash(run.resolve(step.vm))
 
 
-@do.register
-async def _(step: scenario.Freeze, run: Stage) -> None:
+@execute.register
+async def _(step: scenario.Freeze, run: ScenarioRun) -> None:
     vm = run.resolve(step.vm)
     run.frozen.add(vm)
     if vm in run.world.targets:
@@ -89,8 +97,8 @@
         run.world.process(vm).pause()
 
 
-@do.register
-async def _(step: scenario.Thaw, run: Stage) -> None:
+@execute.register
+async def _(step: scenario.Thaw, run: ScenarioRun) -> None:
     for vm in [step.vm] if step.vm else sorted(run.frozen):
         run.frozen.discard(vm)
         if vm in run.world.targets:
@@ -99,59 +107,59 @@
             run.world.process(vm).resume()
 
 
-@do.register
-async def _(step: scenario.Drain, run: Stage) -> None:
+@execute.register
+async def _(step: scenario.Drain, run: ScenarioRun) -> None:
     vm = run.resolve(step.vm)
     run.world.fleet.leave(vm)
     run.oracle.leaving(vm)
 
 
-@do.register
-async def _(step: scenario.Remove, run: Stage) -> None:
+@execute.register
+async def _(step: scenario.Remove, run: ScenarioRun) -> None:
     vm = run.resolve(step.vm)
     run.world.fleet.remove(vm)
     if step.lingers:
-        run.spawn(run.end_later(vm, step.lingers))
+        run.spawn(run.crash_later(vm, step.lingers))
     else:
-        run.end(vm)
+        run.crash(vm)
 
 
-@do.register
-async def _(step: scenario.Cut, run: Stage) -> None:
-    between = run.world.network
-    group = set().union(*(between.named(n) for n in step.group))
+@execute.register
+async def _(step: scenario.Cut, run: ScenarioRun) -> None:
+    links = run.world.network
+    group = set().union(*(links.named(n) for n in step.group))
     if not step.others:
-        between.isolate(group)
+        links.isolate(group)
         return
-    others = set().union(*(between.named(n) for n in step.others))
+    others = set().union(*(links.named(n) for n in step.others))
     if step.one_way:
-        between.cut_one_way(group, others)
+        links.cut_one_way(group, others)
     else:
-        between.cut(group, others)
+        links.cut(group, others)
 
 
-@do.register
-async def _(step: scenario.Heal, run: Stage) -> None:
+@execute.register
+async def _(step: scenario.Heal, run: ScenarioRun) -> None:
     run.world.network.heal()
 
 
-@do.register
-async def _(step: scenario.StoreDown, run: Stage) -> None:
+@execute.register
+async def _(step: scenario.StoreDown, run: ScenarioRun) -> None:
     run.world.store.go_down()
 
 
-@do.register
-async def _(step: scenario.StoreUp, run: Stage) -> None:
+@execute.register
+async def _(step: scenario.StoreUp, run: ScenarioRun) -> None:
     run.world.store.come_back()
 
 
-@do.register
-async def _(step: scenario.Slow, run: Stage) -> None:
+@execute.register
+async def _(step: scenario.Slow, run: ScenarioRun) -> None:
     run.world.store.latency = step.seconds
 
 
-@do.register
-async def _(step: scenario.LoseAnswer, run: Stage) -> None:
+@execute.register
+async def _(step: scenario.LoseAnswer, run: ScenarioRun) -> None:
     if step.late:
         run.world.store.late_seconds = step.late
         run.world.store.late_writes += step.writes
@@ -159,32 +167,32 @@
         run.world.store.lost_answers += step.writes
 
 
-@do.register
-async def _(step: scenario.Lie, run: Stage) -> None:
+@execute.register
+async def _(step: scenario.Lie, run: ScenarioRun) -> None:
     run.world.fleet.lag = step.lag
     run.world.fleet.down = step.down
 
 
-@do.register
-async def _(step: scenario.Patch, run: Stage) -> None:
+@execute.register
+async def _(step: scenario.Patch, run: ScenarioRun) -> None:
     await run.configure(step.member)
 
 
-@do.register
-async def _(step: scenario.Load, run: Stage) -> None:
+@execute.register
+async def _(step: scenario.Load, run: ScenarioRun) -> None:
     run.set_load(step)
 
 
-@do.register
-async def _(step: scenario.Deadly, run: Stage) -> None:
+@execute.register
+async def _(step: scenario.Deadly, run: ScenarioRun) -> None:
     run.spawn(run.send_deadly(step))
 
 
-@do.register
-async def _(step: scenario.Race, run: Stage) -> None:
+@execute.register
+async def _(step: scenario.Race, run: ScenarioRun) -> None:
     await run.race(step.members)
 
 
-@do.register
-async def _(step: scenario.Expect, run: Stage) -> None:
+@execute.register
+async def _(step: scenario.Expect, run: ScenarioRun) -> None:
     run.check(step)
--- a/packages/mimosastile-standins/src/mimosastile_standins/virtual.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/virtual.py
@@ -1,4 +1,4 @@
-"""Virtual time: a loop whose clock jumps to the next thing to do."""
+"""Event loop with virtual time, whose clock jumps to the next timer."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -8,40 +8,42 @@
 import looptime
 
 _T = TypeVar("_T")
-# There is no input from outside, so one empty round before a jump is enough.
-_IDLE_ROUNDS = 1
-# A program that waits for nothing at all fails instead of hanging.
-_DEADLOCK_SECONDS = 1.0
-_ENDING_ROUNDS = 5
+# Without external input, one idle iteration before a jump suffices.
+_IDLE_ITERATIONS = 1
+# A program that waits without any timer fails instead of hanging.
+_DEADLOCK_TIMEOUT_SECONDS = 1.0
+_CANCEL_ROUNDS = 5
 
 
 def run(main: Coroutine[Any, Any, _T]) -> _T:
-    """Runs a coroutine to its end without waiting for real.
+    """Runs a coroutine to completion without waiting in real time.
 
     Args:
         main: The coroutine; it must use no sockets.
 
     Returns:
-        What the coroutine returns.
+        The result of the coroutine.
     """
     loop = looptime.new_event_loop(
-        start=0, noop_cycles=_IDLE_ROUNDS, idle_timeout=_DEADLOCK_SECONDS
+        start=0,
+        noop_cycles=_IDLE_ITERATIONS,
+        idle_timeout=_DEADLOCK_TIMEOUT_SECONDS,
     )
     try:
         outcome: _T = loop.run_until_complete(main)
         return outcome
     finally:
-        # After a failure too: what is left would otherwise be destroyed later,
-        # in the middle of another test.
-        # What ends may begin something else, so once is not enough.
-        for _ in range(_ENDING_ROUNDS):
-            leftover = asyncio.all_tasks(loop)
-            if not leftover:
+        # Also after a failure, as remaining tasks would otherwise be destroyed
+        # later, during another test.
+        # Several rounds, as a task that ends may start another one.
+        for _ in range(_CANCEL_ROUNDS):
+            remaining = asyncio.all_tasks(loop)
+            if not remaining:
                 break
-            for task in leftover:
+            for task in remaining:
                 task.cancel()
             loop.run_until_complete(
-                asyncio.gather(*leftover, return_exceptions=True)
+                asyncio.gather(*remaining, return_exceptions=True)
             )
         loop.close()
 
@@ -52,10 +54,10 @@
 
 
 async def pause(seconds: float) -> None:
-    """Lets time pass."""
+    """Waits for a number of virtual seconds."""
     await asyncio.sleep(seconds)
 
 
 def limit(seconds: float) -> asyncio.Timeout:
-    """Returns a context that fails after some time."""
+    """Returns a context manager with a time-out in virtual seconds."""
     return asyncio.timeout(seconds)
--- a/packages/mimosastile-standins/src/mimosastile_standins/world.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/world.py
@@ -1,7 +1,7 @@
-"""A deployment in memory: daemons, targets, store and list of VMs.
+"""In-memory deployment of daemons, targets, a store and a list of VMs.
 
-Everything runs on one loop, best under `virtual.run`. The daemons' services
-are the product's own; only the adapters are replaced.
+All parts run on one event loop, preferably under `virtual.run`. The daemons run
+their production services; only the adapters are replaced.
 """
 
 import asyncio
@@ -25,22 +25,22 @@
 
 _HOST = "127.0.0.1"
 _CONFIG_KEY = "config/current"
-_TICK_SECONDS = 0.05
-_STORE_SECONDS = 0.002
-_STOP_SECONDS = 30.0
-_QUIET_SECONDS = 1.5
+_POLL_SECONDS = 0.05
+_STORE_LATENCY_SECONDS = 0.002
+_STOP_TIMEOUT_SECONDS = 30.0
+_STABLE_SECONDS = 1.5
 BROKEN = 0
-"""Status of a call whose connection broke."""
+"""Status of a call whose connection was broken."""
 
 
 class World:
-    """The running parts.
+    """A running deployment.
 
     Attributes:
         store: The key-value service.
         fleet: The list of VMs.
-        network: Who can reach whom.
-        sites: Everything that daemons can reach.
+        network: Network between all parts.
+        sites: All parts that daemons can call.
     """
 
     __slots__ = (
@@ -57,13 +57,13 @@
     def __init__(
         self, seed: int = 0, between: network.Network | None = None
     ) -> None:
-        """Makes an empty world.
+        """Initializes an empty deployment.
 
         Args:
             seed: Seed of identifiers and jitter.
             between: The network, None for one with default delays.
         """
-        self.store = store.MemoryStore(latency=_STORE_SECONDS)
+        self.store = store.MemoryStore(latency=_STORE_LATENCY_SECONDS)
         self.fleet = vms.MemoryFleet()
         self.network = between or network.Network()
         self.sites = memory.Sites(self.network, self.store, self.fleet)
@@ -83,7 +83,7 @@
         return {
             vm: process.kernel
             for vm, process in self.sites.processes.items()
-            if process.kernel is not None and not process.noticed
+            if process.kernel is not None and not process.unhealthy
         }
 
     def process(self, vm: str) -> network.Process:
@@ -94,18 +94,18 @@
         self, document: config.Document, number: int = 1
     ) -> None:
         """Stores a numbered configuration."""
-        held = self.store.entries.get(_CONFIG_KEY)
+        current = self.store.entries.get(_CONFIG_KEY)
         value = msgspec.json.encode(config.Version(number, document))
         await self.store.compare_and_swap(
-            _CONFIG_KEY, value, held.revision if held else 0
+            _CONFIG_KEY, value, current.revision if current else 0
         )
 
     async def deploy(self, deployment: deployments.Deployment) -> None:
-        """Starts a whole deployment and waits until it has settled."""
+        """Starts a deployment and waits until all slices have owners."""
         await self.configure(deployment.document())
         home = deployment.zones[0]
         for part in (network.STORE, network.FLEET):
-            self.network.place(part, home.region, "platform")
+            self.network.set_location(part, home.region, "platform")
         for vm in deployment.vms():
             if vm.role is fleet.Role.TARGET:
                 self.add_target(vm.id, vm.service, vm.region, vm.zone)
@@ -118,27 +118,27 @@
     def add_target(
         self, vm: str, service: str, region: str, zone: str
     ) -> target.Target:
-        """Starts a target and lists it."""
-        run = target.Target(vm)
-        self.sites.targets[vm] = run
+        """Starts a target and adds it to the list of VMs."""
+        added = target.Target(vm)
+        self.sites.targets[vm] = added
         self._list(
             fleet.Vm(vm, fleet.Role.TARGET, region, zone, _HOST, 0, service)
         )
-        return run
+        return added
 
     async def add_daemon(
         self, vm: str, region: str, zone: str
     ) -> kernel.Kernel:
-        """Starts a daemon and lists its VM."""
+        """Adds a VM to the list of VMs and starts its daemon."""
         self._list(fleet.Vm(vm, fleet.Role.ENTRY, region, zone, _HOST, 0))
         return await self.start_daemon(vm)
 
     async def start_daemon(self, vm: str) -> kernel.Kernel:
-        """Starts a daemon on a listed VM, with nothing remembered."""
+        """Starts a daemon without state on a listed VM."""
         self._boots += 1
         listed = self._listed[vm]
         process = network.Process(vm)
-        made = kernel.Kernel()
+        started = kernel.Kernel()
         inner = daemon.clock(self._seed * 1000 + self._boots)
         services: list[kernel.Service] = [
             network.PausedClock(inner, process),
@@ -152,18 +152,18 @@
             ),
         ]
         for service in services:
-            made.register(service)
-        process.kernel = made
-        await made.start()
+            started.register(service)
+        process.kernel = started
+        await started.start()
         self.sites.processes[vm] = process
-        return made
+        return started
 
     async def stop_daemon(self, vm: str) -> None:
-        """Stops a daemon gracefully; the platform ends one that hangs."""
+        """Stops a daemon gracefully and kills it after a time-out."""
         process = self.sites.processes[vm]
         assert process.kernel is not None
         try:
-            async with asyncio.timeout(_STOP_SECONDS):
+            async with asyncio.timeout(_STOP_TIMEOUT_SECONDS):
                 await daemon.stop_gracefully(process.kernel)
         except TimeoutError:
             process.kill()
@@ -171,11 +171,11 @@
             del self.sites.processes[vm]
 
     def kill_daemon(self, vm: str) -> None:
-        """Ends a daemon without a word; nothing of it leaves its VM."""
+        """Kills a daemon; it sends nothing more."""
         process = self.sites.processes.pop(vm)
         process.kill()
         if process.kernel is not None:
-            # Frees the loop of its tasks; its adapters are shut already.
+            # Ends its tasks on the loop; its adapters are closed already.
             stop = asyncio.create_task(process.kernel.stop())
             self._stops.add(stop)
             stop.add_done_callback(self._stops.discard)
@@ -188,9 +188,9 @@
         request_id: str = "",
         seconds: float = 5.0,
     ) -> tuple[int, bytes]:
-        """Sends a request through an entry VM; returns status and body.
+        """Sends a request to an entry VM and returns the status and body.
 
-        The status is `BROKEN` if the daemon dies before it has answered.
+        The status is `BROKEN` if the daemon is killed before it responds.
         """
         process = self.sites.processes.get(vm)
         if process is None or process.kernel is None or process.closed:
@@ -201,7 +201,7 @@
         )
         work = asyncio.ensure_future(self._serve(process, request))
         while not work.done():
-            await asyncio.wait({work}, timeout=_TICK_SECONDS)
+            await asyncio.wait({work}, timeout=_POLL_SECONDS)
             if process.dead and not work.done():
                 work.cancel()
                 return BROKEN, b""
@@ -223,7 +223,7 @@
         return response.status, body
 
     def blocks(self, service: str) -> list[tables.Block]:
-        """Returns a service's blocks as the store holds them."""
+        """Returns a service's blocks from the store."""
         prefix = f"table/{service}/"
         return [
             msgspec.json.decode(entry.value, type=tables.Block)
@@ -232,35 +232,35 @@
         ]
 
     def owners(self, service: str) -> collections.Counter[str]:
-        """Returns how many slices each target owns, as the store says."""
+        """Returns the number of slices per owner according to the store."""
         return collections.Counter(
             s.owner for b in self.blocks(service) for s in b.slices
         )
 
     async def settle(self, service: str, seconds: float = 60.0) -> None:
-        """Waits until each slice's owner has held it for a while.
+        """Waits until ownership of all slices is stable.
 
         Raises:
-            TimeoutError: That did not happen in time.
+            TimeoutError: Ownership did not become stable in time.
         """
         owners: collections.Counter[str] = collections.Counter()
-        quiet = 0.0
+        stable = 0.0
         async with asyncio.timeout(seconds):
-            while quiet < _QUIET_SECONDS:
-                await asyncio.sleep(_TICK_SECONDS)
+            while stable < _STABLE_SECONDS:
+                await asyncio.sleep(_POLL_SECONDS)
                 before, owners = owners, self.owners(service)
-                same = owners == before and self.is_settled(service)
-                quiet = quiet + _TICK_SECONDS if same else 0.0
+                unchanged = owners == before and self.is_settled(service)
+                stable = stable + _POLL_SECONDS if unchanged else 0.0
 
     def is_settled(self, service: str) -> bool:
-        """Whether each slice's owner holds a grant for it."""
+        """Whether the owner of each slice holds a grant for it."""
         owners = self.owners(service)
-        held = {vm: len(run.served()) for vm, run in self.targets.items()}
+        held = {vm: len(each.served()) for vm, each in self.targets.items()}
         return bool(owners) and all(
             held.get(owner, -1) == count for owner, count in owners.items()
         )
 
     def _list(self, vm: fleet.Vm) -> None:
         self._listed[vm.id] = vm
-        self.network.place(vm.id, vm.region, vm.zone)
+        self.network.set_location(vm.id, vm.region, vm.zone)
         self.fleet.put(vm)
--- a/tests/standins/test_scenarios.py
+++ b/tests/standins/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Every scenario in `scenarios/` holds, and the language refuses mistakes."""
+"""Tests of the files in `scenarios/` and of the scenario language."""
 
 import pathlib
 import typing
@@ -15,24 +15,24 @@
 
 
 class TestScenarios:
-    """Stories of failures, in virtual time, judged by the oracle."""
+    """Scenarios in virtual time, checked by the oracle."""
 
     @pytest.mark.parametrize("path", FILES, ids=lambda p: p.stem)
     def test_holds(self, path):
-        """No promise is broken and every expectation holds."""
+        """All guarantees and expectations hold."""
         verdict = runner.run(scenario.load(path).unwrap())
         assert verdict.violations == ()
         assert verdict.missed == ()
 
-    def test_every_promise_has_a_scenario(self):
-        """A promise nobody tries is not proved."""
+    def test_every_guarantee_has_a_scenario(self):
+        """Guards against guarantees that no scenario covers."""
         proved = {p for f in FILES for p in scenario.load(f).unwrap().proves}
-        assert {p.value for p in oracle.Promise} <= proved
+        assert {p.value for p in oracle.Guarantee} <= proved
 
-    def test_same_seed_same_story(self):
-        """A found fault can be run again."""
-        story = scenario.load(FOLDER / "lost-target.toml").unwrap()
-        assert runner.run(story) == runner.run(story)
+    def test_same_seed_gives_same_verdict(self):
+        """Guards against failures that a seed does not reproduce."""
+        spec = scenario.load(FOLDER / "lost-target.toml").unwrap()
+        assert runner.run(spec) == runner.run(spec)
 
 
 class TestLanguage:
@@ -54,35 +54,35 @@
             ("title", "story.toml"),
         ],
     )
-    def test_mistake_is_named(self, tmp_path, text, named):
-        """One line says what is wrong in which file."""
+    def test_error_is_named(self, tmp_path, text, named):
+        """The one-line message names the file or the faulty key."""
         path = tmp_path / "story.toml"
         path.write_text(text)
         assert named in scenario.load(path).unwrap_err()
 
     @pytest.mark.parametrize("path", FILES, ids=lambda p: p.stem)
     def test_written_scenario_reads_back(self, tmp_path, path):
-        """What the fuzz finds is a file like any other."""
-        story = scenario.load(path).unwrap()
+        """Guards against files by the fuzzer that do not load."""
+        spec = scenario.load(path).unwrap()
         copy = tmp_path / "copy.toml"
-        copy.write_text(scenario.to_toml(story))
-        assert scenario.load(copy).unwrap() == story
+        copy.write_text(scenario.to_toml(spec))
+        assert scenario.load(copy).unwrap() == spec
 
 
 class TestFuzz:
-    """Faults of any sort, together or one after another."""
+    """Random sequences of faults."""
 
     def test_finds_nothing(self):
-        """A few scenarios of one seed; `make fuzz` tries more."""
+        """Tries a few scenarios of one seed; `make fuzz` tries more."""
         assert fuzzing.find(seed=1, examples=8) is None
 
 
 class TestPage:
-    """The page that documents the language."""
+    """Documentation of the language."""
 
     @pytest.mark.parametrize("verb", typing.get_args(scenario.Verb))
     def test_names_every_verb_and_key(self, verb):
-        """A verb nobody can find is of no use."""
+        """Guards against undocumented verbs and keys."""
         page = (FOLDER.parent / "docs" / "SCENARIOS.md").read_text()
         config = verb.__struct_config__
         assert f"`{config.tag}`" in page
