--- a/packages/mimosastile-entry/src/mimosastile_entry/_admission.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_admission.py
@@ -109,7 +109,7 @@
 
     def leave_callback(
         self, target: str, ticket: queueing.Ticket
-    ) -> ports.Closer:
+    ) -> ports.CloseCallback:
         """Returns a callback that calls `leave` when a response is closed."""
 
         async def close() -> None:
--- a/packages/mimosastile-entry/src/mimosastile_entry/_exchange.py
+++ b/packages/mimosastile-entry/src/mimosastile_entry/_exchange.py
@@ -99,7 +99,7 @@
             allow_redirects=False,
         )
     except asyncio.CancelledError:
-        alarm.settle()
+        alarm.raise_if_timed_out()
         raise
     finally:
         alarm.stop()
@@ -210,4 +210,4 @@
     except (aiohttp.ClientError, TimeoutError, OSError) as error:
         if isinstance(error, TimeoutError):
             pool.connector.invalidate_connections()
-        raise ports.BrokenAnswerError(str(error)) from error
+        raise ports.BrokenResponseError(str(error)) from error
