--- a/packages/mimosastile-standins/src/mimosastile_standins/fuzzing.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/fuzzing.py
@@ -157,7 +157,7 @@
         path.write_text(scenario.to_toml(candidate), encoding="utf-8")
         violation = runner.run(candidate).violations[0]
         _printing.say(
-            f"seed {seed}: {violation.promise.value}: {violation.detail}"
+            f"seed {seed}: {violation.guarantee.value}: {violation.detail}"
             f" ({path})"
         )
     _printing.say(f"{seeds - found} passed, {found} failed")
--- a/packages/mimosastile-standins/src/mimosastile_standins/mutations.py
+++ b/packages/mimosastile-standins/src/mimosastile_standins/mutations.py
@@ -378,7 +378,7 @@
     verdict = runner.run(scenario.load(path).unwrap())
     if verdict.violations:
         violation = verdict.violations[0]
-        return f"{path.stem}: {violation.promise.value}: {violation.detail}"
+        return f"{path.stem}: {violation.guarantee.value}: {violation.detail}"
     if verdict.missed:
         return f"{path.stem}: {verdict.missed[0]}"
     return ""
@@ -389,4 +389,4 @@
     if found is None:
         return ""
     violation = runner.run(found).violations[0]
-    return f"fuzz seed {seed}: {violation.promise.value}: {violation.detail}"
+    return f"fuzz seed {seed}: {violation.guarantee.value}: {violation.detail}"
