--- a/tests/entry/test_roles.py
+++ b/tests/entry/test_roles.py
@@ -301,7 +301,7 @@
             del kept, prefix
             return ports.WatchBatch((), revision)
 
-        monkeypatch.setattr(store.MemoryStore, "_since", empty_batch)
+        monkeypatch.setattr(store.MemoryStore, "_entries_since", empty_batch)
 
     def test_keepers_are_notified_by_the_one_that_made_the_change(
         self, monkeypatch
